--- a/ploverhatch/admission/dispatcher.py
+++ b/ploverhatch/admission/dispatcher.py
@@ -21,7 +21,7 @@
 from ploverhatch.state.servers import ServerRecord
 
 QUEUED_AT_SERVER_PART = 0.5  # of the slots: hides the way of a returned slot to the next request
-DEFAULT_WORK_MS = 150.0  # of a server that has answered nothing yet
+DEFAULT_SERVICE_MS = 150.0  # of a server that has answered nothing yet
 WORK_WEIGHT = 0.15  # of a new answer time
 FAILING_MS = 1000.0  # a server that failed is given to nobody for so long, while others are there
 SILENT_AFTER = 2  # requests in a row that got no answer: the server gets one at a time
@@ -357,7 +357,7 @@
     @property
     def _usual_ms(self) -> float:
         known = [server.work_ms for server in self._servers.values() if server.work_ms]
-        return sum(known) / len(known) if known else DEFAULT_WORK_MS
+        return sum(known) / len(known) if known else DEFAULT_SERVICE_MS
 
     @property
     def _capacity(self) -> int:
--- a/ploverhatch/experiment/keys_situations.py
+++ b/ploverhatch/experiment/keys_situations.py
@@ -40,14 +40,14 @@
 @way("window of 3 s, any gap")
 def any_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
     """Rates of 3 s, and no test whether a gap is more than chance."""
-    limits = PlanLimits(sure_gap=0.0, window_s=3.0)
+    limits = PlanLimits(gap_deviations=0.0, window_s=3.0)
     return replace(scenario, seed=seed, limits=limits, window_ms=3000.0)
 
 
 @way("surer gap")
 def surer_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
     """A gap of four standard deviations."""
-    return replace(scenario, seed=seed, limits=PlanLimits(sure_gap=4.0))
+    return replace(scenario, seed=seed, limits=PlanLimits(gap_deviations=4.0))
 
 
 @way("dealt once")
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -18,10 +18,11 @@
 
 from ploverhatch.admission.dispatcher import Answer, Asker, Given, Group, TurnedAway, Wish
 from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, MOVE_PART, USEFUL_PART, WAIT_PART
-from ploverhatch.sharding import reading
+from ploverhatch.sharding import load_estimate
 from ploverhatch.sharding.keymap import KEY_COUNT, KeyMap
 from ploverhatch.sharding.leader_core import LeaderCore
 from ploverhatch.sharding.load import WINDOW_MS, AnswerTimes, KeyLoad
+from ploverhatch.sharding.load_estimate import LoadEstimate
 from ploverhatch.sharding.messages import (
     Action,
     CallOutcome,
@@ -31,7 +32,6 @@
     StoreMap,
 )
 from ploverhatch.sharding.planner import PlanLimits
-from ploverhatch.sharding.reading import Reading
 from ploverhatch.state.servers import ServerRecord
 
 SERVICE = "claims"
@@ -163,7 +163,7 @@
         self._core = LeaderCore(limits=scenario.limits)
         self._load = KeyLoad(scenario.window_ms)
         self._times = AnswerTimes()
-        self._reading: Reading | None = None
+        self._reading: LoadEstimate | None = None
         self._revision = 0
         self._sampled: list[int] = []
         self._told = KeyMap(SERVICE)  # as nodes know it
@@ -379,9 +379,11 @@
         records = [server.record for server in self._servers.values()]
         known = self._reading
         if known is None or self.now_ms - known.taken_ms >= READ_MS:
-            known = reading.read(SERVICE, records, self._core, self._load, self._times, self.now_ms)
+            known = load_estimate.estimate(
+                SERVICE, records, self._core, self._load, self._times, self.now_ms
+            )
             self._reading = known
-        view = ServiceView(records, known.rates, known.work_ms, silent=known.silent)
+        view = ServiceView(records, known.rates, known.service_ms, unresponsive=known.unresponsive)
         self._execute(self._core.tick(self.now_ms, {SERVICE: view}, True))
 
     def _execute(self, actions: list[Action]) -> None:
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -210,7 +210,7 @@
     @property
     def keymaps_trusted(self) -> bool:
         """Whether requests may go where the key maps say."""
-        return view.view_is_trusted(self.keymaps_current_ms, elapsed_ms())
+        return view.map_is_trusted(self.keymaps_current_ms, elapsed_ms())
 
     def note_keymaps(self, current_ms: float) -> None:
         """The key maps were surely current at a time, on the elapsed clock."""
--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -99,7 +99,7 @@
         return self.member_zones.keys()
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store did not answer this task's last call."""
         return self._store_away
 
--- a/ploverhatch/gateway/feeds.py
+++ b/ploverhatch/gateway/feeds.py
@@ -83,7 +83,7 @@
         """Whether this node tells the others."""
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store is asked elsewhere, with cheaper calls, until it answers again.
 
         Then the feeds are nudged.
@@ -222,12 +222,12 @@
         """
         pause_s = self._pause_s / 2 if self._relay.leads else self._pause_s
         self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
-        if self._relay.leads or not self._relay.store_away:
+        if self._relay.leads or not self._relay.store_unavailable:
             self._nudged.wait(pause_s)
             return
         until_ms = elapsed_ms() + OUTAGE_PAUSE_S * 1000
         while self._nudged.wait((until_ms - elapsed_ms()) / 1000):
-            if not self._relay.store_away or self._leader_helps:
+            if not self._relay.store_unavailable or self._leader_helps:
                 return
 
     @property
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -17,11 +17,13 @@
 from ploverhatch.gateway.peer_link import LoadReport
 from ploverhatch.gateway.server_control import ServerControl
 from ploverhatch.leadership import election
-from ploverhatch.sharding import reading
-from ploverhatch.sharding.holders import HOLD_MS, LeaseTiming
+from ploverhatch.sharding import load_estimate
+from ploverhatch.sharding.backoff_reports import BackoffReports
+from ploverhatch.sharding.holders import LEASE_MS, LeaseTiming
 from ploverhatch.sharding.keymap import Holder, KeyMap
-from ploverhatch.sharding.leader_core import STORE_AWAY_MS, LeaderCore
+from ploverhatch.sharding.leader_core import STORE_UNAVAILABLE_MS, LeaderCore
 from ploverhatch.sharding.load import AnswerTimes, KeyLoad
+from ploverhatch.sharding.load_estimate import LoadEstimate
 from ploverhatch.sharding.messages import (
     Action,
     CallOutcome,
@@ -33,8 +35,6 @@
     StepDown,
     StoreMap,
 )
-from ploverhatch.sharding.reading import Reading
-from ploverhatch.sharding.resting import RestReports
 from ploverhatch.state.standing import NO_LIMIT
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
@@ -79,13 +79,13 @@
         self._publish = publish
         self._tell_granted = tell_granted
         self._tell_promoted = tell_promoted
-        self._hold_ms = min(HOLD_MS, lease_max_ms)
+        self._hold_ms = min(LEASE_MS, lease_max_ms)
         self._core = LeaderCore(LeaseTiming(self._hold_ms))
         self._controls: dict[str, ServerControl] = {}
         self._loads: dict[str, KeyLoad] = {}
         self._answer_times = AnswerTimes()
-        self._rests = RestReports()
-        self._readings: dict[str, Reading] = {}
+        self._rests = BackoffReports()
+        self._readings: dict[str, LoadEstimate] = {}
         self._unreadable: dict[str, int] = {}  # maps that can't be read, by revision
         self._tasks: set[gevent.Greenlet] = set()
         self._finishing = False
@@ -128,7 +128,11 @@
         """
         self._finishing = True
         end_ms = elapsed_ms() + limit_s * 1000
-        while self._core.unfinished and self._elector.has_authority and elapsed_ms() < end_ms:
+        while (
+            self._core.has_unfinished_moves
+            and self._elector.has_authority
+            and elapsed_ms() < end_ms
+        ):
             gevent.sleep(TICK_S)
 
     def _load_maps(self) -> None:
@@ -145,15 +149,15 @@
             others_until_ms = elapsed_ms() + election.AUTHORITY_MS
             self._core.note_restores(era_of(listing.revision))
             if era_of(listing.revision):
-                self._core.distrust_missing(others_until_ms)
+                self._core.invalidate_missing(others_until_ms)
             for keymap in keymaps:
                 self._directory.put_keymap(keymap)
                 known = self._directory.known_settled(keymap.service)
-                self._core.inherit(known, renewable_ms, elapsed_ms(), same_lives=False)
+                self._core.inherit(known, renewable_ms, elapsed_ms(), same_incarnations=False)
             for item in items:
                 if item.name not in self._unreadable and keymap_codec.predates_restore(item):
                     LOG.warning("Later key maps may be lost.", service=item.name)
-                    self._core.distrust(item.name, others_until_ms)
+                    self._core.invalidate(item.name, others_until_ms)
             return
 
     def _read_maps(self, items: Sequence[VersionedObject]) -> list[KeyMap]:
@@ -207,8 +211,8 @@
             if service in self._directory.outdated_keymaps:
                 self._core.map_outdated(service)
         may_change = self._elector.may_change
-        store_away = now_ms - self._elector.state.renewed_ms >= STORE_AWAY_MS
-        actions = self._core.tick(now_ms, views, may_change, self._finishing, store_away)
+        store_unavailable = now_ms - self._elector.state.renewed_ms >= STORE_UNAVAILABLE_MS
+        actions = self._core.tick(now_ms, views, may_change, self._finishing, store_unavailable)
         for service in views:
             tokens = self._core.promoted(service)
             if tokens:
@@ -236,17 +240,17 @@
         known = self._readings.get(service)
         if known is None or now_ms - known.taken_ms >= READ_EVERY_MS:
             load = self._loads.setdefault(service, KeyLoad())
-            known = reading.read(
+            known = load_estimate.estimate(
                 service, records, self._core, load, self._answer_times, now_ms, limits.keys()
             )
             self._readings[service] = known
         return ServiceView(
             records,
             known.rates,
-            known.work_ms,
+            known.service_ms,
             {item.server_id for item in records if servers.is_cold(item.server_id, now_ms)},
             self._directory.cold_per_s(service),
-            known.silent,
+            known.unresponsive,
             self._rests.shedding(self._answer_times.answered_ms, now_ms),
             limits,
         )
@@ -355,7 +359,7 @@
     def _note_break(self, holder: Holder) -> None:
         if self._control(holder).take_break():
             LOG.info("Server broke a connection.", server=holder.server_id)
-            self._core.connection_broke(holder)
+            self._core.note_connection_closed(holder)
 
     def _send_release(self, action: SendRelease) -> None:
         name = action.range_id
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -144,9 +144,9 @@
         return self._leading
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the elector found that the store does not answer, and goes on asking."""
-        return self._elector.store_away
+        return self._elector.store_unavailable
 
     def relied_on_until_ms(self, current_ms: float) -> float:
         """Return until when a view may be relied on that was surely current at a time."""
--- a/ploverhatch/sharding/resting.py
+++ b/ploverhatch/sharding/backoff_reports.py
@@ -9,9 +9,11 @@
 from dataclasses import dataclass
 
 SHEDDING_MS = 600.0  # of rests without one answer: two reports of every node
-REPORT_MS = 350.0  # an answer is reported so much after it was given at most
-WORTH_MS = 1000.0  # a move takes most of that: where less of a rest is left, it is over sooner
-PAUSE_MS = 1000.0  # between rests of one server that are taken as one
+REPORT_DELAY_MS = 350.0  # an answer is reported so much after it was given at most
+MIN_REMAINING_MS = (
+    1000.0  # a move takes most of that: where less of a rest is left, it is over sooner
+)
+MERGE_GAP_MS = 1000.0  # between rests of one server that are taken as one
 
 
 @dataclass(slots=True)
@@ -20,7 +22,7 @@
     until_ms: float
 
 
-class RestReports:
+class BackoffReports:
     """What the nodes report of servers' rests."""
 
     def __init__(self) -> None:
@@ -30,7 +32,7 @@
         """Take the rests that a node keeps, and how much of each is left."""
         for server_id, rest_ms in left_ms.items():
             rest = self._rests.get(server_id)
-            if rest is None or rest.until_ms + PAUSE_MS < now_ms:
+            if rest is None or rest.until_ms + MERGE_GAP_MS < now_ms:
                 rest = self._rests[server_id] = _Rest(now_ms, now_ms)
             rest.until_ms = max(rest.until_ms, now_ms + rest_ms)
 
@@ -43,13 +45,13 @@
             server_id
             for server_id, rest in self._rests.items()
             if now_ms - rest.since_ms >= SHEDDING_MS
-            and rest.until_ms - now_ms >= WORTH_MS
-            and answered_ms(server_id) < rest.since_ms + REPORT_MS
+            and rest.until_ms - now_ms >= MIN_REMAINING_MS
+            and answered_ms(server_id) < rest.since_ms + REPORT_DELAY_MS
         )
 
     def expire(self, now_ms: float) -> None:
         """Forget rests that are long over."""
         for server_id in [
-            known for known, rest in self._rests.items() if rest.until_ms + PAUSE_MS < now_ms
+            known for known, rest in self._rests.items() if rest.until_ms + MERGE_GAP_MS < now_ms
         ]:
             del self._rests[server_id]
--- a/ploverhatch/sharding/holders.py
+++ b/ploverhatch/sharding/holders.py
@@ -6,7 +6,7 @@
 from ploverhatch.sharding.keymap import Holder
 from ploverhatch.sharding.messages import RangeId
 
-HOLD_MS = 4000.0  # of a lease, where the servers allow as much
+LEASE_MS = 4000.0  # of a lease, where the servers allow as much
 RENEW_PART = 0.3  # of a lease's time: then it is renewed
 RETRY_MS = 250.0
 LATE_MS = 100.0  # a renewal that is not answered by then holds no other one up
@@ -15,7 +15,7 @@
 LOSSY_RETRY_MS = 200.0
 MOST_CALLS = 24  # renewals under way to a server that answers some of them
 CLOCK_DRIFT = 1.02  # a server's clock may run 2% slow
-LAPSE_MARGIN_MS = 250.0
+EXPIRY_MARGIN_MS = 250.0
 UNREACHABLE_MS = 1000.0
 AVOID_MS = 4000.0  # how long a server that could not be reached gets no keys
 
@@ -24,16 +24,16 @@
 class LeaseTiming:
     """Times that follow from how long a lease is held."""
 
-    hold_ms: float = HOLD_MS
+    lease_ms: float = LEASE_MS
 
     @property
     def renew_ms(self) -> float:
         """Time between renewals."""
-        return self.hold_ms * RENEW_PART
+        return self.lease_ms * RENEW_PART
 
-    def lapse_ms(self, sent_ms: float) -> float:
+    def expiry_ms(self, sent_ms: float) -> float:
         """Return when a lease sent at ``sent_ms`` has surely lapsed."""
-        return sent_ms + self.hold_ms * CLOCK_DRIFT + LAPSE_MARGIN_MS
+        return sent_ms + self.lease_ms * CLOCK_DRIFT + EXPIRY_MARGIN_MS
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     held_until_ms: float = 0.0  # by then every lease sent to it has surely lapsed
     failing_since_ms: float | None = None
     avoid_until_ms: float = 0.0
-    gained_ms: float = -1e12  # when it got keys that it had not held
+    last_new_range_ms: float = -1e12  # when it got keys that it had not held
     silent: bool = False  # callers' requests to it are not answered
     pause_until_ms: float = 0.0  # after a call that was not answered, where no other was
     lossy_until_ms: float = -1e12  # some calls were answered lately and others not
@@ -66,11 +66,11 @@
     renewed_ms: dict[RangeId, float] = field(default_factory=dict)
     tried_ms: dict[RangeId, float] = field(default_factory=dict)
     under_way: list[_Renewal] = field(default_factory=list)
-    asked_at_once: bool = False  # callers' requests to it are not answered: does it renew?
-    is_over: bool = False  # the server runs elsewhere by now, as another life
+    probe_due: bool = False  # callers' requests to it are not answered: does it renew?
+    superseded: bool = False  # the server runs elsewhere by now, as another life
     # Tokens of grants that were acknowledged before its connection broke: another life may
     # answer by now, and would take a renewal at a token that did not rise.
-    doubtful: set[int] = field(default_factory=set)
+    unproven_tokens: set[int] = field(default_factory=set)
     release_at_ms: float = 0.0  # of a holder that does not answer: when one is sent again
 
     def may_release(self, now_ms: float) -> bool:
@@ -89,15 +89,15 @@
 
     def sent(self, now_ms: float) -> None:
         """A grant is being sent right now."""
-        self.held_until_ms = max(self.held_until_ms, self.timing.lapse_ms(now_ms))
+        self.held_until_ms = max(self.held_until_ms, self.timing.expiry_ms(now_ms))
 
     def ended(self) -> None:
         """The server has ended: it holds nothing."""
         self.held_until_ms = 0.0
 
-    def life_over(self) -> None:
+    def note_superseded(self) -> None:
         """A later life of the server is known at another address: nothing reaches this one."""
-        self.is_over = True
+        self.superseded = True
         self.ended()
 
     def answered(self, now_ms: float) -> None:
@@ -113,10 +113,10 @@
         if self.silent or now_ms - self.failing_since_ms >= UNREACHABLE_MS:
             self.avoid_until_ms = now_ms + AVOID_MS
 
-    def note_silent(self, silent: bool, now_ms: float) -> None:
+    def note_unresponsive(self, silent: bool, now_ms: float) -> None:
         """Whether busy keys of the holder got no answer at all lately: ask it at once."""
         if silent and not self.silent:
-            self.asked_at_once = True
+            self.probe_due = True
             if self.failing_since_ms is not None:
                 self.avoid_until_ms = now_ms + AVOID_MS
         self.silent = silent
@@ -144,11 +144,11 @@
             self.tried_ms[name] = now_ms
             self.under_way.append(_Renewal(name, now_ms))
         if chosen:
-            self.asked_at_once = False
+            self.probe_due = False
         return chosen
 
     def _is_due(self, name: RangeId, lossy: bool, now_ms: float) -> bool:
-        if self.asked_at_once:
+        if self.probe_due:
             return True
         renewed_ms, tried_ms = self.renewed_ms.get(name, -1e12), self.tried_ms.get(name, -1e12)
         if lossy:
@@ -180,7 +180,7 @@
 
     def granted(self, name: RangeId, now_ms: float) -> None:
         """The server was granted a range that it had not held."""
-        self.gained_ms = now_ms
+        self.last_new_range_ms = now_ms
         self.renewed_ms[name] = now_ms
 
     def keep_only(self, names: Collection[RangeId]) -> None:
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -39,7 +39,7 @@
     StoreMap,
     range_id,
 )
-from ploverhatch.sharding.restored import above_lost, possible_holders, revoked_everywhere
+from ploverhatch.sharding.restored import possible_holders, revoked_everywhere, token_above_lost
 from ploverhatch.sharding.standbys import assign_standbys, inherited, promote
 from ploverhatch.sharding.transfer import Transfer
 from ploverhatch.state.lives import is_later_life, registered_name
@@ -48,10 +48,10 @@
 
 PLAN_EVERY_MS = 400.0
 SETTLE_MS = 500.0  # a grant is told to all nodes at once, and stored with the next move or then
-FIRST_SERVERS_MS = 1000.0  # the set of servers is stable for so long before the first deal
-DOMINANT_REST_MS = 3000.0  # a key that was moved by itself stays where it is for so long
-STEADY_MS = 2000.0  # a server with new keys is not judged by what it completes for so long
-STORE_AWAY_MS = 1250.0  # since the lease was renewed last: then standbys are promoted
+STABLE_SERVERS_MS = 1000.0  # the set of servers is stable for so long before the first deal
+DOMINANT_COOLDOWN_MS = 3000.0  # a key that was moved by itself stays where it is for so long
+NEW_KEYS_GRACE_MS = 2000.0  # a server with new keys is not judged by what it completes for so long
+STORE_UNAVAILABLE_MS = 1250.0  # since the lease was renewed last: then standbys are promoted
 CUT_OFF_MS = 1000.0  # most servers unreachable for so long: this node is cut off
 
 
@@ -127,7 +127,7 @@
         state = self._services.get(service)
         return frozenset(state.promoted) if state else frozenset()
 
-    def rates_of_holders(
+    def rates_by_holder(
         self, service: str, rates: Mapping[int, float], now_ms: float
     ) -> dict[str, float]:
         """Return requests a second by server, where it has held its keys for a while.
@@ -145,7 +145,7 @@
         return {
             server_id: rate
             for server_id, rate in found.items()
-            if now_ms - self._leases[server_id].gained_ms >= STEADY_MS
+            if now_ms - self._leases[server_id].last_new_range_ms >= NEW_KEYS_GRACE_MS
         }
 
     def inherit(
@@ -153,11 +153,11 @@
         keymap: KeyMap,
         renewable_until_ms: float,
         now_ms: float = 0.0,
-        same_lives: bool = True,
+        same_incarnations: bool = True,
     ) -> None:
         """Take a map over; its leases may be renewed by others until then.
 
-        :param same_lives: whether the lives that were granted the keys surely answer still.
+        :param same_incarnations: whether the lives that were granted the keys surely answer still.
         """
         keymap = inherited(keymap)
         state = self._services.setdefault(keymap.service, _ServiceState(keymap))
@@ -166,15 +166,15 @@
             for holder in item.possible_holders:
                 lease = self._lease(holder)
                 lease.held_until_ms = max(
-                    lease.held_until_ms, self._timing.lapse_ms(renewable_until_ms)
+                    lease.held_until_ms, self._timing.expiry_ms(renewable_until_ms)
                 )
-        if not same_lives:
+        if not same_incarnations:
             for item in keymap.ranges:
-                self._lease(item.holder).doubtful.add(item.token)
+                self._lease(item.holder).unproven_tokens.add(item.token)
         for transfer in state.transfers.values():
-            for server_id in transfer.lapses_ms:
-                transfer.lapses_ms[server_id] = max(
-                    transfer.lapses_ms[server_id], self._leases[server_id].held_until_ms
+            for server_id in transfer.expiries_ms:
+                transfer.expiries_ms[server_id] = max(
+                    transfer.expiries_ms[server_id], self._leases[server_id].held_until_ms
                 )
 
     def _lease(self, holder: Holder) -> HolderLease:
@@ -185,7 +185,7 @@
         return lease
 
     @property
-    def unfinished(self) -> bool:
+    def has_unfinished_moves(self) -> bool:
         """Whether moves were begun that the store does not yet show as done."""
         return any(state.transfers or state.storing for state in self._services.values())
 
@@ -197,7 +197,7 @@
         views: Mapping[str, ServiceView],
         may_change: bool,
         finishing: bool = False,
-        store_away: bool = False,
+        store_unavailable: bool = False,
     ) -> list[Action]:
         """Return what is due.
 
@@ -205,11 +205,11 @@
         :param may_change: whether maps may be stored.
         :param finishing: whether this node is about to give its lease back: it begins no
             moves, and stores at once what is done.
-        :param store_away: whether the store takes no map for now.
+        :param store_unavailable: whether the store takes no map for now.
         """
         actions: list[Action] = []
         for view in views.values():
-            self._note_silent(view, now_ms)
+            self._note_unresponsive(view, now_ms)
         if may_change and finishing:
             for state in self._services.values():
                 actions += self._settle(state, now_ms, wait_ms=0.0)
@@ -218,7 +218,7 @@
                 state = self._services.setdefault(service, _ServiceState(KeyMap(service)))
                 actions += self._plan(state, view, now_ms)
             actions += self._check_reach(views, now_ms)
-        if store_away and not finishing:
+        if store_unavailable and not finishing:
             for service, view in views.items():
                 self._promote_standbys(service, view, now_ms)
         for state in self._services.values():
@@ -227,11 +227,11 @@
         actions += self._due_renewals(now_ms)
         return actions
 
-    def _note_silent(self, view: ServiceView, now_ms: float) -> None:
+    def _note_unresponsive(self, view: ServiceView, now_ms: float) -> None:
         for record in view.records:
             lease = self._leases.get(record.server_id)
             if lease is not None:
-                lease.note_silent(record.server_id in view.silent, now_ms)
+                lease.note_unresponsive(record.server_id in view.unresponsive, now_ms)
 
     def _may_release(self, now_ms: float, server_id: str) -> bool:
         lease = self._leases.get(server_id)
@@ -247,7 +247,7 @@
         if state.outdated and state.keymap.ranges:
             keymap = self._granted_map(state)
             return self._store(
-                state, replace(keymap, token=above_lost(keymap.token, self._restores))
+                state, replace(keymap, token=token_above_lost(keymap.token, self._restores))
             )
         candidates = self._candidates(state, view, now_ms)
         if state.unsaved:
@@ -255,7 +255,7 @@
         if not candidates:
             return self._settle(state, now_ms)
         if not state.keymap.ranges:
-            if now_ms - state.servers_since_ms < FIRST_SERVERS_MS:
+            if now_ms - state.servers_since_ms < STABLE_SERVERS_MS:
                 return []
             keymap = first_assignment(state.keymap, planner.initial_pieces(candidates))
             if self._lost_until_ms is not None:
@@ -290,7 +290,7 @@
         """Return who is to be granted a range in place of its present grant, if anyone."""
         if item.holder not in usable:
             standby = item.standby
-        elif item.token in self._lease(item.holder).doubtful:
+        elif item.token in self._lease(item.holder).unproven_tokens:
             standby = item.renewal or item.standby
         else:
             return None
@@ -339,7 +339,7 @@
         resting = {
             key
             for key, moved_ms in state.dominant_moved_ms.items()
-            if now_ms - moved_ms < DOMINANT_REST_MS
+            if now_ms - moved_ms < DOMINANT_COOLDOWN_MS
         }
         keymap = self._granted_map(state)
         moves = planner.plan_moves(keymap, candidates, rates, resting, self._limits)
@@ -359,7 +359,8 @@
         return [
             Move(item.first, item.last, item.holder)
             for item in self._granted_map(state).ranges
-            if item.holder.server_id in usable and item.token in self._lease(item.holder).doubtful
+            if item.holder.server_id in usable
+            and item.token in self._lease(item.holder).unproven_tokens
         ]
 
     def _store(
@@ -398,7 +399,7 @@
             planner.Candidate(
                 Holder(record.server_id, record.host, record.port),
                 record.slots,
-                _work_ms(view, record),
+                _service_ms(view, record),
                 record.server_id in view.limit_per_s,
             )
             for record in reachable
@@ -414,11 +415,11 @@
         for lease in self._leases.values():
             holder = lease.holder
             record = latest.get(registered_name(holder.server_id))
-            if record is None or lease.is_over:
+            if record is None or lease.superseded:
                 continue
             elsewhere = (record.host, record.port) != (holder.host, holder.port)
             if elsewhere and is_later_life(record.server_id, holder.server_id):
-                lease.life_over()
+                lease.note_superseded()
                 self._end_transfers_from(holder)
 
     def _avoided(self, server_id: str, now_ms: float) -> bool:
@@ -448,7 +449,7 @@
                 for item in keymap.ranges:
                     named.update(holder.server_id for holder in item.possible_holders)
             for transfer in state.transfers.values():
-                named.update(transfer.lapses_ms)
+                named.update(transfer.expiries_ms)
         for server_id, lease in list(self._leases.items()):
             if server_id not in named and lease.held_until_ms < now_ms and not lease.under_way:
                 del self._leases[server_id]
@@ -464,7 +465,7 @@
         ]
 
     def _renewals(self, lease: HolderLease, now_ms: float) -> list[Action]:
-        if lease.is_over:
+        if lease.superseded:
             return []
         names = [
             name
@@ -481,17 +482,17 @@
             for name in self._granted_ranges(state).by_server.get(server_id, ())
         ]
 
-    def connection_broke(self, holder: Holder) -> None:
+    def note_connection_closed(self, holder: Holder) -> None:
         """A holder ended a connection: what it was granted before may be gone with its life."""
         lease = self._lease(holder)
-        lease.doubtful.update(name.token for name in self._settled_ranges(holder.server_id))
+        lease.unproven_tokens.update(name.token for name in self._settled_ranges(holder.server_id))
 
     # ---- calls to servers -----------------------------------------------------------------
 
     def may_send(self, holder: Holder, name: RangeId, renewal: bool) -> bool:
         """Whether a grant is still right; asked again right before it is sent."""
         state = self._services.get(name.service)
-        if state is None or name.token in self._lease(holder).doubtful:
+        if state is None or name.token in self._lease(holder).unproven_tokens:
             return False
         if not renewal:
             transfer = state.transfers.get(name)
@@ -583,7 +584,7 @@
         """The store did not take a map, or it is not known whether it did."""
         self._services[service].storing = None
 
-    def distrust(self, service: str, renewable_until_ms: float) -> None:
+    def invalidate(self, service: str, renewable_until_ms: float) -> None:
         """Later maps were lost in a restore: any server may hold any key, at any token.
 
         :param renewable_until_ms: until when another leader may renew grants of those maps.
@@ -596,7 +597,7 @@
         """The store was restored from snapshots so many times, counted over its whole life."""
         self._restores = max(self._restores, count)
 
-    def distrust_missing(self, renewable_until_ms: float) -> None:
+    def invalidate_missing(self, renewable_until_ms: float) -> None:
         """A service without a map may have lost it in a restore: any server may hold its keys.
 
         :param renewable_until_ms: until when another leader may renew grants of lost maps.
@@ -611,8 +612,8 @@
         holders = possible_holders(keymap, servers)
         for holder in holders:
             lease = self._lease(holder)
-            lapse_ms = self._timing.lapse_ms(renewable_until_ms)
-            lease.held_until_ms = max(lease.held_until_ms, lapse_ms)
+            expiry_ms = self._timing.expiry_ms(renewable_until_ms)
+            lease.held_until_ms = max(lease.held_until_ms, expiry_ms)
         return revoked_everywhere(keymap, holders, self._restores)
 
     def map_outdated(self, service: str) -> None:
@@ -659,12 +660,12 @@
             self._lease(item.holder)
 
 
-def _work_ms(view: ServiceView, record: ServerRecord) -> float:
+def _service_ms(view: ServiceView, record: ServerRecord) -> float:
     """Return how long a server works on a request; one of bounded rate as if it was so slow."""
-    work_ms = view.work_ms.get(record.server_id, planner.DEFAULT_WORK_MS)
+    service_ms = view.service_ms.get(record.server_id, planner.DEFAULT_SERVICE_MS)
     limit_per_s = view.limit_per_s.get(record.server_id)
     if limit_per_s is not None:
-        work_ms = max(work_ms, record.slots * 1000 / max(limit_per_s, LEAST_LIMIT_PER_S))
+        service_ms = max(service_ms, record.slots * 1000 / max(limit_per_s, LEAST_LIMIT_PER_S))
     if record.server_id in view.cold and view.cold_per_s:
-        return max(work_ms, record.slots * 1000 / view.cold_per_s)
-    return work_ms
+        return max(service_ms, record.slots * 1000 / view.cold_per_s)
+    return service_ms
--- a/ploverhatch/sharding/load.py
+++ b/ploverhatch/sharding/load.py
@@ -12,14 +12,14 @@
 MIN_SPAN_MS = 500.0
 COMPLETED_MS = 1500.0  # over which answers are counted
 SURE_CHANGE = 3.0  # standard deviations that a key's recent count is off the expected one
-KEPT_TIMES = 64  # of one server
+MAX_SAMPLES = 64  # of one server
 LEAST_TIMES = 6  # fewer say nothing of a server
 TYPICAL_PART = 0.25  # of the answers are faster than the typical time
 BEHIND_MEMORY_MS = 10_000.0  # until a server that fell behind and lost its keys is tried again
 BEHIND_PART = 0.5  # a server that completes less than this of what it is asked falls behind,
 SURELY_BEHIND = 2.5  # ... if the gap is so many standard deviations of both counts
-SILENT_MS = 500.0  # longer than reports take to come, and than most answers take
-SILENT_REQUESTS = 6.0  # without one answer; by chance that happens in 1 of 400 such spans
+UNRESPONSIVE_MS = 500.0  # longer than reports take to come, and than most answers take
+UNRESPONSIVE_REQUESTS = 6.0  # without one answer; by chance that happens in 1 of 400 such spans
 
 
 def median(values: Iterable[float]) -> float:
@@ -103,18 +103,18 @@
         """Add answer times of a server, as one node saw them since its last report."""
         self._answered_ms[server_id] = now_ms
         self._known_ms.setdefault(server_id, now_ms)
-        self._times.setdefault(server_id, deque(maxlen=KEPT_TIMES)).extend(times_ms)
+        self._times.setdefault(server_id, deque(maxlen=MAX_SAMPLES)).extend(times_ms)
         completed = self._completed.setdefault(server_id, deque())
         completed.append((now_ms, len(times_ms)))
         while completed[0][0] < now_ms - COMPLETED_MS:
             completed.popleft()
 
-    def most_work_ms(self, server_id: str, slots: int, now_ms: float) -> float:
+    def max_service_ms(self, server_id: str, slots: int, now_ms: float) -> float:
         """Return what a request can take at most, from what the server completed lately."""
         done = self._done(server_id, now_ms)
         return slots * COMPLETED_MS / done if done else math.inf
 
-    def saturated_work_ms(
+    def saturated_service_ms(
         self, server_id: str, slots: int, rate: float, now_ms: float
     ) -> float | None:
         """Return how long a request takes on a server that surely falls behind, else ``None``.
@@ -126,8 +126,8 @@
         :param rate: requests a second for its keys, which it has held for a while.
         """
         if not rate:
-            judged_ms, work_ms = self._behind.get(server_id, (-math.inf, 0.0))
-            return work_ms if now_ms - judged_ms < BEHIND_MEMORY_MS else None
+            judged_ms, service_ms = self._behind.get(server_id, (-math.inf, 0.0))
+            return service_ms if now_ms - judged_ms < BEHIND_MEMORY_MS else None
         if now_ms - self._known_ms.get(server_id, now_ms) < COMPLETED_MS:
             return None
         done = self._done(server_id, now_ms)
@@ -135,16 +135,16 @@
         behind = asked - done
         if done > asked * BEHIND_PART or behind < SURELY_BEHIND * math.sqrt(asked + done):
             return None
-        work_ms = slots * COMPLETED_MS / max(done, 1)
-        self._behind[server_id] = now_ms, work_ms
-        return work_ms
+        service_ms = slots * COMPLETED_MS / max(done, 1)
+        self._behind[server_id] = now_ms, service_ms
+        return service_ms
 
     def _done(self, server_id: str, now_ms: float) -> int:
         """Return how many requests a server completed lately."""
         counts = self._completed.get(server_id, ())
         return sum(count for taken_ms, count in counts if taken_ms >= now_ms - COMPLETED_MS)
 
-    def work_ms(self, server_ids: Collection[str]) -> dict[str, float]:
+    def service_ms(self, server_ids: Collection[str]) -> dict[str, float]:
         """Return the time per request of each of the servers of one service."""
         readings = {
             name: _reading(times)
@@ -172,7 +172,7 @@
             self._known_ms.pop(server_id, None)
             self._behind.pop(server_id, None)
 
-    def is_silent(self, server_id: str, rate: float, now_ms: float) -> bool:
+    def is_unresponsive(self, server_id: str, rate: float, now_ms: float) -> bool:
         """Whether so many requests stayed unanswered that the server hardly answers at all.
 
         A server that answers once in a while is not silent, however slow it is. That
@@ -181,7 +181,7 @@
         :param rate: requests a second for its keys.
         """
         since_ms = now_ms - self._answered_ms.get(server_id, now_ms)
-        return since_ms >= SILENT_MS and rate * since_ms / 1000 >= SILENT_REQUESTS
+        return since_ms >= UNRESPONSIVE_MS and rate * since_ms / 1000 >= UNRESPONSIVE_REQUESTS
 
 
 def _reading(times_ms: Collection[float]) -> tuple[float, float]:
--- a/ploverhatch/sharding/reading.py
+++ b/ploverhatch/sharding/load_estimate.py
@@ -9,16 +9,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class LoadEstimate:
     """Requests a second by key, work per request by server, and who answers nobody."""
 
     taken_ms: float
     rates: Mapping[int, float]
-    work_ms: Mapping[str, float]
-    silent: Collection[str]
+    service_ms: Mapping[str, float]
+    unresponsive: Collection[str]
 
 
-def read(
+def estimate(
     service: str,
     records: Sequence[ServerRecord],
     core: LeaderCore,
@@ -26,7 +26,7 @@
     times: AnswerTimes,
     now_ms: float,
     limited: Collection[str] = (),
-) -> Reading:
+) -> LoadEstimate:
     """Reckon what the reports say by now.
 
     A server that falls behind is judged by what it completes; of another one, what it
@@ -36,19 +36,19 @@
         tells how few requests they are sent.
     """
     rates = load.rates(now_ms)
-    asked = core.rates_of_holders(service, rates, now_ms)
-    usual_ms = times.work_ms([record.server_id for record in records])
-    work_ms = {}
+    asked = core.rates_by_holder(service, rates, now_ms)
+    usual_ms = times.service_ms([record.server_id for record in records])
+    service_ms = {}
     for record in records:
         name, slots = record.server_id, record.slots
-        most_ms = times.most_work_ms(name, slots, now_ms)
+        most_ms = times.max_service_ms(name, slots, now_ms)
         behind_ms = None
         if name not in limited:
-            behind_ms = times.saturated_work_ms(name, slots, asked.get(name, 0.0), now_ms)
-        work_ms[name] = behind_ms or min(usual_ms[name], most_ms)
+            behind_ms = times.saturated_service_ms(name, slots, asked.get(name, 0.0), now_ms)
+        service_ms[name] = behind_ms or min(usual_ms[name], most_ms)
     silent = {
         name
         for name, rate in asked.items()
-        if name not in limited and times.is_silent(name, rate, now_ms)
+        if name not in limited and times.is_unresponsive(name, rate, now_ms)
     }
-    return Reading(now_ms, rates, work_ms, silent)
+    return LoadEstimate(now_ms, rates, service_ms, silent)
--- a/ploverhatch/sharding/messages.py
+++ b/ploverhatch/sharding/messages.py
@@ -41,10 +41,10 @@
 
     records: Sequence[ServerRecord]
     rates: Mapping[int, float] = field(default_factory=dict)  # requests a second by key
-    work_ms: Mapping[str, float] = field(default_factory=dict)  # per request, by server
+    service_ms: Mapping[str, float] = field(default_factory=dict)  # per request, by server
     cold: Collection[str] = ()  # servers that sustain ``cold_per_s`` requests a second
     cold_per_s: float = 0.0  # 0: no bound
-    silent: Collection[str] = ()  # servers whose keys are busy, and that answer nobody
+    unresponsive: Collection[str] = ()  # servers whose keys are busy, and that answer nobody
     shedding: Collection[str] = ()  # servers that ask for rest, and answer nobody
     limit_per_s: Mapping[str, float] = field(default_factory=dict)  # by server that names one
 
--- a/ploverhatch/sharding/planner.py
+++ b/ploverhatch/sharding/planner.py
@@ -15,14 +15,14 @@
 from ploverhatch.sharding.load import WINDOW_MS
 
 MAX_RANGES = 400  # of one map
-TIDY_RANGES = 100  # beyond it, neighbours are joined
+MERGE_ABOVE_RANGES = 100  # beyond it, neighbours are joined
 TIDY_MOVES = 4  # in one round
 NARROW = 512  # keys: a range that is narrower and idle goes back to its neighbours' holder
 IDLE = 0.02  # utilisation
 PIECES_OF_LOST = 4  # a lost range is dealt out in at most so many pieces
 DOMINANT = 0.6  # of a server: a key that takes more is *dominant* and gets it alone
 FASTER = 0.8  # a server whose work takes this part of another's is clearly faster
-DEFAULT_WORK_MS = 100.0  # of a server that has answered nothing yet
+DEFAULT_SERVICE_MS = 100.0  # of a server that has answered nothing yet
 KEY_WEIGHT = 0.2  # utilisation that holding all keys counts for, to spread idle keys
 
 
@@ -31,20 +31,20 @@
     """When servers are evened out.
 
     A server below ``high_utilisation`` is not worth relieving. The busiest and the
-    idlest differ by ``least_gap`` at least, and by ``sure_gap`` standard deviations of
+    idlest differ by ``min_gap`` at least, and by ``gap_deviations`` standard deviations of
     what chance makes of counts over ``window_s`` seconds: each move makes callers wait
     while the keys change hands, and between servers that are equally busy it gains
     nothing. A round has ``max_moves`` of these at most.
 
-    Measured on 62 noisy servers of three speeds in virtual time: without ``sure_gap``
+    Measured on 62 noisy servers of three speeds in virtual time: without ``gap_deviations``
     and with rates of 3 s, 300 moves in 30 s at a load of 0.45 instead of 160, for the
-    same credit; at a ``sure_gap`` of 4.0, 77 moves, and 0.008 of the credit is lost at
+    same credit; at a ``gap_deviations`` of 4.0, 77 moves, and 0.008 of the credit is lost at
     a load of 0.9. Twice or four times the moves of a round change it by 0.005 at most.
     """
 
     high_utilisation: float = 0.55
-    least_gap: float = 0.25
-    sure_gap: float = 2.5
+    min_gap: float = 0.25
+    gap_deviations: float = 2.5
     window_s: float = WINDOW_MS / 1000
     max_moves: int = 6
 
@@ -55,13 +55,13 @@
 
     holder: Holder
     slots: int
-    answer_ms: float
+    service_ms: float
     limited: bool = False  # it named a limit, from which its answer time is reckoned
 
     @property
     def cost_ms(self) -> float:
         """Time of the whole server that one request takes."""
-        return self.answer_ms / self.slots
+        return self.service_ms / self.slots
 
     def utilisation(self, rate: float) -> float:
         """Return the part of the server that ``rate`` requests a second take."""
@@ -182,7 +182,7 @@
         _relieve_limited(plan, keymap, resting)
         _isolate_dominant(plan, keymap, resting)
         _even_out(plan, keymap)
-    if not plan.moves and len(keymap.ranges) > TIDY_RANGES:
+    if not plan.moves and len(keymap.ranges) > MERGE_ABOVE_RANGES:
         _tidy(plan, keymap)
     return plan.moves
 
@@ -310,7 +310,7 @@
         busiest.candidate.chance(busiest.rate, limits.window_s),
         idlest.candidate.chance(idlest.rate, limits.window_s),
     )
-    return max(limits.least_gap, limits.sure_gap * spread)
+    return max(limits.min_gap, limits.gap_deviations * spread)
 
 
 def _narrowest_window(
--- a/ploverhatch/sharding/restored.py
+++ b/ploverhatch/sharding/restored.py
@@ -11,7 +11,7 @@
 TOKENS_PER_ERA = 1 << 24
 
 
-def above_lost(token: int, restores: int) -> int:
+def token_above_lost(token: int, restores: int) -> int:
     """Return a token above all that maps lost in restores may have issued.
 
     :param token: the highest one of a map that is left.
@@ -35,7 +35,7 @@
 
 def revoked_everywhere(keymap: KeyMap, holders: Iterable[Holder], restores: int) -> KeyMap:
     """Return the map with each range moving from every possible holder to its own."""
-    token = above_lost(keymap.token, restores)
+    token = token_above_lost(keymap.token, restores)
     ranges = tuple(
         replace(
             item,
--- a/ploverhatch/sharding/transfer.py
+++ b/ploverhatch/sharding/transfer.py
@@ -21,7 +21,7 @@
     range_id: RangeId
     target: Holder
     waiting: dict[str, Holder]  # previous holders that may still hold it
-    lapses_ms: dict[str, float]
+    expiries_ms: dict[str, float]
     # They hardly ever held the range: what they hand over says nothing of it.
     former_standbys: frozenset[str] = frozenset()
     retry_ms: dict[str, float] = field(default_factory=dict)
@@ -49,7 +49,7 @@
         waiting = {
             holder.server_id: holder
             for holder in (*item.previous, *item.former_standbys)
-            if not (holder.server_id in leases and leases[holder.server_id].is_over)
+            if not (holder.server_id in leases and leases[holder.server_id].superseded)
         }
         unused_ms = view.unused_from_ms(now_ms)
         lapses = {
@@ -71,7 +71,7 @@
         if self.done:
             return []
         for server_id in list(self.waiting):
-            if now_ms >= self.lapses_ms[server_id]:
+            if now_ms >= self.expiries_ms[server_id]:
                 del self.waiting[server_id]
         releases = [
             SendRelease(holder, self.range_id)
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -7,9 +7,9 @@
 from ploverhatch.leadership import election
 from ploverhatch.leadership.election import ElectionState
 from ploverhatch.sharding import view
-from ploverhatch.sharding.holders import HOLD_MS
+from ploverhatch.sharding.holders import LEASE_MS
 from ploverhatch.sharding.keymap import Holder, KeyMap
-from ploverhatch.sharding.leader_core import STORE_AWAY_MS, LeaderCore
+from ploverhatch.sharding.leader_core import STORE_UNAVAILABLE_MS, LeaderCore
 from ploverhatch.sharding.messages import (
     Action,
     CallOutcome,
@@ -112,7 +112,7 @@
     def _leave_when_done(self) -> None:
         if self._stopping_until_ms is None or not self.state.leading:
             return
-        unfinished = self.core is not None and self.core.unfinished
+        unfinished = self.core is not None and self.core.has_unfinished_moves
         if not unfinished or self.now_ms >= self._stopping_until_ms:
             self._give_back()
 
@@ -216,7 +216,7 @@
             if item is not None:
                 keymap = replace(item.value, revision=item.revision)
                 inherited_ms = max(self.state.inherited_until_ms, self.now_ms)
-                core.inherit(keymap, inherited_ms, self.now_ms, same_lives=False)
+                core.inherit(keymap, inherited_ms, self.now_ms, same_incarnations=False)
             self.core = core
 
         self._loading = True
@@ -291,11 +291,13 @@
         records = [
             record for record in self.cell.records() if record.server_id not in self.known_ended
         ]
-        known = ServiceView(records, self.cell.rates(), {}, silent=self.cell.silent)
+        known = ServiceView(records, self.cell.rates(), {}, unresponsive=self.cell.silent)
         may_change = election.may_change(self.state, self.now_ms)
         finishing = self._stopping_until_ms is not None
-        store_away = self.now_ms - self.state.renewed_ms >= STORE_AWAY_MS
-        actions = self.core.tick(self.now_ms, {SERVICE: known}, may_change, finishing, store_away)
+        store_unavailable = self.now_ms - self.state.renewed_ms >= STORE_UNAVAILABLE_MS
+        actions = self.core.tick(
+            self.now_ms, {SERVICE: known}, may_change, finishing, store_unavailable
+        )
         self._execute(self.core, actions)
 
     def _execute(self, core: LeaderCore, actions: list[Action]) -> None:
@@ -341,7 +343,7 @@
             life = self.cell.life_at(action.holder)
             broke = self._has_broken(action.holder, life)
             if broke:
-                core.connection_broke(action.holder)
+                core.note_connection_closed(action.holder)
             if action.renewal and broke:
                 ended(CallOutcome.UNPROVEN)
                 return
@@ -359,7 +361,9 @@
             self.cell.deliver(
                 self,
                 action.holder,
-                lambda server, late: server.grant(name.first, name.last, name.token, HOLD_MS, late),
+                lambda server, late: server.grant(
+                    name.first, name.last, name.token, LEASE_MS, late
+                ),
                 lambda outcome: self.do(lambda: ended(outcome)),
             )
 
@@ -392,7 +396,7 @@
     def _send_request(self) -> None:
         key = self.world.random.choice(SAMPLE_KEYS)
         found = self.keymap.find(key)
-        trusted = view.view_is_trusted(self._contact_ms, self.now_ms)
+        trusted = view.map_is_trusted(self._contact_ms, self.now_ms)
         if found is None or not trusted:
             return
         if not found.settled and found.token not in self.granted:
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -153,7 +153,7 @@
         monkeypatch.setattr(follower._store, name, away)
     leader._store.interrupt()
     follower._store.interrupt()
-    until(lambda: follower._elector.store_away)
+    until(lambda: follower._elector.store_unavailable)
     gevent.sleep(3.0)
     assert asked.count("config") + asked.count("configuration") <= 3
     assert asked.count("servers") <= 3
@@ -169,7 +169,7 @@
 
 def test_a_node_that_the_store_turns_away_goes_on_by_the_leaders_word(pair, monkeypatch):
     site, leader, follower = pair
-    monkeypatch.setattr("ploverhatch.sharding.view.VIEW_MS", 1000.0)
+    monkeypatch.setattr("ploverhatch.sharding.view.MAP_TRUST_MS", 1000.0)
     for name in ("replace", "get", "watch", "list_all"):
         monkeypatch.setattr(follower._store, name, refuse)
     gevent.sleep(1.5)
@@ -359,7 +359,7 @@
     cut = site.start_gateway("node-3")
     until(lambda: cut._relay.covered)
     until(lambda: len(second._elector.members) >= 2, 8.0)
-    monkeypatch.setattr("ploverhatch.sharding.view.VIEW_MS", 1500.0)
+    monkeypatch.setattr("ploverhatch.sharding.view.MAP_TRUST_MS", 1500.0)
     for name in ("create", "replace", "get", "watch", "list_all"):
         monkeypatch.setattr(cut._store, name, refuse)
     first.shut()
@@ -375,7 +375,7 @@
 
 def test_key_maps_stay_trusted_while_the_store_answers_nobody(pair, monkeypatch):
     site, leader, follower = pair
-    monkeypatch.setattr("ploverhatch.sharding.view.VIEW_MS", 1000.0)
+    monkeypatch.setattr("ploverhatch.sharding.view.MAP_TRUST_MS", 1000.0)
     for gateway in (leader, follower):
         for name in ("create", "replace", "get", "watch", "list_all"):
             monkeypatch.setattr(gateway._store, name, refuse)
--- a/tests/standin/relay.py
+++ b/tests/standin/relay.py
@@ -6,7 +6,7 @@
 
     first_wait_s = 0.0
     leads = False
-    store_away = False
+    store_unavailable = False
 
     def __init__(self):
         self.told = []
--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -35,7 +35,7 @@
 _heard = election.heard
 
 
-def inherit_nothing(self, keymap, renewable_until_ms, now_ms, same_lives=True):
+def inherit_nothing(self, keymap, renewable_until_ms, now_ms, same_incarnations=True):
     state = self._services.setdefault(keymap.service, _ServiceState(keymap))
     self._adopt(state, keymap, now_ms)
 
@@ -63,7 +63,7 @@
     "server's slow clock not allowed for": [
         NO_WAIT_FOR_OLD_MAPS,
         mock.patch.object(holders, "CLOCK_DRIFT", 0.4),
-        mock.patch.object(holders, "LAPSE_MARGIN_MS", 0.0),
+        mock.patch.object(holders, "EXPIRY_MARGIN_MS", 0.0),
     ],
     "leases of the last leader not inherited": [
         NO_WAIT_FOR_OLD_MAPS,
@@ -77,7 +77,7 @@
     "standbys of the last leader not released": [
         mock.patch.object(leader_core, "inherited", forget_standbys)
     ],
-    "old maps trusted": [mock.patch.object(view, "view_is_trusted", lambda *args: True)],
+    "old maps trusted": [mock.patch.object(view, "map_is_trusted", lambda *args: True)],
     "leader acts past its authority": [
         mock.patch.object(election, "heard", heard_without_stopping),
         mock.patch.object(election, "has_authority", always_authority),
--- a/tests/unit/test_answer_times.py
+++ b/tests/unit/test_answer_times.py
@@ -1,6 +1,6 @@
 """Whether servers answer at all, from the reports of all nodes."""
 
-from ploverhatch.sharding.load import BEHIND_MEMORY_MS, COMPLETED_MS, SILENT_MS, AnswerTimes
+from ploverhatch.sharding.load import BEHIND_MEMORY_MS, COMPLETED_MS, UNRESPONSIVE_MS, AnswerTimes
 
 
 def times():
@@ -10,19 +10,19 @@
 
 
 def test_a_busy_server_that_answers_nobody_is_silent():
-    assert times().is_silent("s0", rate=20.0, now_ms=1000.0 + SILENT_MS)
+    assert times().is_unresponsive("s0", rate=20.0, now_ms=1000.0 + UNRESPONSIVE_MS)
 
 
 def test_a_server_that_is_asked_little_is_not_called_silent():
-    assert not times().is_silent("s0", rate=2.0, now_ms=2500.0)
+    assert not times().is_unresponsive("s0", rate=2.0, now_ms=2500.0)
 
 
 def test_reports_take_a_while_to_come():
-    assert not times().is_silent("s0", rate=500.0, now_ms=1000.0 + SILENT_MS - 1)
+    assert not times().is_unresponsive("s0", rate=500.0, now_ms=1000.0 + UNRESPONSIVE_MS - 1)
 
 
 def test_nothing_is_said_of_a_server_that_never_answered():
-    assert not times().is_silent("s1", rate=500.0, now_ms=90_000.0)
+    assert not times().is_unresponsive("s1", rate=500.0, now_ms=90_000.0)
 
 
 # ---- servers that fall behind --------------------------------------------------------------
@@ -38,38 +38,38 @@
 
 def test_what_a_server_that_falls_behind_completes_tells_its_work():
     made, now_ms = reported(per_report=1)
-    work_ms = made.saturated_work_ms("s0", slots=3, rate=20.0, now_ms=now_ms)
-    assert 700.0 <= work_ms <= 1000.0  # 3.3 a second with three slots
+    service_ms = made.saturated_service_ms("s0", slots=3, rate=20.0, now_ms=now_ms)
+    assert 700.0 <= service_ms <= 1000.0  # 3.3 a second with three slots
 
 
 def test_a_server_that_completes_nothing_any_more_counts_as_very_slow():
     made, now_ms = reported(per_report=4)
-    assert made.saturated_work_ms("s0", 3, rate=20.0, now_ms=now_ms + 2000.0) > 4000.0
+    assert made.saturated_service_ms("s0", 3, rate=20.0, now_ms=now_ms + 2000.0) > 4000.0
 
 
 def test_a_server_that_keeps_up_is_not_judged_by_chance():
     made, now_ms = reported(per_report=4)  # 13.3 a second
     for rate in (10.0, 13.0, 18.0, 24.0):
-        assert made.saturated_work_ms("s0", 3, rate=rate, now_ms=now_ms) is None
+        assert made.saturated_service_ms("s0", 3, rate=rate, now_ms=now_ms) is None
 
 
 def test_too_few_requests_prove_nothing():
     made, now_ms = reported(per_report=0)
-    assert made.saturated_work_ms("s0", 3, rate=3.0, now_ms=now_ms) is None
+    assert made.saturated_service_ms("s0", 3, rate=3.0, now_ms=now_ms) is None
 
 
 def test_a_server_that_is_known_for_a_moment_is_not_judged():
     made = AnswerTimes()
     made.add("s0", [200], 0.0)
-    assert made.saturated_work_ms("s0", 3, rate=50.0, now_ms=COMPLETED_MS - 1) is None
+    assert made.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETED_MS - 1) is None
 
 
 # A server that had lost its busy keys was taken for one that completes nothing, and got none again.
 def test_a_server_of_whose_keys_nobody_asks_does_not_fall_behind():
     times = AnswerTimes()
     times.add("s0", [10.0] * 20, 0.0)
-    assert times.saturated_work_ms("s0", 4, 0.0, 60_000.0) is None
-    work_ms = times.saturated_work_ms("s0", 4, 50.0, 60_000.0)
-    assert work_ms is not None
-    assert times.saturated_work_ms("s0", 4, 0.0, 60_000.0 + BEHIND_MEMORY_MS - 1) == work_ms
-    assert times.saturated_work_ms("s0", 4, 0.0, 60_000.0 + BEHIND_MEMORY_MS) is None
+    assert times.saturated_service_ms("s0", 4, 0.0, 60_000.0) is None
+    service_ms = times.saturated_service_ms("s0", 4, 50.0, 60_000.0)
+    assert service_ms is not None
+    assert times.saturated_service_ms("s0", 4, 0.0, 60_000.0 + BEHIND_MEMORY_MS - 1) == service_ms
+    assert times.saturated_service_ms("s0", 4, 0.0, 60_000.0 + BEHIND_MEMORY_MS) is None
--- a/tests/unit/test_leader_core.py
+++ b/tests/unit/test_leader_core.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from ploverhatch.sharding.holders import HOLD_MS, UNREACHABLE_MS, LeaseTiming
+from ploverhatch.sharding.holders import LEASE_MS, UNREACHABLE_MS, LeaseTiming
 from ploverhatch.sharding.keymap import (
     Holder,
     KeyMap,
@@ -13,9 +13,9 @@
 )
 from ploverhatch.sharding.leader_core import (
     CUT_OFF_MS,
-    FIRST_SERVERS_MS,
+    NEW_KEYS_GRACE_MS,
     SETTLE_MS,
-    STEADY_MS,
+    STABLE_SERVERS_MS,
     LeaderCore,
 )
 from ploverhatch.sharding.messages import (
@@ -71,7 +71,7 @@
     assert core.tick(0.0, view(record(0)), True) == []
     assert core.tick(900.0, view(record(0), record(1)), True) == []
     assert core.tick(1500.0, view(record(0), record(1)), True) == []
-    actions = core.tick(900.0 + FIRST_SERVERS_MS, view(record(0), record(1)), True)
+    actions = core.tick(900.0 + STABLE_SERVERS_MS, view(record(0), record(1)), True)
     (action,) = of_kind(actions, StoreMap)
     assert [item.holder for item in action.keymap.ranges] == [holder(0), holder(1)]
     assert not any(item.settled for item in action.keymap.ranges)
@@ -80,7 +80,7 @@
 def test_grants_leave_only_after_the_map_is_stored():
     core = LeaderCore()
     core.tick(0.0, view(record(0)), True)
-    actions = core.tick(FIRST_SERVERS_MS, view(record(0)), True)
+    actions = core.tick(STABLE_SERVERS_MS, view(record(0)), True)
     assert of_kind(actions, SendGrant) == []
     assert of_kind(core.tick(1100.0, view(record(0)), True), SendGrant) == []
     store(core, actions, 5)
@@ -116,7 +116,7 @@
     records = view(record(0, draining=True), record(1))
     store(core, core.tick(1000.0, records, True), 2)
     now_ms = 1050.0
-    while now_ms < TIMING.lapse_ms(900.0):
+    while now_ms < TIMING.expiry_ms(900.0):
         for action in core.tick(now_ms, records, True):
             if isinstance(action, SendRelease):
                 core.release_ended(action, CallOutcome.NO_ANSWER, "", now_ms)
@@ -124,9 +124,9 @@
                 assert action.renewal, f"granted at {now_ms} before the lease lapsed"
                 core.grant_ended(action, CallOutcome.DONE, now_ms)
         now_ms += 50.0
-    grants = of_kind(core.tick(TIMING.lapse_ms(900.0) + 1, records, True), SendGrant)
+    grants = of_kind(core.tick(TIMING.expiry_ms(900.0) + 1, records, True), SendGrant)
     assert [grant.holder for grant in grants if not grant.renewal] == [holder(1)]
-    assert TIMING.lapse_ms(900.0) > 900.0 + HOLD_MS * 1.02
+    assert TIMING.expiry_ms(900.0) > 900.0 + LEASE_MS * 1.02
 
 
 def test_another_life_at_the_address_ends_the_wait():
@@ -243,7 +243,7 @@
 def test_short_leases_are_renewed_sooner():
     timing = LeaseTiming(1000.0)
     assert timing.renew_ms == 300.0
-    assert 1020.0 < timing.lapse_ms(0.0) < 1500.0
+    assert 1020.0 < timing.expiry_ms(0.0) < 1500.0
 
 
 def test_a_dominant_key_that_was_moved_rests():
@@ -251,13 +251,13 @@
     core = two_servers()
     records = view(record(0), record(1), record(2), rates={5: 60.0})
     fast = {"s0": 100.0, "s1": 50.0, "s2": 100.0}
-    views = {SERVICE: replace(records[SERVICE], work_ms=fast)}
+    views = {SERVICE: replace(records[SERVICE], service_ms=fast)}
     (moved,) = of_kind(core.tick(1000.0, views, True), StoreMap)
     assert moved.keymap.find(5).holder == holder(1)
     settled = settle(moved.keymap, lambda item: True)
     core.map_stored(settled, 2, 1000.0)
     faster = {"s0": 100.0, "s1": 100.0, "s2": 40.0}
-    views = {SERVICE: replace(records[SERVICE], work_ms=faster)}
+    views = {SERVICE: replace(records[SERVICE], service_ms=faster)}
     for action in of_kind(core.tick(1500.0, views, True), StoreMap):
         assert action.keymap.find(5).holder == holder(1)
 
@@ -267,7 +267,7 @@
     core.grant_sent(holder(0), 0.0)
     core.grant_sent(holder(1), 0.0)
     core.grant_sent(holder(7), 0.0)  # neither in a map nor in a record any more
-    lapsed_ms = TIMING.lapse_ms(0.0) + 1.0
+    lapsed_ms = TIMING.expiry_ms(0.0) + 1.0
     assert core.forget_gone(["s5"], lapsed_ms - 10.0) == {"s0", "s1", "s5", "s7"}
     assert core.forget_gone(["s5"], lapsed_ms) == {"s0", "s1", "s5"}
 
@@ -276,7 +276,7 @@
     """Found by the simulation (seed 194): a late grant revived a lapsed lease."""
     core = two_servers()
     core.grant_sent(holder(0), 0.0)
-    stored_ms = TIMING.lapse_ms(0.0) - 500.0  # the lease lapses soon after
+    stored_ms = TIMING.expiry_ms(0.0) - 500.0  # the lease lapses soon after
     records = view(record(1))
     actions = core.tick(stored_ms, records, True)
     (action,) = of_kind(actions, StoreMap)
@@ -284,7 +284,7 @@
     (release,) = of_kind(core.tick(stored_ms, records, True), SendRelease)
     core.release_ended(release, CallOutcome.NO_ANSWER, "", stored_ms + 100.0)
     unused_ms = unused_from_ms(stored_ms)
-    assert unused_ms > TIMING.lapse_ms(0.0)
+    assert unused_ms > TIMING.expiry_ms(0.0)
 
     def first_grants(now_ms):
         grants = of_kind(core.tick(now_ms, records, True), SendGrant)
@@ -348,8 +348,8 @@
 # ---- holders that fall silent --------------------------------------------------------------
 
 
-def silent_view(*records, silent=()):
-    return {SERVICE: ServiceView(records, silent=silent)}
+def silent_view(*records, unresponsive=()):
+    return {SERVICE: ServiceView(records, unresponsive=unresponsive)}
 
 
 def test_a_holder_whose_callers_get_no_answer_is_asked_at_once():
@@ -359,13 +359,15 @@
     for call in renewals:
         core.grant_ended(call, CallOutcome.DONE, 10.0)
     assert core.tick(100.0, silent_view(*records), True) == []
-    (probe,) = of_kind(core.tick(200.0, silent_view(*records, silent={"s0"}), True), SendGrant)
+    (probe,) = of_kind(
+        core.tick(200.0, silent_view(*records, unresponsive={"s0"}), True), SendGrant
+    )
     assert (probe.holder, probe.renewal) == (holder(0), True)
 
 
 def test_two_signs_of_silence_are_enough_to_move_its_keys():
     core = two_servers()
-    views = silent_view(record(0), record(1), record(2), silent={"s0"})
+    views = silent_view(record(0), record(1), record(2), unresponsive={"s0"})
     for call in of_kind(core.tick(0.0, views, True), SendGrant):
         done = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
         core.grant_ended(call, done, 600.0)
@@ -413,8 +415,8 @@
     (action,) = of_kind(core.tick(1150.0 + SETTLE_MS, records, True), StoreMap)
     core.map_stored(action.keymap, 3, 1700.0)
     rates = {5: 20.0, 40_000: 10.0}
-    assert core.rates_of_holders(SERVICE, rates, 1150.0 + STEADY_MS - 1) == {}
-    assert core.rates_of_holders(SERVICE, rates, 1150.0 + STEADY_MS) == {"s1": 30.0}
+    assert core.rates_by_holder(SERVICE, rates, 1150.0 + NEW_KEYS_GRACE_MS - 1) == {}
+    assert core.rates_by_holder(SERVICE, rates, 1150.0 + NEW_KEYS_GRACE_MS) == {"s1": 30.0}
 
 
 def test_a_leader_that_is_about_to_go_ends_its_moves_and_begins_none():
@@ -423,7 +425,7 @@
     records = view(record(0, draining=True), record(1))
     store(core, core.tick(1000.0, records, True), 2)
     (release,) = of_kind(core.tick(1050.0, records, True), SendRelease)
-    assert core.unfinished
+    assert core.has_unfinished_moves
     both_leave = view(record(0, draining=True), record(1, draining=True), record(2))
     (grant,) = of_kind(core.release_ended(release, CallOutcome.DONE, "h", 1200.0), SendGrant)
     assert of_kind(core.tick(1250.0, both_leave, True, finishing=True), StoreMap) == []
@@ -432,7 +434,7 @@
     (settled,) = of_kind(actions, StoreMap)
     assert {item.holder for item in settled.keymap.ranges} == {holder(1)}
     store(core, actions, 3)
-    assert not core.unfinished
+    assert not core.has_unfinished_moves
     assert of_kind(core.tick(9000.0, both_leave, True, finishing=True), StoreMap) == []
 
 
@@ -465,7 +467,7 @@
 def test_grants_from_before_a_broken_connection_are_made_anew_and_not_renewed():
     core = two_servers()
     views = view(record(0), record(1))
-    core.connection_broke(holder(0))
+    core.note_connection_closed(holder(0))
     actions = core.tick(0.0, views, True)
     assert {call.holder for call in of_kind(actions, SendGrant)} == {holder(1)}
     (action,) = of_kind(actions, StoreMap)
@@ -483,7 +485,7 @@
 
 def test_while_no_map_can_be_stored_they_lapse():
     core = two_servers()
-    core.connection_broke(holder(0))
+    core.note_connection_closed(holder(0))
     calls = of_kind(core.tick(0.0, view(record(0), record(1)), False), SendGrant)
     assert {call.holder for call in calls} == {holder(1)}
 
@@ -492,7 +494,7 @@
     """Its predecessor's connections would have told of a server that has started again."""
     stored = two_servers().keymap(SERVICE)
     later = LeaderCore()
-    later.inherit(replace(stored, revision=3), 0.0, 0.0, same_lives=False)
+    later.inherit(replace(stored, revision=3), 0.0, 0.0, same_incarnations=False)
     actions = later.tick(100.0, view(record(0), record(1)), True)
     assert of_kind(actions, SendGrant) == []
     (action,) = of_kind(actions, StoreMap)
@@ -502,7 +504,7 @@
 def test_nor_does_it_repeat_a_grant_of_a_move_at_its_token():
     stored = granted_core().keymap(SERVICE)
     later = LeaderCore()
-    later.inherit(replace(stored, revision=3), 1200.0, 1200.0, same_lives=False)
+    later.inherit(replace(stored, revision=3), 1200.0, 1200.0, same_incarnations=False)
     views = view(record(0), record(1))
     actions = later.tick(1300.0, views, True)
     tokens = {item.token for item in stored.moving}
@@ -531,7 +533,7 @@
 # What is left of a lost map names not all who may hold keys.
 def test_keys_of_a_map_that_is_not_trusted_are_taken_from_every_server_first():
     core = two_servers()
-    core.distrust(SERVICE, 8000.0)
+    core.invalidate(SERVICE, 8000.0)
     (action,) = of_kind(core.tick(0.0, view(record(0), record(1), record(2)), True), StoreMap)
     token = action.keymap.token
     assert token > TOKEN_GAP
@@ -552,7 +554,7 @@
     core = two_servers()
     moved = begin_moves(core.keymap(SERVICE), [Move(0, 32767, holder(1))])
     core.map_seen(replace(moved, revision=5), 0.0)
-    core.distrust(SERVICE, 8000.0)
+    core.invalidate(SERVICE, 8000.0)
     (action,) = of_kind(core.tick(0.0, view(record(1)), True), StoreMap)
     moving = action.keymap.find(0)
     assert moving.holder == holder(1)
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -15,8 +15,8 @@
 from ploverhatch.sharding.keymap import Holder, KeyMap, Move, first_assignment, settle
 from ploverhatch.sharding.leader_core import LeaderCore
 from ploverhatch.sharding.load import AnswerTimes, KeyLoad
+from ploverhatch.sharding.load_estimate import estimate
 from ploverhatch.sharding.messages import ServiceView, StoreMap
-from ploverhatch.sharding.reading import read
 from ploverhatch.state.servers import ServerRecord
 from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
@@ -215,9 +215,9 @@
     for step in range(1, 40):
         load.add(step * 300.0, [100] * 15)
         times.add("s0", [20.0], step * 300.0)
-    read(SERVICE, records, core, load, times, 12_000.0, limited={"s0"})
-    later = read(SERVICE, records, core, KeyLoad(), times, 12_500.0)
-    assert later.work_ms["s0"] < 100.0
+    estimate(SERVICE, records, core, load, times, 12_000.0, limited={"s0"})
+    later = estimate(SERVICE, records, core, KeyLoad(), times, 12_500.0)
+    assert later.service_ms["s0"] < 100.0
 
 
 # Where all holders are limited each busy key seemed to fill its server, and all went to and fro.
@@ -244,5 +244,5 @@
     for step in range(1, 20):
         load.add(step * 300.0, [100] * 15)
     asked = SERVICE, [record(0)], core, load, times, 6000.0
-    assert read(*asked).silent == {"s0"}
-    assert read(*asked, limited={"s0"}).silent == set()
+    assert estimate(*asked).unresponsive == {"s0"}
+    assert estimate(*asked, limited={"s0"}).unresponsive == set()
--- a/tests/unit/test_outdated_keymaps.py
+++ b/tests/unit/test_outdated_keymaps.py
@@ -5,7 +5,7 @@
 
 from ploverhatch.gateway.directory import Directory
 from ploverhatch.sharding.keymap import Holder, KeyMap, Move, first_assignment
-from ploverhatch.sharding.restored import above_lost
+from ploverhatch.sharding.restored import token_above_lost
 
 
 def keymap(number, token, revision):
@@ -36,7 +36,7 @@
         token = kept[-1 - min(age, len(kept) - 1)]
         if starts_anew:
             token = 0  # from before the first map
-        issued = above_lost(token, restores)
+        issued = token_above_lost(token, restores)
         assert issued > highest
         highest = issued + moves_since
         kept.append(highest)
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -15,7 +15,7 @@
     settle,
 )
 from ploverhatch.sharding.planner import (
-    TIDY_RANGES,
+    MERGE_ABOVE_RANGES,
     Candidate,
     PlanLimits,
     initial_pieces,
@@ -23,8 +23,8 @@
 )
 
 
-def candidate(number, slots=2, answer_ms=100.0):
-    return Candidate(Holder(f"s{number}", "10.0.0.1", 9000 + number), slots, answer_ms)
+def candidate(number, slots=2, service_ms=100.0):
+    return Candidate(Holder(f"s{number}", "10.0.0.1", 9000 + number), slots, service_ms)
 
 
 def settled_map(candidates):
@@ -98,7 +98,7 @@
 
 
 def test_a_dominant_key_goes_to_the_fastest_server_and_the_rest_leaves_it():
-    candidates = [candidate(0, answer_ms=160.0), candidate(1), candidate(2, answer_ms=60.0)]
+    candidates = [candidate(0, service_ms=160.0), candidate(1), candidate(2, service_ms=60.0)]
     keymap = settled_map(candidates)
     rates = {77: 30.0, 500: 2.0, 900: 1.0, 60000: 3.0}
     for _ in range(3):
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("moving_key", [10, 77])
 def test_a_moving_range_is_left_alone(moving_key):
-    candidates = [candidate(0, answer_ms=160.0), candidate(1, answer_ms=60.0)]
+    candidates = [candidate(0, service_ms=160.0), candidate(1, service_ms=60.0)]
     target = candidates[0].holder
     keymap = begin_moves(settled_map(candidates), [Move(0, 100, target)])
     moves = plan_moves(keymap, candidates, {moving_key: 30.0})
@@ -136,7 +136,7 @@
     assert len(keymap.ranges) > 300
     for _ in range(300):
         keymap = apply(keymap, plan_moves(keymap, candidates, {}))
-    assert len(keymap.ranges) <= TIDY_RANGES
+    assert len(keymap.ranges) <= MERGE_ABOVE_RANGES
     assert plan_moves(keymap, candidates, {}) == []
     assert keymap.ranges[0].first == 0
     assert keymap.ranges[-1].last == LAST_KEY
@@ -180,7 +180,7 @@
 def moves_by_chance(seed, limits):
     """Sixty servers at 0.7 of what they can do: some seem busier, by chance alone."""
     random = Random(seed)
-    candidates = [candidate(number, slots=3, answer_ms=210.0) for number in range(60)]
+    candidates = [candidate(number, slots=3, service_ms=210.0) for number in range(60)]
     keymap = settled_map(candidates)
     rates = {key: 1.0 for key in range(54, KEY_COUNT, KEY_COUNT // 600)}
     assert 0.5 < max(utilisation(keymap, candidates, rates).values()) < 0.9
@@ -192,15 +192,16 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_chance_moves_fewer_keys_the_surer_a_gap_has_to_be(seed):
-    always = moves_by_chance(seed, PlanLimits(sure_gap=0.0))
+    always = moves_by_chance(seed, PlanLimits(gap_deviations=0.0))
     assert moves_by_chance(seed, PlanLimits()) < always * 0.8
-    assert moves_by_chance(seed, PlanLimits(sure_gap=4.5)) == 0
+    assert moves_by_chance(seed, PlanLimits(gap_deviations=4.5)) == 0
 
 
 def test_slow_servers_give_keys_to_fast_ones_though_chance_blurs_it():
     random = Random(1)
     candidates = [
-        candidate(number, slots=3, answer_ms=140.0 if number % 3 else 320.0) for number in range(60)
+        candidate(number, slots=3, service_ms=140.0 if number % 3 else 320.0)
+        for number in range(60)
     ]
     keymap = settled_map(candidates)
     rates = {key: 1.0 for key in range(54, KEY_COUNT, KEY_COUNT // 600)}
--- a/tests/unit/test_renewals.py
+++ b/tests/unit/test_renewals.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ploverhatch.sharding.holders import HOLD_MS, MOST_LATE_CALLS
+from ploverhatch.sharding.holders import LEASE_MS, MOST_LATE_CALLS
 from ploverhatch.sharding.keymap import LAST_KEY, Holder, KeyMap, Move, first_assignment, settle
 from ploverhatch.sharding.leader_core import LeaderCore
 from ploverhatch.sharding.messages import CallOutcome, SendGrant, ServiceView, StoreMap, range_id
@@ -86,13 +86,13 @@
 
 @pytest.mark.parametrize("ranges", [2, 20, 80])
 def test_ranges_stay_leased_where_all_renewals_are_answered(ranges):
-    assert Term(random.Random(1), keymap_of(ranges), 0.0).longest_gap_ms() < HOLD_MS
+    assert Term(random.Random(1), keymap_of(ranges), 0.0).longest_gap_ms() < LEASE_MS
 
 
 def test_ranges_stay_leased_where_some_renewals_get_no_answer():
     """One unanswered renewal held up all others of its holder, whose leases lapsed."""
     found = [Term(random.Random(seed), keymap_of(20), 0.4).longest_gap_ms() for seed in range(5)]
-    assert max(found) < HOLD_MS, found
+    assert max(found) < LEASE_MS, found
 
 
 def test_a_holder_that_answers_nothing_gets_few_calls_at_once():
@@ -111,5 +111,5 @@
     """Its answers come in order, so that none of them was lost."""
     term = Term(random.Random(1), keymap_of(20), 0.0)
     term.answer_ms = 300.0
-    assert term.longest_gap_ms() < HOLD_MS
+    assert term.longest_gap_ms() < LEASE_MS
     assert all(lease.lossy_until_ms < 0 for lease in term.core._leases.values())
--- a/tests/unit/test_routing_decisions.py
+++ b/tests/unit/test_routing_decisions.py
@@ -13,7 +13,7 @@
 )
 from ploverhatch.routing.balancer import ServerLoad, choose
 from ploverhatch.routing.route_table import Route, RouteTable, ServiceShare, ShareSplitter
-from ploverhatch.sharding.load import KEPT_TIMES, WINDOW_MS, AnswerTimes, KeyLoad
+from ploverhatch.sharding.load import MAX_SAMPLES, WINDOW_MS, AnswerTimes, KeyLoad
 from ploverhatch.state.servers import VANISH_GRACE_MS, ServerRecord, ServerSet
 
 
@@ -199,21 +199,21 @@
     for name, fast, slow in (("a", 100, 140), ("b", 110, 150), ("c", 60, 1700)):
         times.add(name, [fast, slow] * 10, 0.0)
     times.add("few", [1, 1], 0.0)
-    work = times.work_ms(["a", "b", "c", "new", "few"])
+    work = times.service_ms(["a", "b", "c", "new", "few"])
     assert work["c"] < work["a"] < work["b"]
     assert work["a"] <= work["new"] <= work["b"]
     assert work["few"] == work["new"]
     times.keep_only(["a"])
-    assert set(times.work_ms(["a"])) == {"a"}
+    assert set(times.service_ms(["a"])) == {"a"}
 
 
 def test_a_server_that_turns_slow_is_known_by_its_latest_answers():
     times = AnswerTimes()
     for name in ("a", "b", "c"):
         times.add(name, [100] * 100, 0.0)
-    before = times.work_ms(["a", "b", "c"])
-    times.add("a", [500] * KEPT_TIMES, 0.0)
-    after = times.work_ms(["a", "b", "c"])
+    before = times.service_ms(["a", "b", "c"])
+    times.add("a", [500] * MAX_SAMPLES, 0.0)
+    after = times.service_ms(["a", "b", "c"])
     assert after["a"] == pytest.approx(5 * before["a"])
     assert after["b"] == pytest.approx(before["b"])
 
@@ -223,9 +223,9 @@
     times = AnswerTimes()
     for report in range(10):
         times.add("busy", [400] * 15, report * 150.0)
-    assert times.most_work_ms("busy", 4, 1350.0) == pytest.approx(40.0)
-    assert times.most_work_ms("busy", 4, 9000.0) == float("inf")
-    assert times.most_work_ms("new", 4, 1350.0) == float("inf")
+    assert times.max_service_ms("busy", 4, 1350.0) == pytest.approx(40.0)
+    assert times.max_service_ms("busy", 4, 9000.0) == float("inf")
+    assert times.max_service_ms("new", 4, 1350.0) == float("inf")
 
 
 def test_a_key_that_became_busy_counts_at_its_latest_rate():
--- a/tests/unit/test_standbys.py
+++ b/tests/unit/test_standbys.py
@@ -105,11 +105,11 @@
 def test_the_standby_is_granted_the_range_when_its_holder_has_released_it():
     core = leading(assigned())
     before = core.keymap(SERVICE).find(0)
-    actions = core.tick(LEAVES_MS, view(0), False, store_away=True)
+    actions = core.tick(LEAVES_MS, view(0), False, store_unavailable=True)
     (release,) = of_kind(actions, SendRelease)
     assert release.holder == holder(0)
     assert release.range_id.token == before.standby.token
-    grants = of_kind(core.tick(LEAVES_MS + 50, view(0), False, store_away=True), SendGrant)
+    grants = of_kind(core.tick(LEAVES_MS + 50, view(0), False, store_unavailable=True), SendGrant)
     assert all(grant.renewal for grant in grants)
     actions = core.release_ended(release, CallOutcome.DONE, "handover", LEAVES_MS + 60)
     (grant,) = of_kind(actions, SendGrant)
@@ -128,10 +128,10 @@
     core = leading(KeyMap(SERVICE))
     (action,) = of_kind(core.tick(0.0, view(), True) + core.tick(2000.0, view(), True), StoreMap)
     core.map_not_stored(SERVICE)
-    core.tick(3000.0, view(0), False, store_away=True)
+    core.tick(3000.0, view(0), False, store_unavailable=True)
     assert core.promoted(SERVICE) == frozenset()
     core.map_stored(action.keymap, 1, 3000.0)
-    core.tick(3100.0, view(0), False, store_away=True)
+    core.tick(3100.0, view(0), False, store_unavailable=True)
     assert core.promoted(SERVICE)
 
 
@@ -144,14 +144,14 @@
     later = begin_moves(assigned(), [Move(0, 65535, holder(0))])
     later = assign_standbys(later, later, [holder(number) for number in range(3)])
     core.map_seen(replace(later, revision=2), 500.0)
-    core.tick(LEAVES_MS, view(0), False, store_away=True)
+    core.tick(LEAVES_MS, view(0), False, store_unavailable=True)
     assert core.promoted(SERVICE) == frozenset()
 
 
 def test_a_holder_whose_connection_broke_is_granted_its_range_anew():
     core = leading(assigned())
-    core.connection_broke(holder(0))
-    actions = core.tick(LEAVES_MS, view(), False, store_away=True)
+    core.note_connection_closed(holder(0))
+    actions = core.tick(LEAVES_MS, view(), False, store_unavailable=True)
     (grant,) = [grant for grant in of_kind(actions, SendGrant) if not grant.renewal]
     assert (grant.holder, grant.range_id.token) == (
         holder(0),
@@ -161,7 +161,7 @@
 
 def test_a_promotion_is_stored_first_when_the_store_is_back():
     core = leading(assigned())
-    (release,) = of_kind(core.tick(LEAVES_MS, view(0), False, store_away=True), SendRelease)
+    (release,) = of_kind(core.tick(LEAVES_MS, view(0), False, store_unavailable=True), SendRelease)
     (grant,) = of_kind(core.release_ended(release, CallOutcome.DONE, "", 1010.0), SendGrant)
     core.grant_ended(grant, CallOutcome.DONE, 1020.0)
     (action,) = of_kind(core.tick(9000.0, view(0), True), StoreMap)
@@ -176,20 +176,20 @@
     core = leading(assigned())
     (action,) = of_kind(core.tick(LEAVES_MS, view(0), True), StoreMap)
     core.map_not_stored(SERVICE)
-    (release,) = of_kind(core.tick(1300.0, view(0), False, store_away=True), SendRelease)
+    (release,) = of_kind(core.tick(1300.0, view(0), False, store_unavailable=True), SendRelease)
     (grant,) = of_kind(core.release_ended(release, CallOutcome.DONE, "", 1310.0), SendGrant)
     core.grant_ended(grant, CallOutcome.DONE, 1320.0)
     core.map_seen(replace(action.keymap, revision=2), 1400.0)
     moved = core.keymap(SERVICE).find(0)
     assert moved.token > grant.range_id.token
     assert moved.holder == grant.holder or grant.holder in moved.previous
-    (release, *_) = of_kind(core.tick(1450.0, view(0), False, store_away=True), SendRelease)
+    (release, *_) = of_kind(core.tick(1450.0, view(0), False, store_unavailable=True), SendRelease)
     assert not of_kind(core.tick(1460.0, view(0), True), StoreMap)[0].keymap.find(0).settled
 
 
 def test_the_next_leader_has_standbys_release_before_it_grants_anything():
     core = LeaderCore()
-    core.inherit(assigned(), 5000.0, 0.0, same_lives=False)
+    core.inherit(assigned(), 5000.0, 0.0, same_incarnations=False)
     (action,) = of_kind(core.tick(100.0, view(), True), StoreMap)
     core.map_stored(action.keymap, 2, 110.0)
     actions = core.tick(150.0, view(), True)
@@ -207,7 +207,7 @@
 
 def test_a_former_standby_that_has_ended_holds_nobody_up():
     core = LeaderCore()
-    core.inherit(assigned(), 5000.0, 0.0, same_lives=False)
+    core.inherit(assigned(), 5000.0, 0.0, same_incarnations=False)
     (action,) = of_kind(core.tick(100.0, view(), True), StoreMap)
     core.map_stored(action.keymap, 2, 110.0)
     granted = []
--- a/tests/unit/test_standing.py
+++ b/tests/unit/test_standing.py
@@ -5,7 +5,12 @@
 from hypothesis import strategies as st
 
 from ploverhatch.platform.dialect import PlatformDialect
-from ploverhatch.sharding.resting import REPORT_MS, SHEDDING_MS, WORTH_MS, RestReports
+from ploverhatch.sharding.backoff_reports import (
+    MIN_REMAINING_MS,
+    REPORT_DELAY_MS,
+    SHEDDING_MS,
+    BackoffReports,
+)
 from ploverhatch.state.servers import ServerRecord, ServerSet
 from ploverhatch.state.standing import (
     LEAVING_MS,
@@ -185,21 +190,21 @@
 
 
 def test_the_keys_of_a_server_that_answers_nobody_are_to_move():
-    reports = RestReports()
+    reports = BackoffReports()
     reports.add({"s0": 3000.0}, 0.0)
     assert shedding(reports, SHEDDING_MS - 1.0) == set()
     assert shedding(reports, SHEDDING_MS) == {"s0"}
-    assert shedding(reports, SHEDDING_MS, answered_ms=REPORT_MS) == set()
+    assert shedding(reports, SHEDDING_MS, answered_ms=REPORT_DELAY_MS) == set()
 
 
 def test_not_for_a_rest_that_is_over_sooner_than_a_move():
-    reports = RestReports()
+    reports = BackoffReports()
     reports.add({"s0": 1500.0}, 0.0)
-    assert shedding(reports, 1500.0 - WORTH_MS + 1.0) == set()
+    assert shedding(reports, 1500.0 - MIN_REMAINING_MS + 1.0) == set()
 
 
 def test_rests_that_follow_each_other_count_as_one():
-    reports = RestReports()
+    reports = BackoffReports()
     reports.add({"s0": 3000.0}, 0.0)
     reports.expire(3500.0)
     reports.add({"s0": 3000.0}, 3500.0)
