--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -145,14 +145,14 @@
             self._looked.set()
             self._note_store(error)
             self._failures += 1
-            pause_ms = election.outage_pause_ms(self.state, self._failures, random.random())
+            pause_ms = election.outage_retry_ms(self.state, self._failures, random.random())
             return pause_ms / 1000
         self._failures = 0
         self._note_store(None)
         if self.state.leading:
             self._look_for_nodes()
             return election.RENEW_MS / 1000
-        return election.look_pause_ms(self.state, elapsed_ms(), random.random()) / 1000
+        return election.read_interval_ms(self.state, elapsed_ms(), random.random()) / 1000
 
     def _note_store(self, error: StoreCallError | None) -> None:
         if error is not None:
@@ -174,12 +174,14 @@
         """
         if self.state.leader_is_weak and self.state.is_strongest:
             return False
-        return self._covered() and elapsed_ms() - self._looked_ms < election.LOOK_COVERED_MS
+        return (
+            self._covered() and elapsed_ms() - self._looked_ms < election.COVERED_READ_INTERVAL_MS
+        )
 
     def heard(self, lease_revision: int, renewed_ms: float, address: str) -> None:
         """The leader told of its lease: renewed at ``renewed_ms``, elapsed clock of this node."""
         before = self.state
-        self.state = election.heard(before, lease_revision, renewed_ms, address)
+        self.state = election.observe_renewal(before, lease_revision, renewed_ms, address)
         self._looked.set()
         if before.leading and not self.state.leading:
             LOG.warning("Another node tells that it leads.", address=address)
@@ -194,17 +196,17 @@
         strengths = [item.strength for item in members]
         strongest = max([*strengths, self.state.strength])
         rivals = max(1, strengths.count(strongest))
-        self.state = replace(self.state, strongest=strongest, rivals=rivals)
+        self.state = replace(self.state, strongest=strongest, strongest_count=rivals)
         leases = [item for item in listing.items if item.name == kinds.LEADER_LEASE]
         for item in leases:
             self._observe(keymap_codec.decode_lease(item))
         if not leases and not stale:
-            self.state = election.absent(self.state)
+            self.state = election.observe_absent(self.state)
         self._looked.set()
         if not self._registered:
             self._register()
         now_ms = elapsed_ms()
-        if now_ms >= self._not_before_ms and election.wants_takeover(self.state, now_ms):
+        if now_ms >= self._not_before_ms and election.may_claim(self.state, now_ms):
             delay_ms = election.claim_delay_ms(self.state)
             gevent.sleep(delay_ms / 1000)  # stronger machines go first
             self._claim(read_again=stale or delay_ms > 0)
@@ -215,7 +217,7 @@
         Nodes that know other members take different ones for a queue's dispatcher. The
         renewals of the lease don't wait for it.
         """
-        if elapsed_ms() - self._looked_ms >= election.LOOK_COVERED_MS:
+        if elapsed_ms() - self._looked_ms >= election.COVERED_READ_INTERVAL_MS:
             self._looked_ms = elapsed_ms()
             gevent.spawn(self._read_nodes)
 
@@ -275,22 +277,24 @@
         self._registered = True
 
     def _claim(self, read_again: bool) -> None:
-        if read_again and election.wants_takeover(self.state, elapsed_ms()):
+        if read_again and election.may_claim(self.state, elapsed_ms()):
             current = self._store.get(kinds.LEASES, kinds.LEADER_LEASE)
             if current is not None:
                 self._observe(keymap_codec.decode_lease(current))
             else:
-                self.state = election.absent(self.state)
+                self.state = election.observe_absent(self.state)
         now_ms = elapsed_ms()  # it may have resigned, or stopped, since the look
         if self._stopped or now_ms < self._not_before_ms:
             return
-        if not election.wants_takeover(self.state, now_ms):
+        if not election.may_claim(self.state, now_ms):
             return
         predecessor = self.state.seen.node
         if self._write_lease(self.state.seen.revision):
             self._led_since_ms = elapsed_ms()
             # Others may have started beside this node, and not have been there at its look.
-            self._looked_ms = elapsed_ms() - election.LOOK_COVERED_MS + election.LOOK_MS
+            self._looked_ms = (
+                elapsed_ms() - election.COVERED_READ_INTERVAL_MS + election.READ_INTERVAL_MS
+            )
             LOG.info("Leadership won.", predecessor=predecessor or "-")
 
     def should_hand_over(self, offered: float) -> bool:
@@ -343,14 +347,14 @@
         """Learn who holds the lease after a write that did not surely succeed."""
         if current is None:
             # A store restored from a snapshot older than the first lease has none.
-            led, self.state = self.state.leading, election.absent(self.state)
+            led, self.state = self.state.leading, election.observe_absent(self.state)
             return self._write_over(0) if led else False
         lease = keymap_codec.decode_lease(current)
         if lease.is_before(self.state.seen):
             led = self.state.leading
             self._observe(lease)
             return self._write_over(lease.revision) if led else False
-        if (lease.node, lease.life) == self.state.identity and not lease.released:
+        if (lease.node, lease.incarnation) == self.state.identity and not lease.released:
             # Our own earlier write arrived: nobody else can have held the lease
             # since, so it counts from when this one was sent at the latest.
             renewed_ms = self.state.renewed_ms if self.state.leading else sent_ms
--- a/ploverhatch/gateway/keymap_codec.py
+++ b/ploverhatch/gateway/keymap_codec.py
@@ -129,7 +129,7 @@
     return msgspec.to_builtins(
         _StoredLease(
             lease.node,
-            lease.life,
+            lease.incarnation,
             lease.address,
             renewal,
             lease.released,
--- a/ploverhatch/leadership/election.py
+++ b/ploverhatch/leadership/election.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, replace
 
 RENEW_MS = 500.0
-LOOK_MS = 1000.0  # how often a node that does not lead reads the lease
-LOOK_COVERED_MS = 4000.0  # ... while the leader tells it that it renews
+READ_INTERVAL_MS = 1000.0  # how often a node that does not lead reads the lease
+COVERED_READ_INTERVAL_MS = 4000.0  # ... while the leader tells it that it renews
 TAKEOVER_MS = 2600.0
 AUTHORITY_MS = 8000.0
 # The strongest nodes look when a silent lease may be claimed, within so much time after it
@@ -27,8 +27,8 @@
 CLEARLY_WEAKER = 0.3  # of what leading takes: a leader so much weaker hands over
 # In an outage of the store, those that may lead soon ask it at a steady pace; the others
 # hear from them that it answers again, and ask less and less often.
-OUTAGE_MS = 250.0
-LONGEST_OUTAGE_MS = 2000.0
+OUTAGE_RETRY_MS = 250.0
+LONGEST_OUTAGE_RETRY_MS = 2000.0
 LEAST_LEAD_MS = 2000.0  # a leader hands over after this time at the earliest
 
 
@@ -38,7 +38,7 @@
 
     revision: int = 0
     node: str = ""
-    life: str = ""  # one start of the node's process
+    incarnation: str = ""  # one start of the node's process
     address: str = ""
     released: bool = False
     earlier_ms: float = 0.0  # how long leaders before this one may act, when written
@@ -55,18 +55,18 @@
     """What a node believes about the lease."""
 
     node: str
-    life: str
+    incarnation: str
     seen: LeaseObject = LeaseObject()
     seen_since_ms: float = 0.0
     leading: bool = False
     renewed_ms: float = -1e12  # when the last acknowledged renewal was sent
     inherited_until_ms: float = -1e12  # until when earlier leaders may act
-    heard_revision: int = 0  # of the lease, as its leader last told
-    heard_ms: float = -1e12  # when that renewal was sent
-    heard_address: str = ""  # of that leader
+    relayed_revision: int = 0  # of the lease, as its leader last told
+    relayed_renewal_ms: float = -1e12  # when that renewal was sent
+    relayed_address: str = ""  # of that leader
     strength: float = 1.0  # of this node's machine
     strongest: float = 1.0  # machine of a node that is known
-    rivals: int = 1  # nodes that are as strong as that
+    strongest_count: int = 1  # nodes that are as strong as that
 
     @property
     def is_strongest(self) -> bool:
@@ -82,13 +82,13 @@
     @property
     def identity(self) -> tuple[str, str]:
         """Node and life."""
-        return self.node, self.life
+        return self.node, self.incarnation
 
     @property
     def leader_address(self) -> str:
         """Where the latest leader known takes reports; empty when there is none."""
-        if self.heard_address and self.heard_revision > self.seen.revision:
-            return self.heard_address
+        if self.relayed_address and self.relayed_revision > self.seen.revision:
+            return self.relayed_address
         return "" if self.seen.released else self.seen.address
 
 
@@ -102,18 +102,18 @@
         return state
     if lease.is_before(state.seen):
         return replace(state, seen=replace(state.seen, revision=lease.revision))
-    lost = state.leading and (lease.node, lease.life) != state.identity
-    known = lease.revision <= state.heard_revision  # it is as old as was told, at most
-    since_ms = min(now_ms, state.heard_ms) if known else now_ms
+    lost = state.leading and (lease.node, lease.incarnation) != state.identity
+    known = lease.revision <= state.relayed_revision  # it is as old as was told, at most
+    since_ms = min(now_ms, state.relayed_renewal_ms) if known else now_ms
     return replace(state, seen=lease, seen_since_ms=since_ms, leading=state.leading and not lost)
 
 
-def absent(state: ElectionState) -> ElectionState:
+def observe_absent(state: ElectionState) -> ElectionState:
     """The store has no lease object: the next write makes one."""
     return replace(state, seen=replace(state.seen, revision=0))
 
 
-def heard(
+def observe_renewal(
     state: ElectionState, lease_revision: int, renewed_ms: float, address: str = ""
 ) -> ElectionState:
     """The leader told that it renewed its lease; what is older than known changes nothing.
@@ -121,24 +121,24 @@
     A node that leads itself, and hears of a lease later than its own, was replaced:
     it stops at once, though the store may not answer it.
     """
-    if lease_revision < state.heard_revision:
+    if lease_revision < state.relayed_revision:
         return state
     replaced = state.leading and lease_revision > state.seen.revision
     return replace(
         state,
-        heard_revision=lease_revision,
-        heard_ms=max(renewed_ms, state.heard_ms),
-        heard_address=address or state.heard_address,
+        relayed_revision=lease_revision,
+        relayed_renewal_ms=max(renewed_ms, state.relayed_renewal_ms),
+        relayed_address=address or state.relayed_address,
         leading=state.leading and not replaced,
     )
 
 
-def silent_ms(state: ElectionState, now_ms: float) -> float:
+def since_renewal_ms(state: ElectionState, now_ms: float) -> float:
     """Return for how long nothing showed that the lease is being renewed."""
-    return now_ms - max(state.seen_since_ms, state.heard_ms)
+    return now_ms - max(state.seen_since_ms, state.relayed_renewal_ms)
 
 
-def wants_takeover(state: ElectionState, now_ms: float) -> bool:
+def may_claim(state: ElectionState, now_ms: float) -> bool:
     """Whether the lease may be claimed: free, released, our own, or silent too long."""
     if state.leading:
         return False
@@ -147,7 +147,7 @@
         return True
     if lease.node == state.node:  # an earlier life of this node has surely ended
         return True
-    return silent_ms(state, now_ms) >= TAKEOVER_MS
+    return since_renewal_ms(state, now_ms) >= TAKEOVER_MS
 
 
 def claim_delay_ms(state: ElectionState) -> float:
@@ -160,28 +160,28 @@
     return LONGEST_CLAIM_DELAY_MS * max(0.0, state.strongest - state.strength)
 
 
-def look_pause_ms(state: ElectionState, now_ms: float, spread: float) -> float:
+def read_interval_ms(state: ElectionState, now_ms: float, spread: float) -> float:
     """Return the time to the next look at the lease.
 
     The strongest nodes look as soon as they may claim it, others at their own pace.
 
     :param spread: 0 to 1, drawn by the node, so that not all look at once.
     """
-    left_ms = TAKEOVER_MS - silent_ms(state, now_ms)
-    if not state.is_strongest or not 0 < left_ms < LOOK_MS:
-        return LOOK_MS
-    return left_ms + spread * min(SPREAD_EACH_MS * state.rivals, LOOK_MS)
+    left_ms = TAKEOVER_MS - since_renewal_ms(state, now_ms)
+    if not state.is_strongest or not 0 < left_ms < READ_INTERVAL_MS:
+        return READ_INTERVAL_MS
+    return left_ms + spread * min(SPREAD_EACH_MS * state.strongest_count, READ_INTERVAL_MS)
 
 
-def outage_pause_ms(state: ElectionState, failures: int, spread: float) -> float:
+def outage_retry_ms(state: ElectionState, failures: int, spread: float) -> float:
     """Return the time to the next call after the store did not answer.
 
     :param failures: calls in a row without an answer, this one included.
     :param spread: 0 to 1, drawn by the node.
     """
-    pause_ms = OUTAGE_MS
+    pause_ms = OUTAGE_RETRY_MS
     if not state.leading and not state.is_strongest:
-        pause_ms = min(OUTAGE_MS * 2.0**failures, LONGEST_OUTAGE_MS)
+        pause_ms = min(OUTAGE_RETRY_MS * 2.0**failures, LONGEST_OUTAGE_RETRY_MS)
     return pause_ms * (1.0 + spread)
 
 
@@ -198,7 +198,7 @@
 def earlier_authority_ms(state: ElectionState, now_ms: float) -> float:
     """Return how long the lease's holder and those before it may still act."""
     lease = state.seen
-    seen_ms = silent_ms(state, now_ms)
+    seen_ms = since_renewal_ms(state, now_ms)
     earlier_ms = max(0.0, lease.earlier_ms - seen_ms)
     if lease.revision == 0 or lease.released or lease.node == state.node:
         return earlier_ms
@@ -215,7 +215,7 @@
         earlier_ms = earlier_authority_ms(state, now_ms)
     term = state.seen.term if state.leading else state.seen.term + 1
     return LeaseObject(
-        0, state.node, state.life, address, released, earlier_ms, state.strength, term
+        0, state.node, state.incarnation, address, released, earlier_ms, state.strength, term
     )
 
 
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -130,7 +130,7 @@
         self._busy = True
         if self.state.leading:
             self._write_lease(self.state.seen.revision)
-        elif self.now_ms - self._looked_ms >= election.LOOK_MS:
+        elif self.now_ms - self._looked_ms >= election.READ_INTERVAL_MS:
             self._looked_ms = self.now_ms
             self.cell.store.read(self.name, LEASE, self._answer(self._lease_read))
         else:
@@ -151,7 +151,7 @@
         now_ms = self.now_ms
         if item is not None:
             self._observe(item)
-        if now_ms < self._not_before_ms or not election.wants_takeover(self.state, now_ms):
+        if now_ms < self._not_before_ms or not election.may_claim(self.state, now_ms):
             return
         self._busy = True
         self._write_lease(item.revision if item else 0)
@@ -195,7 +195,7 @@
             self.state = election.stepped_down(self.state)
             return
         lease = replace(item.value, revision=item.revision)
-        if (lease.node, lease.life) == self.state.identity and not lease.released:
+        if (lease.node, lease.incarnation) == self.state.identity and not lease.released:
             renewed_ms = self.state.renewed_ms if self.state.leading else sent_ms
             self.state = election.acquired(self.state, lease, renewed_ms)
             return
@@ -252,10 +252,12 @@
         """Take a beacon; a paused process reads it late and knows how old it is."""
 
         def take() -> None:
-            if lease_revision < self.state.heard_revision:
+            if lease_revision < self.state.relayed_revision:
                 return
             said_ms = self.now_ms - (self.world.now_ms - sent_ms)
-            self.state = election.heard(self.state, lease_revision, said_ms - renewed_age_ms)
+            self.state = election.observe_renewal(
+                self.state, lease_revision, said_ms - renewed_age_ms
+            )
             self.granted = granted
             self._note_promoted(map_revision, promoted)
             if self.keymap.revision >= map_revision:
--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -27,12 +27,12 @@
     return state.leading
 
 
-def heard_without_stopping(state, lease_revision, renewed_ms, address=""):
-    told = _heard(state, lease_revision, renewed_ms, address)
+def observe_renewal_without_stopping(state, lease_revision, renewed_ms, address=""):
+    told = _observe_renewal(state, lease_revision, renewed_ms, address)
     return replace(told, leading=state.leading)
 
 
-_heard = election.heard
+_observe_renewal = election.observe_renewal
 
 
 def inherit_nothing(self, keymap, renewable_until_ms, now_ms, same_incarnations=True):
@@ -71,7 +71,7 @@
     ],
     # A leader that was replaced also stops when it hears of its successor.
     "suspensions not counted": [
-        mock.patch.object(election, "heard", heard_without_stopping),
+        mock.patch.object(election, "observe_renewal", observe_renewal_without_stopping),
         mock.patch.object(SimKeyNode, "now_ms", property(steady_clock)),
     ],
     "standbys of the last leader not released": [
@@ -79,7 +79,7 @@
     ],
     "old maps trusted": [mock.patch.object(view, "map_is_trusted", lambda *args: True)],
     "leader acts past its authority": [
-        mock.patch.object(election, "heard", heard_without_stopping),
+        mock.patch.object(election, "observe_renewal", observe_renewal_without_stopping),
         mock.patch.object(election, "has_authority", always_authority),
         mock.patch.object(election, "may_change", always_authority),
     ],
--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -45,7 +45,7 @@
     def claim(self, name, lost, took_ms):
         state = election.observe(self.states[name], self.stored, self.now_ms)
         self.states[name] = state
-        if not election.wants_takeover(state, self.now_ms):
+        if not election.may_claim(state, self.now_ms):
             return
         if self._write(name, state.seen.revision) and not lost:
             self._acquired(name, took_ms)
@@ -77,7 +77,7 @@
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name):
-        life = str(int(self.states[name].life) + 1)
+        life = str(int(self.states[name].incarnation) + 1)
         self.states[name] = ElectionState(name, life)
 
     @invariant()
@@ -103,10 +103,10 @@
 def test_a_silent_leader_is_replaced_and_an_active_one_is_not():
     state = ElectionState("a", "1")
     state = election.observe(state, LeaseObject(5, "b", "1"), 1000.0)
-    assert not election.wants_takeover(state, 1000.0 + TAKEOVER_MS - 1)
-    assert election.wants_takeover(state, 1000.0 + TAKEOVER_MS)
+    assert not election.may_claim(state, 1000.0 + TAKEOVER_MS - 1)
+    assert election.may_claim(state, 1000.0 + TAKEOVER_MS)
     state = election.observe(state, LeaseObject(6, "b", "1"), 2000.0)
-    assert not election.wants_takeover(state, 1000.0 + TAKEOVER_MS)
+    assert not election.may_claim(state, 1000.0 + TAKEOVER_MS)
 
 
 def test_a_stale_reading_changes_nothing():
@@ -120,7 +120,7 @@
     )
     own = election.observe(ElectionState("a", "2"), LeaseObject(6, "a", "1"), 0.0)
     for state in (released, own):
-        assert election.wants_takeover(state, 1.0)
+        assert election.may_claim(state, 1.0)
         assert election.earlier_authority_ms(state, 1.0) == 0.0
 
 
@@ -136,30 +136,30 @@
 
 def test_a_leader_that_is_heard_keeps_its_lease():
     state = election.observe(ElectionState("n2", "l2"), LeaseObject(5, "n1", "l1", "a"), 0.0)
-    told = election.heard(state, 9, 4000.0)
-    assert election.wants_takeover(state, 4100.0)
-    assert not election.wants_takeover(told, 4100.0)
-    assert election.wants_takeover(told, 4000.0 + election.TAKEOVER_MS)
+    told = election.observe_renewal(state, 9, 4000.0)
+    assert election.may_claim(state, 4100.0)
+    assert not election.may_claim(told, 4100.0)
+    assert election.may_claim(told, 4000.0 + election.TAKEOVER_MS)
     assert election.earlier_authority_ms(told, 5000.0) == election.AUTHORITY_MS - 1000.0
 
 
 def test_a_lease_that_was_told_of_counts_from_then():
-    state = election.heard(ElectionState("n2", "l2"), 9, 1000.0)
+    state = election.observe_renewal(ElectionState("n2", "l2"), 9, 1000.0)
     state = election.observe(state, LeaseObject(9, "n1", "l1", "a"), 3500.0)
-    assert election.wants_takeover(state, 1000.0 + election.TAKEOVER_MS)
+    assert election.may_claim(state, 1000.0 + election.TAKEOVER_MS)
     newer = election.observe(state, LeaseObject(10, "n1", "l1", "a"), 3600.0)
-    assert not election.wants_takeover(newer, 3600.0 + election.TAKEOVER_MS - 1)
+    assert not election.may_claim(newer, 3600.0 + election.TAKEOVER_MS - 1)
 
 
 def test_an_earlier_leaders_word_does_not_count():
-    state = election.heard(ElectionState("n2", "l2"), 9, 1000.0)
-    assert election.heard(state, 8, 5000.0) is state
+    state = election.observe_renewal(ElectionState("n2", "l2"), 9, 1000.0)
+    assert election.observe_renewal(state, 8, 5000.0) is state
 
 
 def test_a_leader_that_hears_of_a_later_lease_stops():
     state = election.acquired(ElectionState("a", "1"), LeaseObject(5, "a", "1", "here"), 500.0)
-    assert election.has_authority(election.heard(state, 4, 400.0, "there"), 600.0)
-    replaced = election.heard(state, 6, 600.0, "there")
+    assert election.has_authority(election.observe_renewal(state, 4, 400.0, "there"), 600.0)
+    replaced = election.observe_renewal(state, 6, 600.0, "there")
     assert not election.has_authority(replaced, 601.0)
     assert replaced.leader_address == "there"
 
@@ -167,7 +167,7 @@
 def test_the_latest_leader_known_is_reported_to():
     state = election.observe(ElectionState("a", "1"), LeaseObject(5, "b", "1", "old"), 0.0)
     assert state.leader_address == "old"
-    state = election.heard(state, 7, 10.0, "new")
+    state = election.observe_renewal(state, 7, 10.0, "new")
     assert state.leader_address == "new"
     state = election.observe(state, LeaseObject(8, "c", "1", "newest"), 20.0)
     assert state.leader_address == "newest"
@@ -193,13 +193,15 @@
 
 def test_the_strongest_look_as_soon_as_they_may_claim():
     state = election.observe(ElectionState("s", "1"), LeaseObject(5, "b", "1"), 0.0)
-    assert election.look_pause_ms(state, 100.0, 0.5) == election.LOOK_MS
+    assert election.read_interval_ms(state, 100.0, 0.5) == election.READ_INTERVAL_MS
     now_ms = TAKEOVER_MS - 400.0
-    assert election.look_pause_ms(state, now_ms, 0.0) == 400.0
-    assert election.look_pause_ms(state, now_ms, 1.0) == 400.0 + election.SPREAD_EACH_MS
-    many = replace(state, rivals=300)
-    assert election.look_pause_ms(many, now_ms, 1.0) == 400.0 + election.LOOK_MS
-    assert election.look_pause_ms(weak(state.seen, 0.0), now_ms, 0.0) == election.LOOK_MS
+    assert election.read_interval_ms(state, now_ms, 0.0) == 400.0
+    assert election.read_interval_ms(state, now_ms, 1.0) == 400.0 + election.SPREAD_EACH_MS
+    many = replace(state, strongest_count=300)
+    assert election.read_interval_ms(many, now_ms, 1.0) == 400.0 + election.READ_INTERVAL_MS
+    assert (
+        election.read_interval_ms(weak(state.seen, 0.0), now_ms, 0.0) == election.READ_INTERVAL_MS
+    )
 
 
 def test_a_weak_leader_hands_over_after_a_while_and_a_strong_one_does_not():
@@ -223,16 +225,16 @@
 
 def test_in_an_outage_weak_machines_ask_less_and_less_often():
     """Found on trouble-3: 79 nodes asked 190 times a second for 8 s."""
-    pauses = [election.outage_pause_ms(weak(), failures, 0.0) for failures in range(1, 8)]
+    pauses = [election.outage_retry_ms(weak(), failures, 0.0) for failures in range(1, 8)]
     assert pauses == sorted(pauses)
     asked = sum(sum(pauses[:count]) < 8000.0 for count in range(len(pauses)))
     assert asked <= 6
-    assert pauses[-1] == election.LONGEST_OUTAGE_MS
+    assert pauses[-1] == election.LONGEST_OUTAGE_RETRY_MS
 
 
 def test_in_an_outage_those_that_may_lead_ask_at_a_steady_pace():
     for state in (ElectionState("s", "1"), replace(weak(), leading=True), weak(strongest=0.2)):
-        assert election.outage_pause_ms(state, 20, 0.0) == election.OUTAGE_MS
+        assert election.outage_retry_ms(state, 20, 0.0) == election.OUTAGE_RETRY_MS
 
 
 # ---- a store that came back from a copy ------------------------------------------------------
--- a/tests/unit/test_found_by_simulation.py
+++ b/tests/unit/test_found_by_simulation.py
@@ -8,7 +8,7 @@
     """Return a state that has seen a lease for long enough and claims it."""
     state = election.observe(ElectionState(name, life), seen, now_ms)
     now_ms += election.TAKEOVER_MS
-    assert election.wants_takeover(state, now_ms)
+    assert election.may_claim(state, now_ms)
     lease = election.lease_to_write(state, "", now_ms)
     return election.acquired(state, lease, now_ms), lease, now_ms
 
@@ -22,7 +22,7 @@
     again = election.observe(
         ElectionState("b", "2"), LeaseObject(2, "b", "1", earlier_ms=lease.earlier_ms), now_ms
     )
-    assert election.wants_takeover(again, now_ms)
+    assert election.may_claim(again, now_ms)
     until_ms = now_ms + election.earlier_authority_ms(again, now_ms)
     assert until_ms >= first_renewed_ms + AUTHORITY_MS
 
