--- a/ploverhatch/gateway/feeds.py
+++ b/ploverhatch/gateway/feeds.py
@@ -19,7 +19,7 @@
 from ploverhatch.common.signal import Signal
 from ploverhatch.relay import coverage, packing, publisher
 from ploverhatch.relay.coverage import Cursor
-from ploverhatch.relay.messages import Snapshot, SnapshotItem, Told, ToldChange
+from ploverhatch.relay.messages import RelayedChange, RelayedUpdate, Snapshot, SnapshotItem
 from ploverhatch.relay.publisher import FeedView
 from ploverhatch.store.objects import (
     HistoryDroppedError,
@@ -50,10 +50,10 @@
     known_s: float = 0.0
 
 
-def whole_change(change: ObjectChange) -> ToldChange | None:
+def whole_change(change: ObjectChange) -> RelayedChange | None:
     """Return a change as it is told: the whole object."""
     item = change.object
-    return ToldChange(item.name, item.revision, item.spec, item.status, change.gone)
+    return RelayedChange(item.name, item.revision, item.spec, item.status, change.gone)
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,9 +64,9 @@
     replace_all: Callable[[tuple[VersionedObject, ...]], None]
     apply: Callable[[ObjectChange], bool]  # true when it told something new
     pauses: Pauses = Pauses()
-    encode: Callable[[ObjectChange], ToldChange | None] = whole_change
+    encode: Callable[[ObjectChange], RelayedChange | None] = whole_change
     # Takes a told change; false when it does not join what is known.
-    take_told: Callable[[ToldChange], bool] | None = None
+    take_told: Callable[[RelayedChange], bool] | None = None
     repeatable: bool = False  # a change may be taken again by itself
     confirmed: Callable[[float], None] = lambda current_ms: None
     # All objects, where the node keeps them in another form than the store's.
@@ -95,7 +95,7 @@
     def covered_until_ms(self, kind: str, cursor: int) -> float:
         """Return until when the store need not be asked for a kind."""
 
-    def read(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+    def read(self, kind: str, base: int, reached: int, changes: list[RelayedChange]) -> None:
         """All changes of a kind between two revisions were read from the store."""
 
     def await_leader(self) -> None:
@@ -162,14 +162,14 @@
         """Look again whether the store has to be asked."""
         self._nudged.raise_()
 
-    def take_told(self, told: Told) -> None:
+    def take_told(self, told: RelayedUpdate) -> None:
         """Take changes that the leader tells, if they join what is known."""
         if not coverage.follows(self._cursor, told, self._feed.repeatable):
             return
         if all(self._take_change(change) for change in told.changes):
             self._cursor = coverage.advanced(self._cursor, told)
 
-    def _take_change(self, change: ToldChange) -> bool:
+    def _take_change(self, change: RelayedChange) -> bool:
         known = self._items.get(change.name)
         revision = None if known is None else known.revision
         if not self._feed.repeatable and coverage.is_known(self._cursor, change, revision):
@@ -250,7 +250,7 @@
             return False
         sent_ms = elapsed_ms()
         snapshot = self._relay.fetch(self.kind)
-        if snapshot is None or snapshot.reached < self._cursor.revision:
+        if snapshot is None or snapshot.through_revision < self._cursor.revision:
             return False
         # Its age counts from when it was answered, which was after it was asked for.
         current_ms = sent_ms - snapshot.age_ms
@@ -260,7 +260,7 @@
             LOG.error("What the leader told is not understood.", kind=self.kind, cause=error)
             return False
         self._replace_all(tuple(_typed(item) for item in items))
-        self._move_to(snapshot.reached)
+        self._move_to(snapshot.through_revision)
         self._note_current(current_ms)
         self._must_list = False
         self._relied_until_ms = self._relay.relied_on_until_ms(current_ms)
@@ -299,7 +299,7 @@
             return
         newer = [ObjectChange(item, gone=False) for item in listing.items if item.revision > base]
         told = [item for change in newer if (item := self._feed.encode(change))]
-        told += [ToldChange(name, listing.revision, None, gone=True) for name in gone]
+        told += [RelayedChange(name, listing.revision, None, gone=True) for name in gone]
         self._relay.read(self.kind, base, listing.revision, told)
 
     def _keep(self, item: VersionedObject, gone: bool) -> None:
@@ -321,7 +321,7 @@
         sent_ms = elapsed_ms()
         batch = self._store.watch(self.kind, base, wait_s)
         empty = not batch.changes
-        current_ms = publisher.proof_ms(sent_ms, elapsed_ms(), wait_s * 1000, empty)
+        current_ms = publisher.confirmed_ms(sent_ms, elapsed_ms(), wait_s * 1000, empty)
         if empty and elapsed_ms() - self._moved_ms < REBASE_MS:
             self._note_current(current_ms)
             return
--- a/ploverhatch/gateway/keymap_relay.py
+++ b/ploverhatch/gateway/keymap_relay.py
@@ -5,7 +5,7 @@
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.gateway import keymap_codec
 from ploverhatch.gateway.directory import Directory
-from ploverhatch.relay.messages import SnapshotItem, ToldChange
+from ploverhatch.relay.messages import RelayedChange, SnapshotItem
 from ploverhatch.sharding.keymap import KeyMap, changed_ranges, patched
 from ploverhatch.store.objects import ObjectChange, UnreadableObjectError, VersionedObject
 
@@ -19,7 +19,7 @@
         self._directory = directory
         self._told: dict[str, KeyMap] = {}  # by service, as last told by this node
 
-    def change_of(self, keymap: KeyMap) -> ToldChange | None:
+    def change_of(self, keymap: KeyMap) -> RelayedChange | None:
         """Return what to tell of a map; ``None`` when it was told already."""
         before = self._told.get(keymap.service)
         if before is not None and before.revision >= keymap.revision:
@@ -28,13 +28,15 @@
         if before is None or keymap.service in self._directory.outdated_keymaps:
             # After a restore nodes may know different maps at one revision.
             self._directory.outdated_keymaps.discard(keymap.service)
-            return ToldChange(keymap.service, keymap.revision, keymap_codec.encode_keymap(keymap))
+            return RelayedChange(
+                keymap.service, keymap.revision, keymap_codec.encode_keymap(keymap)
+            )
         ranges = changed_ranges(before, keymap)
         part = KeyMap(keymap.service, ranges, keymap.token, keymap.revision)
         content = keymap_codec.encode_keymap(part)
-        return ToldChange(keymap.service, keymap.revision, content, base=before.revision)
+        return RelayedChange(keymap.service, keymap.revision, content, base=before.revision)
 
-    def encode(self, change: ObjectChange) -> ToldChange | None:
+    def encode(self, change: ObjectChange) -> RelayedChange | None:
         """Return what to tell of a change that this node's own watch reported."""
         keymap = self._directory.keymaps.get(change.object.name)
         return None if change.gone or keymap is None else self.change_of(keymap)
@@ -47,7 +49,7 @@
             for service, keymap in self._directory.keymaps.items()
         ]
 
-    def apply(self, change: ToldChange) -> bool:
+    def apply(self, change: RelayedChange) -> bool:
         """Take a change; false when the map that it builds on is not known."""
         if change.gone:
             return True  # nobody takes a map away while its service is there
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -31,7 +31,7 @@
     TrialMessage,
 )
 from ploverhatch.relay import packing
-from ploverhatch.relay.messages import Beacon, Fragment, Told
+from ploverhatch.relay.messages import Beacon, Fragment, RelayedUpdate
 from ploverhatch.transport.http_connection import HostPort
 
 LOG = PartLogger("peer")
@@ -64,7 +64,7 @@
 
 SlotMessage = SlotAsk | SlotWord | SlotReturn | HeldAsk | HeldWord
 CrashMessage = CrashesTold | CrashesAsk | TrialMessage
-Message = LoadReport | Told | Beacon | Fragment | SlotMessage | CrashMessage
+Message = LoadReport | RelayedUpdate | Beacon | Fragment | SlotMessage | CrashMessage
 Address = tuple[str, int]
 
 
@@ -139,7 +139,7 @@
                 self._send(msgspec.msgpack.encode(report), HostPort.parse(leader))
             self._leader_changed.wait(REPORT_S)
 
-    def publish(self, message: Told | Beacon) -> None:
+    def publish(self, message: RelayedUpdate | Beacon) -> None:
         """Send a message to all nodes that reported lately.
 
         Some beacons go to all members: a node that cannot read the lease learns
@@ -160,7 +160,7 @@
             for data in datagrams:
                 self._send(data, address)
 
-    def _datagrams(self, message: Told | Beacon) -> list[bytes]:
+    def _datagrams(self, message: RelayedUpdate | Beacon) -> list[bytes]:
         """Encode a message; a long one is compressed and divided."""
         data = msgspec.msgpack.encode(message)
         if len(data) <= MAX_DATAGRAM:
@@ -214,7 +214,7 @@
 
     def _decode(
         self, data: bytes, peer: Address
-    ) -> LoadReport | Told | Beacon | SlotMessage | CrashMessage | None:
+    ) -> LoadReport | RelayedUpdate | Beacon | SlotMessage | CrashMessage | None:
         """Return a message; ``None`` until the last fragment of a long one came.
 
         :raises ValueError: when it has another form.
@@ -223,7 +223,7 @@
         if not isinstance(message, Fragment):
             return message
         whole = self._assembly.add(peer, message)
-        return None if whole is None else msgspec.msgpack.decode(whole, type=Told)
+        return None if whole is None else msgspec.msgpack.decode(whole, type=RelayedUpdate)
 
     def close(self) -> None:
         """Close the socket."""
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -41,7 +41,7 @@
     TrialOver,
     TrialWord,
 )
-from ploverhatch.relay.messages import Beacon, Told
+from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
 from ploverhatch.routing.planned_stop import PlannedStop, caller_rest_s
 from ploverhatch.routing.retry_budget import SharedRetryBudget
@@ -162,8 +162,8 @@
             self._peers.publish,
         )
         self._snapshots = SnapshotServer(peer_address, self._relay.snapshot)
-        self._peers.take(Told, self._relay.take_told)
-        self._peers.take(Beacon, self._relay.take_beacon)
+        self._peers.take(RelayedUpdate, self._relay.take_told)
+        self._peers.take(Beacon, self._relay.apply_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
             for feed in self._followed(keymap_relay)
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -18,7 +18,7 @@
 from ploverhatch.gateway.peer_objects import SnapshotClient
 from ploverhatch.relay import coverage, packing, publisher
 from ploverhatch.relay.coverage import Coverage
-from ploverhatch.relay.messages import Beacon, Snapshot, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, RelayedChange, RelayedUpdate, Snapshot
 from ploverhatch.relay.publisher import FeedView, Term
 from ploverhatch.sharding.keymap import KeyMap
 from ploverhatch.store import kinds
@@ -52,7 +52,7 @@
         term: Callable[[], Term | None],
         elector: Elector,
         leader: SnapshotClient,
-        send: Callable[[Told | Beacon], None],
+        send: Callable[[RelayedUpdate | Beacon], None],
     ) -> None:
         self.first_wait_s = FIRST_WAIT_S
         self._coverage = Coverage(limit_ms)
@@ -91,10 +91,10 @@
             return elapsed_ms() + OWN_MAPS_MS  # nobody else writes them
         return float("-inf")
 
-    def take_beacon(self, beacon: Beacon) -> None:
+    def apply_beacon(self, beacon: Beacon) -> None:
         """Take the leader's claims."""
         now_ms = elapsed_ms()
-        self._coverage = coverage.take_beacon(self._coverage, beacon)
+        self._coverage = coverage.apply_beacon(self._coverage, beacon)
         self._elector.heard(
             beacon.lease_revision, beacon.sent_ms - beacon.renewed_age_ms, beacon.address
         )
@@ -159,9 +159,11 @@
             return None
         view = self._claimed(kind)
         age_ms = max(0.0, elapsed_ms() - view.current_ms)
-        if view.reached < 0 or age_ms >= self._coverage.limit_ms:
+        if view.through_revision < 0 or age_ms >= self._coverage.limit_ms:
             return None
-        return Snapshot(kind, view.reached, age_ms, self._packed_items(task, view.reached))
+        return Snapshot(
+            kind, view.through_revision, age_ms, self._packed_items(task, view.through_revision)
+        )
 
     def _packed_items(self, task: FeedTask, reached: int) -> bytes:
         """Return a kind's objects packed; once for all nodes that ask at a revision."""
@@ -171,7 +173,7 @@
             self._packed[task.kind] = known
         return known[1]
 
-    def take_told(self, told: Told) -> None:
+    def take_told(self, told: RelayedUpdate) -> None:
         """Take changes from the leader."""
         task = self._tasks.get(told.kind)
         if task is not None and not self._leading:
@@ -187,7 +189,7 @@
 
     # ---- as the leader ------------------------------------------------------------------
 
-    def read(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+    def read(self, kind: str, base: int, reached: int, changes: list[RelayedChange]) -> None:
         """Tell what this node read from the store, if it leads."""
         if self._term() is None:
             return
@@ -199,13 +201,13 @@
         """Tell a map that this node stored."""
         change = self._keymaps.change_of(keymap)
         if change is not None:
-            base = self._view(kinds.KEYMAPS).reached
+            base = self._view(kinds.KEYMAPS).through_revision
             self._tell(kinds.KEYMAPS, base, keymap.revision, [change])
 
-    def _tell(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+    def _tell(self, kind: str, base: int, reached: int, changes: list[RelayedChange]) -> None:
         self._told_reached[kind] = max(reached, self._told_reached.get(kind, -1))
         sized = [(change, len(msgspec.msgpack.encode(change))) for change in changes]
-        for told in publisher.in_parts(kind, base, reached, sized, MAX_CHANGES):
+        for told in publisher.split_changes(kind, base, reached, sized, MAX_CHANGES):
             self._send(told)
 
     def tell_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
@@ -264,15 +266,17 @@
         view = self._view(kind)
         if kind != kinds.KEYMAPS:
             return view
-        reached = max(view.reached, self._told_reached.get(kind, -1))
+        reached = max(view.through_revision, self._told_reached.get(kind, -1))
         self._told_reached[kind] = reached
         return FeedView(reached, elapsed_ms())
 
     def _view(self, kind: str) -> FeedView:
         view = self._tasks[kind].view
-        if view.reached < 0:
+        if view.through_revision < 0:
             return view
-        return replace(view, reached=max(view.reached, self._told_reached.get(kind, -1)))
+        return replace(
+            view, through_revision=max(view.through_revision, self._told_reached.get(kind, -1))
+        )
 
     def _change_part(self, leading: bool) -> None:
         self._leading = leading
--- a/ploverhatch/relay/coverage.py
+++ b/ploverhatch/relay/coverage.py
@@ -10,14 +10,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from ploverhatch.relay.messages import Beacon, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, RelayedChange, RelayedUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class KindCoverage:
     """What the leader last claimed for a kind."""
 
-    reached: int  # revision of the store
+    through_revision: int  # revision of the store
     fresh_until_ms: float
 
 
@@ -30,12 +30,12 @@
     kinds: Mapping[str, KindCoverage] = field(default_factory=dict)
 
 
-def take_beacon(state: Coverage, beacon: Beacon) -> Coverage:
+def apply_beacon(state: Coverage, beacon: Beacon) -> Coverage:
     """Take a beacon; one of an earlier leader, or an overtaken one, changes nothing."""
     if beacon.lease_revision < state.lease_revision:
         return state
     kinds = {
-        kind: KindCoverage(claim.reached, beacon.sent_ms - claim.age_ms + state.limit_ms)
+        kind: KindCoverage(claim.through_revision, beacon.sent_ms - claim.age_ms + state.limit_ms)
         for kind, claim in beacon.claims.items()
     }
     return replace(state, lease_revision=beacon.lease_revision, kinds=kinds)
@@ -47,7 +47,7 @@
     :param cursor: revision up to which the node knows all changes of the kind.
     """
     known = state.kinds.get(kind)
-    if known is None or cursor < known.reached:
+    if known is None or cursor < known.through_revision:
         return float("-inf")
     return known.fresh_until_ms
 
@@ -55,7 +55,7 @@
 def is_behind(state: Coverage, kind: str, cursor: int, now_ms: float) -> bool:
     """Whether the leader, with a current view, knows changes that the node does not."""
     known = state.kinds.get(kind)
-    return known is not None and cursor < known.reached and now_ms < known.fresh_until_ms
+    return known is not None and cursor < known.through_revision and now_ms < known.fresh_until_ms
 
 
 def current_ms(state: Coverage, kind: str, cursor: int) -> float:
@@ -68,10 +68,10 @@
     """Up to which revision a node knows all changes of a kind; below 0: it knows none."""
 
     revision: int = -1
-    pending: Told | None = None  # last taken part of changes that are not whole yet
+    pending: RelayedUpdate | None = None  # last taken part of changes that are not whole yet
 
 
-def follows(cursor: Cursor, told: Told, repeatable: bool = False) -> bool:
+def follows(cursor: Cursor, told: RelayedUpdate, repeatable: bool = False) -> bool:
     """Whether a message's changes join what is known without a gap.
 
     Changes that are known already may be among them (:func:`is_known`).
@@ -80,17 +80,17 @@
     """
     if cursor.revision < 0 or told.base > cursor.revision:
         return False
-    if told.reached <= cursor.revision and not repeatable:
+    if told.through_revision <= cursor.revision and not repeatable:
         return False
     if told.part == 0:
         return True
     last = cursor.pending
-    if last is None or (last.base, last.reached) != (told.base, told.reached):
+    if last is None or (last.base, last.through_revision) != (told.base, told.through_revision):
         return False
     return last.part == told.part - 1
 
 
-def is_known(cursor: Cursor, change: ToldChange, known: int | None) -> bool:
+def is_known(cursor: Cursor, change: RelayedChange, known: int | None) -> bool:
     """Whether a change is known, or an object is known in a later version.
 
     Changes that are told in parts begin before the cursor. Where the last part gets lost, what
@@ -104,8 +104,8 @@
     return not change.gone and change.revision <= cursor.revision
 
 
-def advanced(cursor: Cursor, told: Told) -> Cursor:
+def advanced(cursor: Cursor, told: RelayedUpdate) -> Cursor:
     """Return the cursor after the changes of a message that follows were taken."""
     if told.part == told.parts - 1:
-        return Cursor(max(cursor.revision, told.reached))
+        return Cursor(max(cursor.revision, told.through_revision))
     return replace(cursor, pending=told)
--- a/ploverhatch/relay/messages.py
+++ b/ploverhatch/relay/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class ToldChange(msgspec.Struct, array_like=True, frozen=True):
+class RelayedChange(msgspec.Struct, array_like=True, frozen=True):
     """One change of one object.
 
     ``base`` is 0 for a whole object. Otherwise ``spec`` is what differs from
@@ -20,24 +20,24 @@
     base: int = 0
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """All changes of a kind after the store's revision ``base``, up to ``reached``.
+class RelayedUpdate(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """All changes of a kind after the store's revision ``base``, up to ``through_revision``.
 
     Sent in ``parts`` messages, since a datagram is short; numbered from 0.
     """
 
     kind: str
     base: int
-    reached: int
-    changes: list[ToldChange]
+    through_revision: int
+    changes: list[RelayedChange]
     part: int = 0
     parts: int = 1
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """All changes of a kind up to ``reached`` were told; none was missing ``age_ms`` ago."""
+    """All changes up to ``through_revision`` were relayed; none was missing ``age_ms`` ago."""
 
-    reached: int
+    through_revision: int
     age_ms: float
 
 
@@ -85,7 +85,7 @@
     """
 
     kind: str
-    reached: int
+    through_revision: int
     age_ms: float
     packed: bytes
 
--- a/ploverhatch/relay/publisher.py
+++ b/ploverhatch/relay/publisher.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from ploverhatch.relay.messages import Beacon, Claim, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, Claim, RelayedChange, RelayedUpdate
 
 
-def proof_ms(sent_ms: float, answered_ms: float, wait_ms: float, empty: bool) -> float:
+def confirmed_ms(sent_ms: float, answered_ms: float, wait_ms: float, empty: bool) -> float:
     """Return when a view was surely current, after a watch was answered.
 
     An answer that was read late, by a process that stood still, may be as old
@@ -28,7 +28,7 @@
 class FeedView:
     """A kind as the leader can speak for it."""
 
-    reached: int  # revision up to which all changes were told
+    through_revision: int  # revision up to which all changes were told
     current_ms: float
 
 
@@ -43,23 +43,27 @@
 def beacon(term: Term, views: Mapping[str, FeedView], now_ms: float, address: str = "") -> Beacon:
     """Return the claims for all kinds that can be spoken for."""
     claims = {
-        kind: Claim(view.reached, max(0.0, now_ms - view.current_ms))
+        kind: Claim(view.through_revision, max(0.0, now_ms - view.current_ms))
         for kind, view in views.items()
-        if view.reached >= 0
+        if view.through_revision >= 0
     }
     return Beacon(term.lease_revision, now_ms - term.renewed_ms, claims, address=address)
 
 
-def in_parts(
-    kind: str, base: int, reached: int, sized: Iterable[tuple[ToldChange, int]], most: int
-) -> list[Told]:
+def split_changes(
+    kind: str,
+    base: int,
+    through_revision: int,
+    sized: Iterable[tuple[RelayedChange, int]],
+    most: int,
+) -> list[RelayedUpdate]:
     """Divide changes into messages of at most ``most`` bytes of changes each.
 
     :param sized: changes in order, each with its size in bytes.
     :returns: the messages; none when one change alone is too long, so that
         nodes notice the gap and ask the store.
     """
-    groups: list[list[ToldChange]] = [[]]
+    groups: list[list[RelayedChange]] = [[]]
     filled = 0
     for change, size in sized:
         if size > most:
@@ -70,5 +74,6 @@
         groups[-1].append(change)
         filled += size
     return [
-        Told(kind, base, reached, group, part, len(groups)) for part, group in enumerate(groups)
+        RelayedUpdate(kind, base, through_revision, group, part, len(groups))
+        for part, group in enumerate(groups)
     ]
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -10,12 +10,12 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.peer_link import LoadReport, PeerLink
-from ploverhatch.relay.messages import Beacon, Claim, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, Claim, RelayedChange, RelayedUpdate
 from ploverhatch.transport.http_connection import HostPort
 from tests.functional.test_gateway import until
 from tests.standin.site import free_port
 
-TOLD = Told("kind", 4, 5, [ToldChange("a", 5, {"x": 1})])
+TOLD = RelayedUpdate("kind", 4, 5, [RelayedChange("a", 5, {"x": 1})])
 BEACON = Beacon(9, 20.0, {"kind": Claim(5, 10.0)})
 UNSENT = {Beacon: {"sent_ms": BEACON.sent_ms}}
 
@@ -32,7 +32,7 @@
             lambda: self.leader,
             self.reports.append,
         )
-        self.link.take(Told, self.taken.append)
+        self.link.take(RelayedUpdate, self.taken.append)
         self.link.take(Beacon, self.taken.append)
         self.tasks = [
             gevent.spawn(self.link.report_forever),
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("content", ["x" * 90_000, incompressible(90_000)], ids=["one", "many"])
 def test_a_message_longer_than_a_datagram_arrives_whole(pair, content):
     leader, follower = pair
-    told = Told("kind", 4, 5, [ToldChange("a", 5, content)])
+    told = RelayedUpdate("kind", 4, 5, [RelayedChange("a", 5, content)])
     leader.link.publish(told)
     gevent.sleep(0.05)
     assert follower.taken == [told]
@@ -98,7 +98,9 @@
 
 def test_a_message_that_is_far_too_long_is_not_sent(pair):
     leader, follower = pair
-    leader.link.publish(Told("kind", 4, 5, [ToldChange("a", 5, incompressible(900_000))]))
+    leader.link.publish(
+        RelayedUpdate("kind", 4, 5, [RelayedChange("a", 5, incompressible(900_000))])
+    )
     gevent.sleep(0.02)
     assert follower.taken == []
 
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -9,7 +9,7 @@
 from ploverhatch.gateway.feeds import Feed, FeedTask
 from ploverhatch.relay import coverage, publisher
 from ploverhatch.relay.coverage import Coverage, Cursor
-from ploverhatch.relay.messages import Beacon, Claim, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, Claim, RelayedChange, RelayedUpdate
 from ploverhatch.relay.publisher import FeedView, Term
 
 KIND = "kind"
@@ -31,38 +31,50 @@
     ],
 )
 def test_coverage_ends_when_the_leaders_view_is_old(claimed, age_ms, cursor, until_ms):
-    state = coverage.take_beacon(Coverage(LIMIT_MS), beacon(claimed, age_ms))
+    state = coverage.apply_beacon(Coverage(LIMIT_MS), beacon(claimed, age_ms))
     assert coverage.covered_until_ms(state, KIND, cursor) == until_ms
 
 
 def test_a_kind_that_is_not_claimed_is_not_covered():
-    state = coverage.take_beacon(Coverage(LIMIT_MS), beacon(7))
-    state = coverage.take_beacon(state, Beacon(1, 0.0, {}, 10.0))
+    state = coverage.apply_beacon(Coverage(LIMIT_MS), beacon(7))
+    state = coverage.apply_beacon(state, Beacon(1, 0.0, {}, 10.0))
     assert coverage.covered_until_ms(state, KIND, 9) == float("-inf")
 
 
 def test_a_beacon_of_an_earlier_leader_changes_nothing():
-    state = coverage.take_beacon(Coverage(LIMIT_MS), beacon(7, lease=5))
-    assert coverage.take_beacon(state, beacon(9, lease=4)) is state
+    state = coverage.apply_beacon(Coverage(LIMIT_MS), beacon(7, lease=5))
+    assert coverage.apply_beacon(state, beacon(9, lease=4)) is state
 
 
 def test_a_beacon_that_was_held_up_is_as_old_as_it_is():
-    state = coverage.take_beacon(Coverage(LIMIT_MS), beacon(7, sent_ms=500.0))
+    state = coverage.apply_beacon(Coverage(LIMIT_MS), beacon(7, sent_ms=500.0))
     assert coverage.covered_until_ms(state, KIND, 7) == 1500.0
-    unknown = coverage.take_beacon(Coverage(LIMIT_MS), Beacon(1, 0.0, {KIND: Claim(7, 0.0)}))
+    unknown = coverage.apply_beacon(Coverage(LIMIT_MS), Beacon(1, 0.0, {KIND: Claim(7, 0.0)}))
     assert coverage.covered_until_ms(unknown, KIND, 7) == float("-inf")
 
 
 FOLLOWS = {
-    "the next": (Cursor(5), Told(KIND, 5, 6, []), True),
-    "overlapping": (Cursor(5), Told(KIND, 3, 6, []), True),
-    "known": (Cursor(5), Told(KIND, 3, 5, []), False),
-    "a gap": (Cursor(5), Told(KIND, 6, 7, []), False),
-    "nothing known": (Cursor(), Told(KIND, -1, 7, []), False),
-    "second part first": (Cursor(5), Told(KIND, 5, 6, [], 1, 2), False),
-    "second part": (Cursor(5, Told(KIND, 5, 6, [], 0, 2)), Told(KIND, 5, 6, [], 1, 2), True),
-    "part of another": (Cursor(5, Told(KIND, 4, 6, [], 0, 2)), Told(KIND, 5, 6, [], 1, 2), False),
-    "a part is missing": (Cursor(5, Told(KIND, 5, 6, [], 0, 3)), Told(KIND, 5, 6, [], 2, 3), False),
+    "the next": (Cursor(5), RelayedUpdate(KIND, 5, 6, []), True),
+    "overlapping": (Cursor(5), RelayedUpdate(KIND, 3, 6, []), True),
+    "known": (Cursor(5), RelayedUpdate(KIND, 3, 5, []), False),
+    "a gap": (Cursor(5), RelayedUpdate(KIND, 6, 7, []), False),
+    "nothing known": (Cursor(), RelayedUpdate(KIND, -1, 7, []), False),
+    "second part first": (Cursor(5), RelayedUpdate(KIND, 5, 6, [], 1, 2), False),
+    "second part": (
+        Cursor(5, RelayedUpdate(KIND, 5, 6, [], 0, 2)),
+        RelayedUpdate(KIND, 5, 6, [], 1, 2),
+        True,
+    ),
+    "part of another": (
+        Cursor(5, RelayedUpdate(KIND, 4, 6, [], 0, 2)),
+        RelayedUpdate(KIND, 5, 6, [], 1, 2),
+        False,
+    ),
+    "a part is missing": (
+        Cursor(5, RelayedUpdate(KIND, 5, 6, [], 0, 3)),
+        RelayedUpdate(KIND, 5, 6, [], 2, 3),
+        False,
+    ),
 }
 
 
@@ -72,7 +84,7 @@
 
 
 def test_the_cursor_moves_with_the_last_part():
-    first, last = Told(KIND, 5, 8, [], 0, 2), Told(KIND, 5, 8, [], 1, 2)
+    first, last = RelayedUpdate(KIND, 5, 8, [], 0, 2), RelayedUpdate(KIND, 5, 8, [], 1, 2)
     cursor = coverage.advanced(Cursor(5), first)
     assert cursor.revision == 5
     assert coverage.advanced(cursor, last) == Cursor(8)
@@ -89,7 +101,7 @@
     ],
 )
 def test_only_an_answer_proves_that_a_view_is_current(answered_ms, empty, expected):
-    assert publisher.proof_ms(100.0, answered_ms, 400.0, empty) == expected
+    assert publisher.confirmed_ms(100.0, answered_ms, 400.0, empty) == expected
 
 
 def test_a_kind_that_has_to_be_listed_is_not_claimed():
@@ -99,19 +111,19 @@
 
 
 def change(revision):
-    return ToldChange("o", revision, revision)
+    return RelayedChange("o", revision, revision)
 
 
 def test_changes_are_divided_into_messages():
     sized = [(change(number), 40) for number in range(5)]
-    parts = publisher.in_parts(KIND, 1, 9, sized, 100)
+    parts = publisher.split_changes(KIND, 1, 9, sized, 100)
     assert [len(part.changes) for part in parts] == [2, 2, 1]
     assert [(part.part, part.parts) for part in parts] == [(0, 3), (1, 3), (2, 3)]
-    assert publisher.in_parts(KIND, 1, 9, [], 100) == [Told(KIND, 1, 9, [], 0, 1)]
+    assert publisher.split_changes(KIND, 1, 9, [], 100) == [RelayedUpdate(KIND, 1, 9, [], 0, 1)]
 
 
 def test_a_change_too_long_for_a_message_leaves_a_gap():
-    assert publisher.in_parts(KIND, 1, 9, [(change(2), 10), (change(3), 101)], 100) == []
+    assert publisher.split_changes(KIND, 1, 9, [(change(2), 10), (change(3), 101)], 100) == []
 
 
 # A server's later word (it drains) was replaced by its earlier one, which a part told again.
@@ -121,11 +133,15 @@
     feed = Feed(KIND, lambda items: None, lambda change: taken.update({change.object.name: change}))
     task = FeedTask(None, feed, None, lambda: None)
     task._cursor = Cursor(0)
-    task.take_told(Told(KIND, 0, 2, [ToldChange("b", 1, "ready"), ToldChange("b", 2, "drains")]))
-    again = ToldChange("b", 1, "ready", gone=gone)
-    task.take_told(Told(KIND, 0, 3, [again], part=0, parts=2))
+    task.take_told(
+        RelayedUpdate(KIND, 0, 2, [RelayedChange("b", 1, "ready"), RelayedChange("b", 2, "drains")])
+    )
+    again = RelayedChange("b", 1, "ready", gone=gone)
+    task.take_told(RelayedUpdate(KIND, 0, 3, [again], part=0, parts=2))
     assert taken["b"].object.spec == "drains" and not taken["b"].gone
-    task.take_told(Told(KIND, 0, 3, [ToldChange("b", 2, "drains", gone=True)], part=1, parts=2))
+    task.take_told(
+        RelayedUpdate(KIND, 0, 3, [RelayedChange("b", 2, "drains", gone=True)], part=1, parts=2)
+    )
     assert taken["b"].gone
 
 
@@ -142,7 +158,7 @@
         self.now_ms = 0.0
         self.history = []  # (revision, when, name or gone)
         self.leader = 0
-        self.proof_ms = 0.0
+        self.confirmed_ms = 0.0
         self.cut = False
         self.in_flight = []
         self.cursor = Cursor(0)
@@ -164,7 +180,7 @@
 
     def changes(self, after):
         return [
-            ToldChange(name, number, number, gone=gone)
+            RelayedChange(name, number, number, gone=gone)
             for number, _, name, gone in self.history
             if number > after
         ]
@@ -178,11 +194,11 @@
     def leader_reads(self, most):
         """The leader's watch returns, and is asked again."""
         changes = self.changes(self.leader)
-        told = publisher.in_parts(
+        told = publisher.split_changes(
             KIND, self.leader, self.revision, [(item, 1) for item in changes], most
         )
         self.leader = self.revision
-        self.proof_ms = self.now_ms
+        self.confirmed_ms = self.now_ms
         self.in_flight += told
 
     @rule()
@@ -195,7 +211,7 @@
 
     @rule()
     def leader_tells_claims(self):
-        views = {KIND: FeedView(self.leader, self.proof_ms)}
+        views = {KIND: FeedView(self.leader, self.confirmed_ms)}
         told = publisher.beacon(Term(1, 0.0), views, self.now_ms)
         self.in_flight.append(replace(told, sent_ms=self.now_ms))
 
@@ -207,7 +223,7 @@
         if lost:
             return
         if isinstance(message, Beacon):
-            self.coverage = coverage.take_beacon(self.coverage, message)
+            self.coverage = coverage.apply_beacon(self.coverage, message)
         elif coverage.follows(self.cursor, message):
             for item in message.changes:
                 self.take(item)
