--- a/ploverhatch/leadership/election.py
+++ b/ploverhatch/leadership/election.py
@@ -22,14 +22,14 @@
 # The strongest nodes look when a silent lease may be claimed, within so much time after it
 # for each of them, so that they do not all ask at once. The others leave them more time
 # than a dozen of them take, and than they may have heard the leader later.
-SPREAD_EACH_MS = 20.0
-LONGEST_CLAIM_DELAY_MS = 1000.0
-CLEARLY_WEAKER = 0.3  # of what leading takes: a leader so much weaker hands over
+SPREAD_PER_NODE_MS = 20.0
+MAX_CLAIM_DELAY_MS = 1000.0
+STRENGTH_GAP = 0.3  # of what leading takes: a leader so much weaker hands over
 # In an outage of the store, those that may lead soon ask it at a steady pace; the others
 # hear from them that it answers again, and ask less and less often.
 OUTAGE_RETRY_MS = 250.0
-LONGEST_OUTAGE_RETRY_MS = 2000.0
-LEAST_LEAD_MS = 2000.0  # a leader hands over after this time at the earliest
+MAX_OUTAGE_RETRY_MS = 2000.0
+MIN_LEAD_MS = 2000.0  # a leader hands over after this time at the earliest
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,7 +77,7 @@
     def leader_is_weak(self) -> bool:
         """Whether the lease is held by a machine that is clearly weaker than this one."""
         held = bool(self.seen.revision) and not self.seen.released
-        return held and self.seen.strength < self.strength - CLEARLY_WEAKER
+        return held and self.seen.strength < self.strength - STRENGTH_GAP
 
     @property
     def identity(self) -> tuple[str, str]:
@@ -157,7 +157,7 @@
     them late, and each then asks the store: 6,100 calls in 30 s instead of 1,200 on 79
     nodes, and requests that waited for a second behind what it told.
     """
-    return LONGEST_CLAIM_DELAY_MS * max(0.0, state.strongest - state.strength)
+    return MAX_CLAIM_DELAY_MS * max(0.0, state.strongest - state.strength)
 
 
 def read_interval_ms(state: ElectionState, now_ms: float, spread: float) -> float:
@@ -170,7 +170,7 @@
     left_ms = TAKEOVER_MS - since_renewal_ms(state, now_ms)
     if not state.is_strongest or not 0 < left_ms < READ_INTERVAL_MS:
         return READ_INTERVAL_MS
-    return left_ms + spread * min(SPREAD_EACH_MS * state.strongest_count, READ_INTERVAL_MS)
+    return left_ms + spread * min(SPREAD_PER_NODE_MS * state.strongest_count, READ_INTERVAL_MS)
 
 
 def outage_retry_ms(state: ElectionState, failures: int, spread: float) -> float:
@@ -181,7 +181,7 @@
     """
     pause_ms = OUTAGE_RETRY_MS
     if not state.leading and not state.is_strongest:
-        pause_ms = min(OUTAGE_RETRY_MS * 2.0**failures, LONGEST_OUTAGE_RETRY_MS)
+        pause_ms = min(OUTAGE_RETRY_MS * 2.0**failures, MAX_OUTAGE_RETRY_MS)
     return pause_ms * (1.0 + spread)
 
 
@@ -191,18 +191,18 @@
     :param offered: the strength of that node.
     :param led_ms: for how long this one leads.
     """
-    weaker = state.strength < offered - CLEARLY_WEAKER
-    return state.leading and weaker and led_ms >= LEAST_LEAD_MS
+    weaker = state.strength < offered - STRENGTH_GAP
+    return state.leading and weaker and led_ms >= MIN_LEAD_MS
 
 
 def earlier_authority_ms(state: ElectionState, now_ms: float) -> float:
     """Return how long the lease's holder and those before it may still act."""
     lease = state.seen
-    seen_ms = since_renewal_ms(state, now_ms)
-    earlier_ms = max(0.0, lease.earlier_ms - seen_ms)
+    idle_ms = since_renewal_ms(state, now_ms)
+    earlier_ms = max(0.0, lease.earlier_ms - idle_ms)
     if lease.revision == 0 or lease.released or lease.node == state.node:
         return earlier_ms
-    return max(earlier_ms, AUTHORITY_MS - seen_ms, 0.0)
+    return max(earlier_ms, AUTHORITY_MS - idle_ms, 0.0)
 
 
 def lease_to_write(
--- a/ploverhatch/relay/coverage.py
+++ b/ploverhatch/relay/coverage.py
@@ -1,7 +1,7 @@
 """When a node may rely on the leader's word instead of asking the store. Pure.
 
 A node relies on it for a kind while the leader has shown that its own view was
-current less than ``limit_ms`` ago, and the node has taken all that was told.
+current less than ``limit_ms`` ago, and the node has taken all that was relayed.
 Otherwise the node asks the store itself. So nothing depends on the leader but
 the number of calls to the store. Times are milliseconds of the node's own
 elapsed clock; how old the leader's view is comes as an age, not as a time.
@@ -71,23 +71,23 @@
     pending: RelayedUpdate | None = None  # last taken part of changes that are not whole yet
 
 
-def follows(cursor: Cursor, told: RelayedUpdate, repeatable: bool = False) -> bool:
+def follows(cursor: Cursor, update: RelayedUpdate, repeatable: bool = False) -> bool:
     """Whether a message's changes join what is known without a gap.
 
     Changes that are known already may be among them (:func:`is_known`).
 
     :param repeatable: whether a change may also be taken again by itself.
     """
-    if cursor.revision < 0 or told.base > cursor.revision:
+    if cursor.revision < 0 or update.base > cursor.revision:
         return False
-    if told.through_revision <= cursor.revision and not repeatable:
+    if update.through_revision <= cursor.revision and not repeatable:
         return False
-    if told.part == 0:
+    if update.part == 0:
         return True
     last = cursor.pending
-    if last is None or (last.base, last.through_revision) != (told.base, told.through_revision):
+    if last is None or (last.base, last.through_revision) != (update.base, update.through_revision):
         return False
-    return last.part == told.part - 1
+    return last.part == update.part - 1
 
 
 def is_known(cursor: Cursor, change: RelayedChange, known: int | None) -> bool:
@@ -104,8 +104,8 @@
     return not change.gone and change.revision <= cursor.revision
 
 
-def advanced(cursor: Cursor, told: RelayedUpdate) -> Cursor:
+def advanced(cursor: Cursor, update: RelayedUpdate) -> Cursor:
     """Return the cursor after the changes of a message that follows were taken."""
-    if told.part == told.parts - 1:
-        return Cursor(max(cursor.revision, told.through_revision))
-    return replace(cursor, pending=told)
+    if update.part == update.parts - 1:
+        return Cursor(max(cursor.revision, update.through_revision))
+    return replace(cursor, pending=update)
--- a/ploverhatch/relay/packing.py
+++ b/ploverhatch/relay/packing.py
@@ -19,7 +19,7 @@
 FRAGMENT_BYTES = 8000
 MAX_FRAGMENTS = 64
 MAX_INCOMPLETE = 8  # messages that wait for fragments
-MAX_WHOLE_BYTES = 4 << 20  # after decompression
+MAX_MESSAGE_BYTES = 4 << 20  # after decompression
 
 
 def pack(value: object) -> bytes:
@@ -38,12 +38,12 @@
 def _decompressed(data: bytes) -> bytes:
     decompressor = zlib.decompressobj()
     try:
-        whole = decompressor.decompress(data, MAX_WHOLE_BYTES)
+        message = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
         raise ValueError(str(error)) from error
     if not decompressor.eof:
         raise ValueError("cut short, or too long")
-    return whole
+    return message
 
 
 def divide(number: int, data: bytes) -> list[Fragment]:
--- a/ploverhatch/relay/publisher.py
+++ b/ploverhatch/relay/publisher.py
@@ -54,21 +54,21 @@
     kind: str,
     base: int,
     through_revision: int,
-    sized: Iterable[tuple[RelayedChange, int]],
-    most: int,
+    sized_changes: Iterable[tuple[RelayedChange, int]],
+    max_bytes: int,
 ) -> list[RelayedUpdate]:
     """Divide changes into messages of at most ``most`` bytes of changes each.
 
-    :param sized: changes in order, each with its size in bytes.
+    :param sized_changes: changes in order, each with its size in bytes.
     :returns: the messages; none when one change alone is too long, so that
         nodes notice the gap and ask the store.
     """
     groups: list[list[RelayedChange]] = [[]]
     filled = 0
-    for change, size in sized:
-        if size > most:
+    for change, size in sized_changes:
+        if size > max_bytes:
             return []
-        if filled + size > most:
+        if filled + size > max_bytes:
             groups.append([])
             filled = 0
         groups[-1].append(change)
--- a/ploverhatch/sharding/keymap.py
+++ b/ploverhatch/sharding/keymap.py
@@ -54,12 +54,12 @@
     @property
     def renewal(self) -> Standby | None:
         """The holder itself, at the token at which it may be granted the range anew."""
-        return next((one for one in self._usable if one.holder == self.holder), None)
+        return next((standby for standby in self._usable if standby.holder == self.holder), None)
 
     @property
     def standby(self) -> Standby | None:
         """The other server that may be granted the range next."""
-        return next((one for one in self._usable if one.holder != self.holder), None)
+        return next((standby for standby in self._usable if standby.holder != self.holder), None)
 
     @property
     def _usable(self) -> tuple[Standby, ...]:
@@ -116,7 +116,7 @@
     target: Holder
 
 
-def _cut(ranges: Iterable[KeyRange], at: int) -> list[KeyRange]:
+def _split_at(ranges: Iterable[KeyRange], at: int) -> list[KeyRange]:
     """Split the range that ``at`` lies inside of, so that one starts there."""
     result = []
     for item in ranges:
@@ -133,18 +133,18 @@
     ranges = list(keymap.ranges)
     token = keymap.token
     for move in moves:
-        ranges = _cut(_cut(ranges, move.first), move.last + 1)
+        ranges = _split_at(_split_at(ranges, move.first), move.last + 1)
         token += 1
         ranges = [
-            _redirect(item, move.target, token)
+            _retarget(item, move.target, token)
             if move.first <= item.first and item.last <= move.last
             else item
             for item in ranges
         ]
-    return replace(keymap, ranges=_joined(ranges), token=token)
+    return replace(keymap, ranges=_merged(ranges), token=token)
 
 
-def _redirect(item: KeyRange, target: Holder, token: int) -> KeyRange:
+def _retarget(item: KeyRange, target: Holder, token: int) -> KeyRange:
     earlier = {holder.server_id: holder for holder in item.previous}
     earlier[item.holder.server_id] = item.holder
     earlier.pop(target.server_id, None)
@@ -179,8 +179,8 @@
 
 
 def merge_neighbours(keymap: KeyMap) -> KeyMap:
-    """Return the map with neighbours joined that differ in their keys only."""
-    return replace(keymap, ranges=_joined(keymap.ranges))
+    """Return the map with neighbours merged that differ in their keys only."""
+    return replace(keymap, ranges=_merged(keymap.ranges))
 
 
 def changed_ranges(before: KeyMap, after: KeyMap) -> tuple[KeyRange, ...]:
@@ -210,12 +210,12 @@
     return index >= 0 and first[starts[index]].last >= item.first
 
 
-def _joined(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
+def _merged(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
     """Join neighbours of one holder, token and state: one grant covers them."""
-    joined: list[KeyRange] = []
+    merged: list[KeyRange] = []
     for item in ranges:
-        if joined and joined[-1] == replace(item, first=joined[-1].first, last=joined[-1].last):
-            joined[-1] = replace(joined[-1], last=item.last)
+        if merged and merged[-1] == replace(item, first=merged[-1].first, last=merged[-1].last):
+            merged[-1] = replace(merged[-1], last=item.last)
         else:
-            joined.append(item)
-    return tuple(joined)
+            merged.append(item)
+    return tuple(merged)
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -46,7 +46,7 @@
 from ploverhatch.state.servers import ServerRecord
 from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
-PLAN_EVERY_MS = 400.0
+PLAN_INTERVAL_MS = 400.0
 SETTLE_MS = 500.0  # a grant is told to all nodes at once, and stored with the next move or then
 STABLE_SERVERS_MS = 1000.0  # the set of servers is stable for so long before the first deal
 DOMINANT_COOLDOWN_MS = 3000.0  # a key that was moved by itself stays where it is for so long
@@ -92,7 +92,7 @@
     # What the store surely has, written by this leader: it alone may promote its standbys.
     stored: KeyMap | None = None
     promoted: set[int] = field(default_factory=set)  # tokens of standbys
-    unsaved: bool = False  # standbys were promoted that the stored map doesn't show
+    has_unstored_promotions: bool = False  # standbys were promoted that the stored map doesn't show
 
 
 class LeaderCore:
@@ -107,7 +107,7 @@
         self._leases: dict[str, HolderLease] = {}
         self._cut_off_since_ms: float | None = None
         self._restores = 0  # of the store
-        self._lost_until_ms: float | None = None  # until when grants of lost maps may be renewed
+        self._missing_until_ms: float | None = None  # until when grants of lost maps may be renewed
 
     # ---- what is known ------------------------------------------------------------------
 
@@ -217,7 +217,7 @@
             for service, view in views.items():
                 state = self._services.setdefault(service, _ServiceState(KeyMap(service)))
                 actions += self._plan(state, view, now_ms)
-            actions += self._check_reach(views, now_ms)
+            actions += self._check_connectivity(views, now_ms)
         if store_unavailable and not finishing:
             for service, view in views.items():
                 self._promote_standbys(service, view, now_ms)
@@ -250,7 +250,7 @@
                 state, replace(keymap, token=token_above_lost(keymap.token, self._restores))
             )
         candidates = self._candidates(state, view, now_ms)
-        if state.unsaved:
+        if state.has_unstored_promotions:
             return self._store(state, merge_neighbours(self._granted_map(state)), candidates)
         if not candidates:
             return self._settle(state, now_ms)
@@ -258,8 +258,8 @@
             if now_ms - state.servers_since_ms < STABLE_SERVERS_MS:
                 return []
             keymap = first_assignment(state.keymap, planner.initial_pieces(candidates))
-            if self._lost_until_ms is not None:
-                keymap = self._revoked_everywhere(keymap, view, self._lost_until_ms)
+            if self._missing_until_ms is not None:
+                keymap = self._revoked_everywhere(keymap, view, self._missing_until_ms)
             return self._store(state, keymap, candidates)
         return self._plan_moves(state, candidates, view.rates, now_ms) or self._settle(
             state, now_ms
@@ -329,11 +329,11 @@
         now_ms: float,
     ) -> list[Action]:
         usable = {candidate.holder.server_id for candidate in candidates}
-        raised = self._raised(state, usable)
-        if raised:
-            return self._store(state, begin_moves(self._granted_map(state), raised), candidates)
+        regrants = self._regrants(state, usable)
+        if regrants:
+            return self._store(state, begin_moves(self._granted_map(state), regrants), candidates)
         urgent = any(item.holder.server_id not in usable for item in state.keymap.ranges)
-        if not urgent and now_ms - state.planned_ms < PLAN_EVERY_MS:
+        if not urgent and now_ms - state.planned_ms < PLAN_INTERVAL_MS:
             return []
         state.planned_ms = now_ms
         resting = {
@@ -350,7 +350,7 @@
             return []
         return self._store(state, begin_moves(merge_neighbours(keymap), moves), candidates)
 
-    def _raised(self, state: _ServiceState, usable: Collection[str]) -> list[Move]:
+    def _regrants(self, state: _ServiceState, usable: Collection[str]) -> list[Move]:
         """Return grants at new tokens for ranges of holders of which another life may answer.
 
         It would take a renewal, and hold keys at a token that did not rise. A new token is
@@ -387,8 +387,8 @@
         if ids != state.server_ids:
             state.server_ids = ids
             state.servers_since_ms = now_ms
-            self._note_lives(view.records)
-        reachable = [record for record in records if not self._avoided(record.server_id, now_ms)]
+            self._note_incarnations(view.records)
+        reachable = [record for record in records if not self._is_avoided(record.server_id, now_ms)]
         if len(reachable) * 2 < len(records):
             return []  # it is rather this node that is cut off
         resting = [record for record in reachable if record.server_id in view.shedding]
@@ -405,7 +405,7 @@
             for record in reachable
         ]
 
-    def _note_lives(self, records: Sequence[ServerRecord]) -> None:
+    def _note_incarnations(self, records: Sequence[ServerRecord]) -> None:
         """Wait no more for lives that are over, since their servers run elsewhere by now.
 
         One that is back at its address is asked to release what the life before held, as
@@ -422,14 +422,14 @@
                 lease.note_superseded()
                 self._end_transfers_from(holder)
 
-    def _avoided(self, server_id: str, now_ms: float) -> bool:
+    def _is_avoided(self, server_id: str, now_ms: float) -> bool:
         lease = self._leases.get(server_id)
-        return lease is not None and lease.avoided(now_ms)
+        return lease is not None and lease.is_avoided(now_ms)
 
-    def _check_reach(self, views: Mapping[str, ServiceView], now_ms: float) -> list[Action]:
+    def _check_connectivity(self, views: Mapping[str, ServiceView], now_ms: float) -> list[Action]:
         """Give the lease back when most servers cannot be reached from here."""
         server_ids = [record.server_id for view in views.values() for record in view.records]
-        avoided = sum(self._avoided(server_id, now_ms) for server_id in server_ids)
+        avoided = sum(self._is_avoided(server_id, now_ms) for server_id in server_ids)
         if avoided * 2 <= len(server_ids):
             self._cut_off_since_ms = None
             return []
@@ -499,16 +499,16 @@
             return transfer is not None and transfer.target == holder
         planned = state.storing or state.keymap
         granted = self._granted_ranges(state).holders.get(name)
-        return granted == holder and self._stays(planned, holder, name)
+        return granted == holder and self._stays_with(planned, holder, name)
 
-    def _stays(self, planned: KeyMap, holder: Holder, name: RangeId) -> bool:
+    def _stays_with(self, planned: KeyMap, holder: Holder, name: RangeId) -> bool:
         """Whether a range stays with its holder in the map that is being stored."""
         item = planned.find(name.first)
         return item is not None and item.holder == holder
 
     def grant_sent(self, holder: Holder, now_ms: float) -> None:
         """A grant leaves right now."""
-        self._lease(holder).sent(now_ms)
+        self._lease(holder).note_grant_sent(now_ms)
 
     def grant_ended(self, call: SendGrant, outcome: CallOutcome, now_ms: float) -> list[Action]:
         """A grant was answered, or not."""
@@ -520,14 +520,14 @@
             if state is not None and transfer is not None:
                 transfer.grant_ended(outcome is CallOutcome.DONE, now_ms)
                 if outcome is CallOutcome.DONE:
-                    lease.granted(call.range_id, now_ms)
+                    lease.note_granted(call.range_id, now_ms)
                 state.granted = None
             return actions
-        lease.renewal_ended(call.range_id, now_ms, outcome is CallOutcome.DONE)
+        lease.note_renewal_ended(call.range_id, now_ms, outcome is CallOutcome.DONE)
         if outcome is CallOutcome.DONE:
             return actions + self._renewals(lease, now_ms)
         if outcome is CallOutcome.REFUSED and self.may_send(call.holder, call.range_id, True):
-            # Nobody here moves this range, so a newer leader raised its token.
+            # Nobody here moves this range, so a newer leader regrants its token.
             actions.append(StepDown())
         return actions
 
@@ -554,13 +554,13 @@
         if outcome is CallOutcome.OTHER_INSTANCE:
             return self._note_ended(lease)
         if outcome in {CallOutcome.DONE, CallOutcome.REFUSED}:
-            lease.answered(now_ms)
+            lease.note_answer(now_ms)
         elif outcome in {CallOutcome.NO_ANSWER, CallOutcome.NOT_LISTENING}:
-            lease.failed(now_ms)
+            lease.note_no_answer(now_ms)
         return []
 
     def _note_ended(self, lease: HolderLease) -> list[Action]:
-        lease.ended()
+        lease.note_stopped()
         self._end_transfers_from(lease.holder)
         return [ForgetServer(lease.holder.server_id)]
 
@@ -602,7 +602,7 @@
 
         :param renewable_until_ms: until when another leader may renew grants of lost maps.
         """
-        self._lost_until_ms = renewable_until_ms
+        self._missing_until_ms = renewable_until_ms
 
     def _revoked_everywhere(
         self, keymap: KeyMap, view: ServiceView, renewable_until_ms: float
@@ -638,12 +638,12 @@
         """Take a map that the store has; it may have been on its way before a promotion."""
         listed = {standby.token for item in keymap.ranges for standby in item.standbys}
         state.promoted &= listed
-        state.unsaved = False
+        state.has_unstored_promotions = False
         self._adopt(state, keymap, now_ms)
 
     def _adopt(self, state: _ServiceState, keymap: KeyMap, now_ms: float) -> None:
         promoted = promote(keymap, state.promoted)
-        state.unsaved = state.unsaved or promoted is not keymap
+        state.has_unstored_promotions = state.has_unstored_promotions or promoted is not keymap
         keymap = promoted
         state.keymap = keymap
         state.granted = None
--- a/ploverhatch/sharding/load.py
+++ b/ploverhatch/sharding/load.py
@@ -10,14 +10,14 @@
 WINDOW_MS = 8000.0
 RECENT_MS = 1000.0
 MIN_SPAN_MS = 500.0
-COMPLETED_MS = 1500.0  # over which answers are counted
-SURE_CHANGE = 3.0  # standard deviations that a key's recent count is off the expected one
+COMPLETION_WINDOW_MS = 1500.0  # over which answers are counted
+CHANGE_DEVIATIONS = 3.0  # standard deviations that a key's recent count is off the expected one
 MAX_SAMPLES = 64  # of one server
-LEAST_TIMES = 6  # fewer say nothing of a server
-TYPICAL_PART = 0.25  # of the answers are faster than the typical time
+MIN_SAMPLES = 6  # fewer say nothing of a server
+TYPICAL_FRACTION = 0.25  # of the answers are faster than the typical time
 BEHIND_MEMORY_MS = 10_000.0  # until a server that fell behind and lost its keys is tried again
-BEHIND_PART = 0.5  # a server that completes less than this of what it is asked falls behind,
-SURELY_BEHIND = 2.5  # ... if the gap is so many standard deviations of both counts
+BEHIND_FRACTION = 0.5  # a server that completes less than this of what it is asked falls behind,
+BEHIND_DEVIATIONS = 2.5  # ... if the gap is so many standard deviations of both counts
 UNRESPONSIVE_MS = 500.0  # longer than reports take to come, and than most answers take
 UNRESPONSIVE_REQUESTS = 6.0  # without one answer; by chance that happens in 1 of 400 such spans
 
@@ -65,7 +65,7 @@
         rates = {}
         for key, count in self._total.items():
             expected = count * recent_ms / span_ms
-            changed = abs(recent[key] - expected) > SURE_CHANGE * math.sqrt(expected)
+            changed = abs(recent[key] - expected) > CHANGE_DEVIATIONS * math.sqrt(expected)
             rates[key] = recent[key] * 1000 / recent_ms if changed else count * 1000 / span_ms
         return rates
 
@@ -106,13 +106,13 @@
         self._times.setdefault(server_id, deque(maxlen=MAX_SAMPLES)).extend(times_ms)
         completed = self._completed.setdefault(server_id, deque())
         completed.append((now_ms, len(times_ms)))
-        while completed[0][0] < now_ms - COMPLETED_MS:
+        while completed[0][0] < now_ms - COMPLETION_WINDOW_MS:
             completed.popleft()
 
     def max_service_ms(self, server_id: str, slots: int, now_ms: float) -> float:
         """Return what a request can take at most, from what the server completed lately."""
-        done = self._done(server_id, now_ms)
-        return slots * COMPLETED_MS / done if done else math.inf
+        completed = self._completed_lately(server_id, now_ms)
+        return slots * COMPLETION_WINDOW_MS / completed if completed else math.inf
 
     def saturated_service_ms(
         self, server_id: str, slots: int, rate: float, now_ms: float
@@ -128,35 +128,38 @@
         if not rate:
             judged_ms, service_ms = self._behind.get(server_id, (-math.inf, 0.0))
             return service_ms if now_ms - judged_ms < BEHIND_MEMORY_MS else None
-        if now_ms - self._known_ms.get(server_id, now_ms) < COMPLETED_MS:
+        if now_ms - self._known_ms.get(server_id, now_ms) < COMPLETION_WINDOW_MS:
             return None
-        done = self._done(server_id, now_ms)
-        asked = rate * COMPLETED_MS / 1000
-        behind = asked - done
-        if done > asked * BEHIND_PART or behind < SURELY_BEHIND * math.sqrt(asked + done):
+        completed = self._completed_lately(server_id, now_ms)
+        asked = rate * COMPLETION_WINDOW_MS / 1000
+        behind = asked - completed
+        if completed > asked * BEHIND_FRACTION or behind < BEHIND_DEVIATIONS * math.sqrt(
+            asked + completed
+        ):
             return None
-        service_ms = slots * COMPLETED_MS / max(done, 1)
+        service_ms = slots * COMPLETION_WINDOW_MS / max(completed, 1)
         self._behind[server_id] = now_ms, service_ms
         return service_ms
 
-    def _done(self, server_id: str, now_ms: float) -> int:
+    def _completed_lately(self, server_id: str, now_ms: float) -> int:
         """Return how many requests a server completed lately."""
         counts = self._completed.get(server_id, ())
-        return sum(count for taken_ms, count in counts if taken_ms >= now_ms - COMPLETED_MS)
+        return sum(count for taken_ms, count in counts if taken_ms >= now_ms - COMPLETION_WINDOW_MS)
 
     def service_ms(self, server_ids: Collection[str]) -> dict[str, float]:
         """Return the time per request of each of the servers of one service."""
-        readings = {
-            name: _reading(times)
+        summaries = {
+            name: _mean_and_typical_ms(times)
             for name in server_ids
-            if len(times := self._times.get(name, ())) >= LEAST_TIMES
+            if len(times := self._times.get(name, ())) >= MIN_SAMPLES
         }
-        if not readings:
+        if not summaries:
             return dict.fromkeys(server_ids, self.default_ms)
-        ratio = median(mean / max(typical, 0.1) for mean, typical in readings.values())
-        usual_ms = median(typical for _, typical in readings.values()) * ratio
+        ratio = median(mean / max(typical, 0.1) for mean, typical in summaries.values())
+        usual_ms = median(typical for _, typical in summaries.values()) * ratio
         return {
-            name: readings[name][1] * ratio if name in readings else usual_ms for name in server_ids
+            name: summaries[name][1] * ratio if name in summaries else usual_ms
+            for name in server_ids
         }
 
     def answered_ms(self, server_id: str) -> float:
@@ -184,7 +187,7 @@
         return since_ms >= UNRESPONSIVE_MS and rate * since_ms / 1000 >= UNRESPONSIVE_REQUESTS
 
 
-def _reading(times_ms: Collection[float]) -> tuple[float, float]:
+def _mean_and_typical_ms(times_ms: Collection[float]) -> tuple[float, float]:
     """Return mean and typical time."""
     ordered = sorted(times_ms)
-    return sum(ordered) / len(ordered), ordered[int(len(ordered) * TYPICAL_PART)]
+    return sum(ordered) / len(ordered), ordered[int(len(ordered) * TYPICAL_FRACTION)]
--- a/ploverhatch/sharding/planner.py
+++ b/ploverhatch/sharding/planner.py
@@ -16,12 +16,12 @@
 
 MAX_RANGES = 400  # of one map
 MERGE_ABOVE_RANGES = 100  # beyond it, neighbours are joined
-TIDY_MOVES = 4  # in one round
-NARROW = 512  # keys: a range that is narrower and idle goes back to its neighbours' holder
-IDLE = 0.02  # utilisation
-PIECES_OF_LOST = 4  # a lost range is dealt out in at most so many pieces
-DOMINANT = 0.6  # of a server: a key that takes more is *dominant* and gets it alone
-FASTER = 0.8  # a server whose work takes this part of another's is clearly faster
+MAX_MERGE_MOVES = 4  # in one round
+NARROW_KEYS = 512  # keys: a range that is narrower and idle goes back to its neighbours' holder
+IDLE_UTILISATION = 0.02  # utilisation
+MAX_LOST_PIECES = 4  # a lost range is divided in at most so many pieces
+DOMINANT_UTILISATION = 0.6  # of a server: a key that takes more is *dominant* and gets it alone
+FASTER_FRACTION = 0.8  # a server whose work takes this part of another's is clearly faster
 DEFAULT_SERVICE_MS = 100.0  # of a server that has answered nothing yet
 KEY_WEIGHT = 0.2  # utilisation that holding all keys counts for, to spread idle keys
 
@@ -67,7 +67,7 @@
         """Return the part of the server that ``rate`` requests a second take."""
         return rate * self.cost_ms / 1000
 
-    def chance(self, rate: float, window_s: float) -> float:
+    def utilisation_deviation(self, rate: float, window_s: float) -> float:
         """Return the standard deviation of the utilisation that a measured rate shows."""
         return self.utilisation(math.sqrt(rate / window_s))
 
@@ -95,10 +95,10 @@
     total = sum(candidate.slots for candidate in candidates)
     pieces = []
     start = 0
-    dealt = 0
+    slots_placed = 0
     for candidate in candidates:
-        dealt += candidate.slots
-        end = KEY_COUNT * dealt // total
+        slots_placed += candidate.slots
+        end = KEY_COUNT * slots_placed // total
         if end > start:
             pieces.append(Move(start, end - 1, candidate.holder))
         start = end
@@ -120,7 +120,7 @@
         self.rates = rates
         self.shares = {item.holder.server_id: _Share(item) for item in candidates}
         self.moves: list[Move] = []
-        self.taken: set[int] = set()  # keys that this round has dealt with
+        self.handled: set[int] = set()  # keys that this round has handled
         self.dominated: set[str] = set()  # servers that one key fills
         for item in keymap.ranges:
             share = self.shares.get(item.holder.server_id)
@@ -128,7 +128,7 @@
                 share.rate += self.rate_of(item.first, item.last)
                 share.keys += item.width
 
-    def free_shares(self) -> list[_Share]:
+    def unlimited_shares(self) -> list[_Share]:
         """Return the shares of servers that no key fills, and that name no limit."""
         return [
             share
@@ -142,7 +142,7 @@
     def rate_of(self, first: int, last: int) -> float:
         return sum(self.rates[key] for key in self.keys_within(first, last))
 
-    def idlest_with(self, first: int, last: int) -> _Share:
+    def least_loaded_with(self, first: int, last: int) -> _Share:
         """Return the server that is the least loaded once it holds some more keys."""
         rate = self.rate_of(first, last)
         return min(
@@ -150,7 +150,7 @@
             key=lambda share: share.pressure + share.candidate.utilisation(rate),
         )
 
-    def give(self, first: int, last: int, target: _Share, source: _Share | None = None) -> None:
+    def assign(self, first: int, last: int, target: _Share, source: _Share | None = None) -> None:
         rate = self.rate_of(first, last)
         target.rate += rate
         target.keys += last - first + 1
@@ -164,7 +164,7 @@
     keymap: KeyMap,
     candidates: Sequence[Candidate],
     rates: Mapping[int, float],
-    resting: Collection[int] = (),
+    pinned: Collection[int] = (),
     limits: PlanLimits | None = None,
 ) -> list[Move]:
     """Return the moves of one round.
@@ -172,33 +172,33 @@
     :param candidates: servers that may hold keys; holders that are not among
         them lose their keys.
     :param rates: requests per second by key.
-    :param resting: keys that were moved by themselves lately, and stay.
+    :param pinned: keys that were moved by themselves lately, and stay.
     """
     if not candidates:
         return []
     plan = _Plan(keymap, candidates, rates, limits or PlanLimits())
-    _rehome(plan, keymap)
+    _reassign_lost(plan, keymap)
     if not plan.moves and len(keymap.ranges) < MAX_RANGES:
-        _relieve_limited(plan, keymap, resting)
-        _isolate_dominant(plan, keymap, resting)
-        _even_out(plan, keymap)
+        _relieve_limited(plan, keymap, pinned)
+        _isolate_dominant(plan, keymap, pinned)
+        _balance(plan, keymap)
     if not plan.moves and len(keymap.ranges) > MERGE_ABOVE_RANGES:
-        _tidy(plan, keymap)
+        _merge_ranges(plan, keymap)
     return plan.moves
 
 
-def _rehome(plan: _Plan, keymap: KeyMap) -> None:
+def _reassign_lost(plan: _Plan, keymap: KeyMap) -> None:
     """Deal out the keys of holders that may hold none."""
     lost = [item for item in keymap.ranges if item.holder.server_id not in plan.shares]
     for item in sorted(lost, key=lambda item: -plan.rate_of(item.first, item.last)):
-        for first, last in _pieces(plan, item):
-            plan.give(first, last, plan.idlest_with(first, last))
+        for first, last in _split_lost(plan, item):
+            plan.assign(first, last, plan.least_loaded_with(first, last))
 
 
-def _pieces(plan: _Plan, item: KeyRange) -> list[tuple[int, int]]:
+def _split_lost(plan: _Plan, item: KeyRange) -> list[tuple[int, int]]:
     """Cut a range into pieces of about equal load, a few at most."""
     keys = plan.keys_within(item.first, item.last)
-    count = min(PIECES_OF_LOST, len(plan.shares), item.width)
+    count = min(MAX_LOST_PIECES, len(plan.shares), item.width)
     total = plan.rate_of(item.first, item.last)
     if count < 2 or total <= 0 or len(keys) < count:
         return [(item.first, item.last)]
@@ -215,7 +215,7 @@
     return pieces
 
 
-def _relieve_limited(plan: _Plan, keymap: KeyMap, resting: Collection[int]) -> None:
+def _relieve_limited(plan: _Plan, keymap: KeyMap, pinned: Collection[int]) -> None:
     """Give keys that are too much for a limited server to those that name no limit.
 
     Evening out passes such a key over: its move makes the other server the busier one.
@@ -230,62 +230,70 @@
             for item in keymap.held_by(share.candidate.holder.server_id)
             if item.settled
             for key in plan.keys_within(item.first, item.last)
-            if share.candidate.utilisation(plan.rates[key]) >= DOMINANT and key not in resting
+            if share.candidate.utilisation(plan.rates[key]) >= DOMINANT_UTILISATION
+            and key not in pinned
         ]
         for key in sorted(keys, key=lambda key: -plan.rates[key]):
             if len(plan.moves) >= plan.limits.max_moves:
                 return
             rate = plan.rates[key]
-            target = min(free, key=lambda other: other.pressure + _added(other, rate))
-            if target.utilisation + _added(target, rate) < FASTER * share.utilisation:
-                plan.give(key, key, target, share)
-                plan.taken.add(key)
+            target = min(free, key=lambda other: other.pressure + _added_utilisation(other, rate))
+            if (
+                target.utilisation + _added_utilisation(target, rate)
+                < FASTER_FRACTION * share.utilisation
+            ):
+                plan.assign(key, key, target, share)
+                plan.handled.add(key)
 
 
-def _added(share: _Share, rate: float) -> float:
+def _added_utilisation(share: _Share, rate: float) -> float:
     return share.candidate.utilisation(rate)
 
 
-def _isolate_dominant(plan: _Plan, keymap: KeyMap, resting: Collection[int]) -> None:
+def _isolate_dominant(plan: _Plan, keymap: KeyMap, pinned: Collection[int]) -> None:
     """Give a key that fills a server by itself a fast server of its own."""
     for key in sorted(plan.rates, key=lambda key: -plan.rates[key])[: plan.limits.max_moves]:
         item = keymap.find(key)
         share = plan.shares.get(item.holder.server_id) if item else None
         if item is None or share is None or share.candidate.limited:
             continue
-        if share.candidate.utilisation(plan.rates[key]) < DOMINANT:
+        if share.candidate.utilisation(plan.rates[key]) < DOMINANT_UTILISATION:
             return  # the keys that follow are less busy
-        plan.taken.add(key)
+        plan.handled.add(key)
         plan.dominated.add(item.holder.server_id)
         if item.settled:
-            _give_dominant(plan, keymap, key, item, share, key not in resting)
+            _place_dominant(plan, keymap, key, item, share, key not in pinned)
 
 
-def _give_dominant(
+def _place_dominant(
     plan: _Plan, keymap: KeyMap, key: int, item: KeyRange, share: _Share, movable: bool
 ) -> None:
-    fastest = min(plan.free_shares(), key=lambda other: other.candidate.cost_ms, default=None)
-    if movable and fastest and fastest.candidate.cost_ms < FASTER * share.candidate.cost_ms:
-        plan.give(key, key, fastest, share)
+    fastest = min(plan.unlimited_shares(), key=lambda other: other.candidate.cost_ms, default=None)
+    if (
+        movable
+        and fastest
+        and fastest.candidate.cost_ms < FASTER_FRACTION * share.candidate.cost_ms
+    ):
+        plan.assign(key, key, fastest, share)
         plan.dominated.add(fastest.candidate.holder.server_id)
         return
     for other in keymap.held_by(item.holder.server_id):
         if other.settled:
-            _clear_around(plan, key, other, share)
+            _move_others_off(plan, key, other, share)
 
 
-def _clear_around(plan: _Plan, key: int, item: KeyRange, share: _Share) -> None:
+def _move_others_off(plan: _Plan, key: int, item: KeyRange, share: _Share) -> None:
     """Move the other busy keys of a range off a server that one key fills."""
     parts = [(item.first, item.last)]
     if item.first <= key <= item.last:
         parts = [(item.first, key - 1), (key + 1, item.last)]
     for first, last in parts:
-        free = plan.free_shares()
+        free = plan.unlimited_shares()
         if free and first <= last and plan.keys_within(first, last):
-            plan.give(first, last, min(free, key=lambda other: other.pressure), share)
+            plan.assign(first, last, min(free, key=lambda other: other.pressure), share)
 
 
-def _even_out(plan: _Plan, keymap: KeyMap) -> None:
+def _balance(plan: _Plan, keymap: KeyMap) -> None:
     """Move narrow ranges from the busiest server to the idlest."""
     limits = plan.limits
     while len(plan.moves) < limits.max_moves:
@@ -295,20 +303,22 @@
         busiest = max(shares, key=lambda share: share.utilisation)
         idlest = min(shares, key=lambda share: share.pressure)
         gap = busiest.utilisation - idlest.utilisation
-        if busiest.utilisation < limits.high_utilisation or gap < _gap(limits, busiest, idlest):
+        if busiest.utilisation < limits.high_utilisation or gap < _required_gap(
+            limits, busiest, idlest
+        ):
             return
         window = _narrowest_window(plan, keymap, busiest, idlest, gap)
         if window is None:
             return
-        plan.taken.update(plan.keys_within(*window))
-        plan.give(window[0], window[1], idlest, busiest)
+        plan.handled.update(plan.keys_within(*window))
+        plan.assign(window[0], window[1], idlest, busiest)
 
 
-def _gap(limits: PlanLimits, busiest: _Share, idlest: _Share) -> float:
+def _required_gap(limits: PlanLimits, busiest: _Share, idlest: _Share) -> float:
     """Return the least gap that is worth a move and surely more than chance."""
     spread = math.hypot(
-        busiest.candidate.chance(busiest.rate, limits.window_s),
-        idlest.candidate.chance(idlest.rate, limits.window_s),
+        busiest.candidate.utilisation_deviation(busiest.rate, limits.window_s),
+        idlest.candidate.utilisation_deviation(idlest.rate, limits.window_s),
     )
     return max(limits.min_gap, limits.gap_deviations * spread)
 
@@ -341,10 +351,10 @@
 
 
 def _untouched_runs(plan: _Plan, item: KeyRange) -> list[list[int]]:
-    """Return the busy keys of a range, divided where a key was dealt with."""
+    """Return the busy keys of a range, divided where a key was handled."""
     runs: list[list[int]] = [[]]
     for key in plan.keys_within(item.first, item.last):
-        if key in plan.taken:
+        if key in plan.handled:
             runs.append([])
         else:
             runs[-1].append(key)
@@ -386,47 +396,47 @@
     return narrowest or busiest
 
 
-def _tidy(plan: _Plan, keymap: KeyMap) -> None:
+def _merge_ranges(plan: _Plan, keymap: KeyMap) -> None:
     """Join ranges, so that a map that was divided often stays small.
 
     Neighbours of one holder are granted to it as one range; that takes no
     release. A narrow range that is idle by now goes back to the holder on both
     sides of it.
     """
-    _give_back_idle(plan, keymap)
+    _return_idle(plan, keymap)
     if not plan.moves:
-        _join_neighbours(plan, keymap)
+        _merge_runs(plan, keymap)
 
 
-def _give_back_idle(plan: _Plan, keymap: KeyMap) -> None:
+def _return_idle(plan: _Plan, keymap: KeyMap) -> None:
     triples = zip(keymap.ranges, keymap.ranges[1:], keymap.ranges[2:], strict=False)
-    last_given = -1
+    last_assigned = -1
     for before, item, after in triples:
-        if len(plan.moves) >= TIDY_MOVES:
+        if len(plan.moves) >= MAX_MERGE_MOVES:
             return
         share = plan.shares.get(before.holder.server_id)
-        embedded = before.holder == after.holder != item.holder and item.width <= NARROW
-        still = before.settled and item.settled and after.settled and before.first > last_given
-        if not embedded or not still or share is None:
+        embedded = before.holder == after.holder != item.holder and item.width <= NARROW_KEYS
+        settled = before.settled and item.settled and after.settled and before.first > last_assigned
+        if not embedded or not settled or share is None:
             continue
-        if share.candidate.utilisation(plan.rate_of(item.first, item.last)) <= IDLE:
-            plan.give(item.first, item.last, share, plan.shares.get(item.holder.server_id))
-            last_given = item.last
+        if share.candidate.utilisation(plan.rate_of(item.first, item.last)) <= IDLE_UTILISATION:
+            plan.assign(item.first, item.last, share, plan.shares.get(item.holder.server_id))
+            last_assigned = item.last
 
 
-def _join_neighbours(plan: _Plan, keymap: KeyMap) -> None:
+def _merge_runs(plan: _Plan, keymap: KeyMap) -> None:
     run: list[KeyRange] = []
     for item in keymap.ranges:
         if run and item.settled and run[-1].holder == item.holder:
             run.append(item)
             continue
-        _join(plan, run)
+        _add_merge(plan, run)
         run = [item] if item.settled else []
-        if len(plan.moves) >= TIDY_MOVES:
+        if len(plan.moves) >= MAX_MERGE_MOVES:
             return
-    _join(plan, run)
+    _add_merge(plan, run)
 
 
-def _join(plan: _Plan, run: list[KeyRange]) -> None:
+def _add_merge(plan: _Plan, run: list[KeyRange]) -> None:
     if len(run) > 1:
         plan.moves.append(Move(run[0].first, run[-1].last, run[0].holder))
--- a/ploverhatch/sharding/standbys.py
+++ b/ploverhatch/sharding/standbys.py
@@ -71,7 +71,7 @@
 
 
 def _promoted(item: KeyRange, tokens: Collection[int]) -> KeyRange:
-    for standby in sorted(item.standbys, key=lambda one: one.token):
+    for standby in sorted(item.standbys, key=lambda standby: standby.token):
         if standby.token not in tokens:
             continue
         if standby.token > item.token:
--- a/ploverhatch/sharding/transfer.py
+++ b/ploverhatch/sharding/transfer.py
@@ -20,7 +20,7 @@
 
     range_id: RangeId
     target: Holder
-    waiting: dict[str, Holder]  # previous holders that may still hold it
+    pending: dict[str, Holder]  # previous holders that may still hold it
     expiries_ms: dict[str, float]
     # They hardly ever held the range: what they hand over says nothing of it.
     former_standbys: frozenset[str] = frozenset()
@@ -46,7 +46,7 @@
 
         :param now_ms: the map that says that the range moves is in the store by then.
         """
-        waiting = {
+        pending = {
             holder.server_id: holder
             for holder in (*item.previous, *item.former_standbys)
             if not (holder.server_id in leases and leases[holder.server_id].superseded)
@@ -56,10 +56,10 @@
             server_id: max(leases[server_id].held_until_ms, unused_ms)
             if server_id in leases
             else unused_ms
-            for server_id in waiting
+            for server_id in pending
         }
         former = frozenset(holder.server_id for holder in item.former_standbys)
-        return cls(name, item.holder, waiting, lapses, former)
+        return cls(name, item.holder, pending, lapses, former)
 
     def calls(
         self, now_ms: float, may_release: Callable[[str], bool] = lambda server_id: True
@@ -70,18 +70,18 @@
         """
         if self.done:
             return []
-        for server_id in list(self.waiting):
+        for server_id in list(self.pending):
             if now_ms >= self.expiries_ms[server_id]:
-                del self.waiting[server_id]
+                del self.pending[server_id]
         releases = [
             SendRelease(holder, self.range_id)
-            for server_id, holder in self.waiting.items()
+            for server_id, holder in self.pending.items()
             if self._due(server_id, now_ms)
             and server_id not in self.releasing
             and may_release(server_id)
         ]
         self.releasing.update(call.holder.server_id for call in releases)
-        if self.waiting:
+        if self.pending:
             return list(releases)
         if self.granting or not self._due(self.target.server_id, now_ms):
             return []
@@ -94,7 +94,7 @@
     def released(self, server_id: str, handover: str) -> None:
         """A previous holder gave the range back."""
         self.releasing.discard(server_id)
-        self.waiting.pop(server_id, None)
+        self.pending.pop(server_id, None)
         if server_id not in self.former_standbys:
             self.handover = handover or self.handover
 
--- a/ploverhatch/sharding/view.py
+++ b/ploverhatch/sharding/view.py
@@ -9,7 +9,7 @@
 """
 
 MAP_TRUST_MS = 3000.0
-SPREAD_MARGIN_MS = 300.0  # for requests on their way, and clocks that drift
+IN_FLIGHT_MARGIN_MS = 300.0  # for requests on their way, and clocks that drift
 
 
 def map_is_trusted(current_ms: float, now_ms: float) -> bool:
@@ -22,4 +22,4 @@
 
 def unused_from_ms(changed_ms: float) -> float:
     """Return from when no node sends requests by maps before a change."""
-    return changed_ms + MAP_TRUST_MS + SPREAD_MARGIN_MS
+    return changed_ms + MAP_TRUST_MS + IN_FLIGHT_MARGIN_MS
--- a/tests/unit/test_answer_times.py
+++ b/tests/unit/test_answer_times.py
@@ -1,6 +1,11 @@
 """Whether servers answer at all, from the reports of all nodes."""
 
-from ploverhatch.sharding.load import BEHIND_MEMORY_MS, COMPLETED_MS, UNRESPONSIVE_MS, AnswerTimes
+from ploverhatch.sharding.load import (
+    BEHIND_MEMORY_MS,
+    COMPLETION_WINDOW_MS,
+    UNRESPONSIVE_MS,
+    AnswerTimes,
+)
 
 
 def times():
@@ -61,7 +66,7 @@
 def test_a_server_that_is_known_for_a_moment_is_not_judged():
     made = AnswerTimes()
     made.add("s0", [200], 0.0)
-    assert made.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETED_MS - 1) is None
+    assert made.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETION_WINDOW_MS - 1) is None
 
 
 # A server that had lost its busy keys was taken for one that completes nothing, and got none again.
--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -182,7 +182,7 @@
 
 
 def test_weak_machines_leave_a_claim_to_strong_ones():
-    latest_look_ms = 12 * election.SPREAD_EACH_MS + 250.0  # of a node that missed a beacon
+    latest_look_ms = 12 * election.SPREAD_PER_NODE_MS + 250.0  # of a node that missed a beacon
     assert election.claim_delay_ms(weak()) > latest_look_ms
     assert election.claim_delay_ms(ElectionState("s", "1")) == 0.0
 
@@ -196,7 +196,7 @@
     assert election.read_interval_ms(state, 100.0, 0.5) == election.READ_INTERVAL_MS
     now_ms = TAKEOVER_MS - 400.0
     assert election.read_interval_ms(state, now_ms, 0.0) == 400.0
-    assert election.read_interval_ms(state, now_ms, 1.0) == 400.0 + election.SPREAD_EACH_MS
+    assert election.read_interval_ms(state, now_ms, 1.0) == 400.0 + election.SPREAD_PER_NODE_MS
     many = replace(state, strongest_count=300)
     assert election.read_interval_ms(many, now_ms, 1.0) == 400.0 + election.READ_INTERVAL_MS
     assert (
@@ -205,7 +205,7 @@
 
 
 def test_a_weak_leader_hands_over_after_a_while_and_a_strong_one_does_not():
-    led_ms = election.LEAST_LEAD_MS
+    led_ms = election.MIN_LEAD_MS
     leading = replace(weak(), leading=True)
     assert election.should_hand_over(leading, 1.0, led_ms)
     assert not election.should_hand_over(leading, 1.0, led_ms - 1)
@@ -229,7 +229,7 @@
     assert pauses == sorted(pauses)
     asked = sum(sum(pauses[:count]) < 8000.0 for count in range(len(pauses)))
     assert asked <= 6
-    assert pauses[-1] == election.LONGEST_OUTAGE_RETRY_MS
+    assert pauses[-1] == election.MAX_OUTAGE_RETRY_MS
 
 
 def test_in_an_outage_those_that_may_lead_ask_at_a_steady_pace():
--- a/tests/unit/test_packing.py
+++ b/tests/unit/test_packing.py
@@ -67,4 +67,4 @@
 
 def test_what_unpacks_to_too_much_is_refused():
     with pytest.raises(ValueError):
-        packing.unpack(packing.pack("x" * (packing.MAX_WHOLE_BYTES + 1)), str)
+        packing.unpack(packing.pack("x" * (packing.MAX_MESSAGE_BYTES + 1)), str)
--- a/tests/unit/test_renewals.py
+++ b/tests/unit/test_renewals.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ploverhatch.sharding.holders import LEASE_MS, MOST_LATE_CALLS
+from ploverhatch.sharding.holders import LEASE_MS, MAX_LATE_CALLS
 from ploverhatch.sharding.keymap import LAST_KEY, Holder, KeyMap, Move, first_assignment, settle
 from ploverhatch.sharding.leader_core import LeaderCore
 from ploverhatch.sharding.messages import CallOutcome, SendGrant, ServiceView, StoreMap, range_id
@@ -104,7 +104,7 @@
             term.end_call()
         term.carry_out(term.core.tick(tick * TICK_MS, term.views, False), tick * TICK_MS)
         most = max([most, *Counter(call[2].holder for call in term.calls).values()])
-    assert most == MOST_LATE_CALLS
+    assert most == MAX_LATE_CALLS
 
 
 def test_a_slow_holder_gets_no_more_calls_for_it():
