--- a/ploverhatch/sharding/__init__.py
+++ b/ploverhatch/sharding/__init__.py
@@ -1,1 +1,1 @@
-"""Which server holds which range of keys."""
+"""Assignment of key ranges to servers, and its changes."""
--- a/ploverhatch/sharding/backoff_reports.py
+++ b/ploverhatch/sharding/backoff_reports.py
@@ -1,19 +1,19 @@
-"""Holders that turn requests away and ask for backoff, as the reports of nodes tell. Pure.
+"""Backoffs that holders asked for with a 503 answer, from the reports of all nodes.
 
-A backoff is asked of one node. Where a server asks it of whoever comes and answers nobody, its
-keys are not served before it has recovered: then others serve them better. Times are
-milliseconds of the leader's elapsed clock.
+A server asks each node for a backoff separately. If it asks every node and answers no request,
+its keys are not served until it has recovered, so they are better moved to other servers.
+
+This module does no I/O and reads no clock. Times are milliseconds of the leader's elapsed clock.
 """
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-SHEDDING_MS = 600.0  # of rests without one answer: two reports of every node
-REPORT_DELAY_MS = 350.0  # an answer is reported so much after it was given at most
-MIN_REMAINING_MS = (
-    1000.0  # a move takes most of that: where less of a backoff is left, it is over sooner
-)
-MERGE_GAP_MS = 1000.0  # between rests of one server that are taken as one
+SHEDDING_MS = 600.0  # backoff without an answer; each node reports twice in that time
+REPORT_DELAY_MS = 350.0  # an answer is reported at most this long after it was received
+# A move takes most of this time, so a shorter backoff ends before its keys are served elsewhere.
+MIN_REMAINING_MS = 1000.0
+MERGE_GAP_MS = 1000.0  # backoffs of a server that are less apart count as one
 
 
 @dataclass(slots=True)
@@ -23,13 +23,13 @@
 
 
 class BackoffReports:
-    """What the nodes report of servers' rests."""
+    """The backoffs of servers that nodes have reported."""
 
     def __init__(self) -> None:
         self._backoffs: dict[str, _Backoff] = {}
 
     def add(self, left_ms: Mapping[str, float], now_ms: float) -> None:
-        """Take the rests that a node keeps, and how much of each is left."""
+        """Add the backoffs that a node observes, as the time left of each by server."""
         for server_id, backoff_ms in left_ms.items():
             backoff = self._backoffs.get(server_id)
             if backoff is None or backoff.until_ms + MERGE_GAP_MS < now_ms:
@@ -37,9 +37,9 @@
             backoff.until_ms = max(backoff.until_ms, now_ms + backoff_ms)
 
     def shedding(self, answered_ms: Callable[[str], float], now_ms: float) -> frozenset[str]:
-        """Return the servers whose keys others had better serve.
+        """Return the servers whose keys are better moved to other servers.
 
-        :param answered_ms: when a server's answers were reported last.
+        :param answered_ms: returns when answers of a server were last reported.
         """
         return frozenset(
             server_id
@@ -50,7 +50,7 @@
         )
 
     def expire(self, now_ms: float) -> None:
-        """Forget rests that are long over."""
+        """Drop backoffs that ended more than ``MERGE_GAP_MS`` ago."""
         for server_id in [
             known
             for known, backoff in self._backoffs.items()
--- a/ploverhatch/sharding/holders.py
+++ b/ploverhatch/sharding/holders.py
@@ -1,4 +1,7 @@
-"""What the leader knows of each server as a holder of keys. Pure; milliseconds."""
+"""The leader's state of each server as a holder of keys.
+
+This module does no I/O and reads no clock. Times are milliseconds of the elapsed clock.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
@@ -6,23 +9,23 @@
 from ploverhatch.sharding.keymap import Holder
 from ploverhatch.sharding.messages import RangeId
 
-LEASE_MS = 4000.0  # of a lease, where the servers allow as much
-RENEW_FRACTION = 0.3  # of a lease's time: then it is renewed
+LEASE_MS = 4000.0  # duration of a lease, unless the servers allow less
+RENEW_FRACTION = 0.3  # part of a lease's duration after which it is renewed
 RETRY_MS = 250.0
-LATE_RENEWAL_MS = 100.0  # a renewal that is not answered by then holds no other one up
-MAX_LATE_CALLS = 4  # to a server that answers nothing else
-LOSSY_MS = 5000.0  # after the last sign that some calls are not answered
+LATE_RENEWAL_MS = 100.0  # an unanswered renewal delays the other renewals no longer than this
+MAX_LATE_CALLS = 4  # unanswered renewals in flight to a server that answers none of them
+LOSSY_MS = 5000.0  # time for which a server counts as lossy after a call was lost
 LOSSY_RETRY_MS = 200.0
-MAX_CALLS = 24  # renewals under way to a server that answers some of them
+MAX_CALLS = 24  # renewals in flight to a lossy server
 CLOCK_DRIFT = 1.02  # a server's clock may run 2% slow
 EXPIRY_MARGIN_MS = 250.0
 UNREACHABLE_MS = 1000.0
-AVOID_MS = 4000.0  # how long a server that could not be reached gets no keys
+AVOID_MS = 4000.0  # time for which an unreachable server is assigned no keys
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Times that follow from how long a lease is held."""
+    """Times that follow from the duration of a lease."""
 
     lease_ms: float = LEASE_MS
 
@@ -32,13 +35,13 @@
         return self.lease_ms * RENEW_FRACTION
 
     def expiry_ms(self, sent_ms: float) -> float:
-        """Return when a lease sent at ``sent_ms`` has surely lapsed."""
+        """Return the time by which a lease sent at ``sent_ms`` has certainly expired."""
         return sent_ms + self.lease_ms * CLOCK_DRIFT + EXPIRY_MARGIN_MS
 
 
 @dataclass(frozen=True, slots=True)
 class _Renewal:
-    """A call that renews a range."""
+    """A call in flight that renews the lease of a range."""
 
     name: RangeId
     sent_ms: float
@@ -46,39 +49,40 @@
 
 @dataclass(slots=True)
 class HolderLease:
-    """One server.
+    """The leases of one incarnation of a server.
 
-    Its ranges are renewed one after the other. A call without an answer holds the others up for
-    ``LATE_RENEWAL_MS`` only, and while some calls are answered and others are not, all that is
-    due is renewed at once, each range again and again until it is answered.
+    Its ranges are renewed one at a time. An unanswered call delays the others for
+    ``LATE_RENEWAL_MS`` only. While the server is lossy, which means that it answers some calls
+    and not others, all due ranges are renewed at once, and each is retried until a renewal of
+    it is answered.
     """
 
     holder: Holder
     timing: LeaseTiming = LeaseTiming()
-    held_until_ms: float = 0.0  # by then every lease sent to it has surely lapsed
+    held_until_ms: float = 0.0  # every lease sent to the server has expired by then
     failing_since_ms: float | None = None
     avoid_until_ms: float = 0.0
-    last_new_range_ms: float = -1e12  # when it got keys that it had not held
-    unresponsive: bool = False  # callers' requests to it are not answered
-    pause_until_ms: float = 0.0  # after a call that was not answered, where no other was
-    lossy_until_ms: float = -1e12  # some calls were answered lately and others not
-    # When renewals were answered last, and when they were sent last, by range.
+    last_new_range_ms: float = -1e12  # when it was last granted a range that it had not held
+    unresponsive: bool = False  # requests of callers to it get no answer
+    pause_until_ms: float = 0.0  # set by an unanswered call while the server is not lossy
+    lossy_until_ms: float = -1e12
+    # Times by range: when its last answered renewal was answered, when its last one was sent.
     renewed_ms: dict[RangeId, float] = field(default_factory=dict)
     tried_ms: dict[RangeId, float] = field(default_factory=dict)
     under_way: list[_Renewal] = field(default_factory=list)
-    probe_due: bool = False  # callers' requests to it are not answered: does it renew?
-    superseded: bool = False  # the server runs elsewhere by now, as another life
-    # Tokens of grants that were acknowledged before its connection broke: another life may
-    # answer by now, and would take a renewal at a token that did not rise.
+    probe_due: bool = False  # a renewal is to be sent at once, to see whether it is answered
+    superseded: bool = False  # a later incarnation of the server runs at another address
+    # Tokens of grants that were acknowledged before the connection closed. A later incarnation
+    # may answer at the address, and would accept a renewal at an unchanged token.
     unproven_tokens: set[int] = field(default_factory=set)
-    next_release_ms: float = 0.0  # of a holder that does not answer: when one is sent again
+    next_release_ms: float = 0.0  # earliest time of the next release while calls fail
 
     def may_release(self, now_ms: float) -> bool:
-        """Whether a release may be sent now.
+        """Whether a release may be sent now; if so, the next one is delayed.
 
-        A holder that does not answer may have hundreds of ranges. One release after
-        the other shows as well whether it answers again, and costs one connection
-        in ``RETRY_MS`` instead of hundreds.
+        A holder that does not answer may have hundreds of ranges. Releases one at a time show
+        equally well whether it answers again, and open one connection per ``RETRY_MS`` instead
+        of hundreds.
         """
         if self.failing_since_ms is None:
             return True
@@ -88,33 +92,40 @@
         return True
 
     def note_grant_sent(self, now_ms: float) -> None:
-        """A grant is being sent right now."""
+        """Record that a grant is sent now."""
         self.held_until_ms = max(self.held_until_ms, self.timing.expiry_ms(now_ms))
 
     def note_stopped(self) -> None:
-        """The server has ended: it holds nothing."""
+        """Record that the server has stopped, so that it holds nothing."""
         self.held_until_ms = 0.0
 
     def note_superseded(self) -> None:
-        """A later life of the server is known at another address: nothing reaches this one."""
+        """Record that a later incarnation runs at another address; no call reaches this one."""
         self.superseded = True
         self.note_stopped()
 
     def note_answer(self, now_ms: float) -> None:
-        """The server answered a call."""
+        """Record that the server answered a call."""
         if self.failing_since_ms is not None:
             self.lossy_until_ms = now_ms + LOSSY_MS
         self.failing_since_ms = None
 
     def note_no_answer(self, now_ms: float) -> None:
-        """No answer to a call; callers' requests that it left unanswered speak against it too."""
+        """Record that the server did not answer a call.
+
+        It is avoided after ``UNREACHABLE_MS``, or at once if requests of callers get no answer
+        either.
+        """
         if self.failing_since_ms is None:
             self.failing_since_ms = now_ms
         if self.unresponsive or now_ms - self.failing_since_ms >= UNREACHABLE_MS:
             self.avoid_until_ms = now_ms + AVOID_MS
 
     def note_unresponsive(self, unresponsive: bool, now_ms: float) -> None:
-        """Whether busy keys of the holder got no answer at all lately: ask it at once."""
+        """Record whether requests for the holder's busy keys got no answer at all lately.
+
+        If so, its ranges are renewed at once, to see whether it answers control calls.
+        """
         if unresponsive and not self.unresponsive:
             self.probe_due = True
             if self.failing_since_ms is not None:
@@ -122,13 +133,13 @@
         self.unresponsive = unresponsive
 
     def is_avoided(self, now_ms: float) -> bool:
-        """Whether the server should get no keys now."""
+        """Whether the server should be assigned no keys now."""
         return now_ms < self.avoid_until_ms
 
     # ---- renewals -----------------------------------------------------------------------
 
     def due_renewals(self, names: Collection[RangeId], now_ms: float) -> list[RangeId]:
-        """Return the ranges to renew now.
+        """Return the ranges to renew now, and record that their renewals are sent.
 
         :param names: ranges that the server holds and that may be renewed.
         """
@@ -158,33 +169,36 @@
         return is_late and now_ms - renewed_ms >= self.timing.renew_ms
 
     def _renewal_capacity(self, lossy: bool, now_ms: float) -> int:
-        """Return how many more calls may be under way."""
+        """Return how many more renewals may be sent."""
         if lossy:
             return max(0, MAX_CALLS - len(self.under_way))
         late = sum(now_ms - call.sent_ms >= LATE_RENEWAL_MS for call in self.under_way)
         return int(late == len(self.under_way) and late < MAX_LATE_CALLS)
 
     def note_renewal_ended(self, name: RangeId, now_ms: float, well: bool) -> None:
-        """A renewal was answered, or not."""
+        """Record the end of a renewal.
+
+        :param well: whether the server acknowledged it.
+        """
         call = next((call for call in self.under_way if call.name == name), None)
         if call is None:
             return
         self.under_way.remove(call)
         if well:
             self.renewed_ms[name] = now_ms
-            # A slow server answers in order.
+            # A slow server answers in order, so an older call without an answer was lost.
             if any(other.sent_ms <= call.sent_ms - LATE_RENEWAL_MS for other in self.under_way):
                 self.lossy_until_ms = now_ms + LOSSY_MS
         elif now_ms >= self.lossy_until_ms:
             self.pause_until_ms = now_ms + RETRY_MS
 
     def note_granted(self, name: RangeId, now_ms: float) -> None:
-        """The server was granted a range that it had not held."""
+        """Record that the server acknowledged a range that it had not held."""
         self.last_new_range_ms = now_ms
         self.renewed_ms[name] = now_ms
 
     def keep_only(self, names: Collection[RangeId]) -> None:
-        """Forget the renewals of other ranges."""
+        """Drop the renewal times of all other ranges."""
         for known in (self.renewed_ms, self.tried_ms):
             for name in [name for name in known if name not in names]:
                 del known[name]
--- a/ploverhatch/sharding/keymap.py
+++ b/ploverhatch/sharding/keymap.py
@@ -1,9 +1,12 @@
-"""The map from ranges of keys to the servers that hold them. Pure.
+"""The key map: which server holds which range of keys.
 
-A map covers all keys with ranges in order. A range is *settled* when its
-holder acknowledged the grant; while it moves, ``previous`` names the servers
-that may still hold it. Fencing tokens rise within a map and are never reused,
-since every change of the map is a compare-and-set in the store.
+A key map covers all keys with ranges in order. A server *holds* a range while it has a lease on
+it, and then runs requests for its keys; no other server does. A range is *settled* once its
+holder has acknowledged the grant. While the range moves, ``previous`` names the servers that may
+still hold it. Each grant has a fencing token. Tokens rise within a map and are never reused, since
+every change of the map is a compare-and-set in the store.
+
+This module does no I/O and reads no clock.
 """
 
 from bisect import bisect_right
@@ -17,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """A server that holds or may hold keys, and where it is."""
+    """A server that holds or may hold keys, with its address.
+
+    ``server_id`` names one incarnation of the server.
+    """
 
     server_id: str
     host: str
@@ -26,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Standby:
-    """A server that may be granted a range without a new map, at a token reserved for that.
+    """A server that may be granted a range without a new map, at a reserved token.
 
-    It may be the range's holder: then it is granted the range anew.
+    It may be the holder of the range, which is then granted the range again at that token.
     """
 
     holder: Holder
@@ -37,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """Keys ``first`` to ``last``, both inside, and who holds them.
+    """The keys ``first`` to ``last``, inclusive, and their holder.
 
-    ``former_standbys`` are servers that an earlier leader may have promoted.
+    ``former_standbys`` are servers to which an earlier leader may have granted the range.
     """
 
     first: int
@@ -48,17 +54,17 @@
     token: int
     settled: bool
     previous: tuple[Holder, ...] = ()
-    standbys: tuple[Standby, ...] = ()  # those in force, then those that they replaced
+    standbys: tuple[Standby, ...] = ()  # the current ones, then the ones they replaced
     former_standbys: tuple[Holder, ...] = ()
 
     @property
     def renewal(self) -> Standby | None:
-        """The holder itself, at the token at which it may be granted the range anew."""
+        """The holder as a standby, with the token at which it may be granted the range again."""
         return next((standby for standby in self._usable if standby.holder == self.holder), None)
 
     @property
     def standby(self) -> Standby | None:
-        """The other server that may be granted the range next."""
+        """The server other than the holder that may be granted the range next."""
         return next((standby for standby in self._usable if standby.holder != self.holder), None)
 
     @property
@@ -67,7 +73,7 @@
 
     @property
     def possible_holders(self) -> tuple[Holder, ...]:
-        """All servers that may hold the range now."""
+        """All servers that may hold the range now, with repetitions."""
         standbys = (standby.holder for standby in self.standbys)
         return (self.holder, *self.previous, *self.former_standbys, *standbys)
 
@@ -83,15 +89,15 @@
 
     service: str
     ranges: tuple[KeyRange, ...] = ()
-    token: int = 0  # highest token ever given out
-    revision: int = 0  # of the object in the store; 0: not stored yet
+    token: int = 0  # highest token assigned so far
+    revision: int = 0  # revision of the object in the store; 0 means not stored yet
 
     @cached_property
     def _starts(self) -> list[int]:
         return [item.first for item in self.ranges]
 
     def find(self, key: int) -> KeyRange | None:
-        """Return the range of a key, or ``None`` before the first assignment."""
+        """Return the range that contains a key, or ``None`` before the first assignment."""
         index = bisect_right(self._starts, key) - 1
         if index < 0 or key > self.ranges[index].last:
             return None
@@ -109,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A wish to give the keys ``first`` to ``last`` to ``target``."""
+    """The assignment of the keys ``first`` to ``last``, inclusive, to ``target``."""
 
     first: int
     last: int
@@ -117,7 +123,7 @@
 
 
 def _split_at(ranges: Iterable[KeyRange], at: int) -> list[KeyRange]:
-    """Split the range that ``at`` lies inside of, so that one starts there."""
+    """Split the range that contains ``at``, so that a range starts there."""
     result = []
     for item in ranges:
         if item.first < at <= item.last:
@@ -129,7 +135,7 @@
 
 
 def begin_moves(keymap: KeyMap, moves: Iterable[Move]) -> KeyMap:
-    """Return the map with ranges under way to new holders, at new tokens."""
+    """Return the map with the ranges of ``moves`` unsettled at their targets, at new tokens."""
     ranges = list(keymap.ranges)
     token = keymap.token
     for move in moves:
@@ -159,7 +165,7 @@
 
 
 def first_assignment(keymap: KeyMap, pieces: Iterable[Move]) -> KeyMap:
-    """Return a map that deals all keys out for the first time."""
+    """Return the first map, whose ranges are ``pieces``; these must cover all keys in order."""
     token = keymap.token + 1
     ranges = tuple(
         KeyRange(piece.first, piece.last, piece.target, token, settled=False) for piece in pieces
@@ -168,7 +174,7 @@
 
 
 def settle(keymap: KeyMap, done: Callable[[KeyRange], bool]) -> KeyMap:
-    """Return the map with the moving ranges that ``done`` accepts settled."""
+    """Return the map with those moving ranges settled for which ``done`` is true."""
     ranges = tuple(
         replace(item, settled=True, previous=(), former_standbys=())
         if not item.settled and done(item)
@@ -179,20 +185,20 @@
 
 
 def merge_neighbours(keymap: KeyMap) -> KeyMap:
-    """Return the map with neighbours merged that differ in their keys only."""
+    """Return the map with adjacent ranges merged that differ only in their keys."""
     return replace(keymap, ranges=_merged(keymap.ranges))
 
 
 def changed_ranges(before: KeyMap, after: KeyMap) -> tuple[KeyRange, ...]:
-    """Return the ranges of ``after`` that are not the same in ``before``."""
+    """Return the ranges of ``after`` that ``before`` does not contain unchanged."""
     known = set(before.ranges)
     return tuple(item for item in after.ranges if item not in known)
 
 
 def patched(before: KeyMap, changes: KeyMap) -> KeyMap | None:
-    """Return ``before`` with the ranges of ``changes`` in place of what they overlap.
+    """Return ``before`` with the ranges of ``changes`` in place of the ranges they overlap.
 
-    :returns: ``None`` when the ranges then do not cover all keys just once.
+    :returns: ``None`` if the resulting ranges do not cover each key exactly once.
     """
     first = {item.first: item for item in changes.ranges}
     starts = sorted(first)
@@ -205,13 +211,13 @@
 
 
 def _overlaps_any(item: KeyRange, starts: list[int], first: dict[int, KeyRange]) -> bool:
-    """Whether a range shares keys with one of those that are told by their first keys."""
+    """Whether a range overlaps one of the ranges in ``first``, which has them by first key."""
     index = bisect_right(starts, item.last) - 1
     return index >= 0 and first[starts[index]].last >= item.first
 
 
 def _merged(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-    """Join neighbours of one holder, token and state: one grant covers them."""
+    """Merge adjacent ranges that differ only in their keys, since one grant covers them."""
     merged: list[KeyRange] = []
     for item in ranges:
         if merged and merged[-1] == replace(item, first=merged[-1].first, last=merged[-1].last):
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -1,12 +1,14 @@
-"""The leader of the keys: decides who holds what, and which calls to make. Pure.
+"""The decisions of the key leader: which server holds which keys, and which calls to make.
 
-Events come in through methods, with the time; each returns the actions to
-carry out. The same code runs in the gateway and in the simulation.
+Events are passed to methods together with the time; the methods return the actions to carry out.
+The same code runs in the gateway and in the simulation.
 
-Order of a move: the map in the store is changed first, so that every later
-leader knows the new token and all who may hold the keys; then the previous
-holders release them or lapse; then the new one is granted them; then the map
-says that they are settled, and requests go there.
+Order of a move: the map in the store is changed first, so that every later leader knows the new
+token and all servers that may hold the keys. Then the previous holders release the keys or their
+leases expire. Then the new holder is granted the keys. Then the map marks them as settled, and
+requests are sent to the new holder.
+
+This module does no I/O and reads no clock. Times are milliseconds of the elapsed clock.
 """
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
@@ -47,17 +49,19 @@
 from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
 PLAN_INTERVAL_MS = 400.0
-SETTLE_MS = 500.0  # a grant is told to all nodes at once, and stored with the next move or then
-STABLE_SERVERS_MS = 1000.0  # the set of servers is stable for so long before the first deal
-DOMINANT_COOLDOWN_MS = 3000.0  # a key that was moved by itself stays where it is for so long
-NEW_KEYS_GRACE_MS = 2000.0  # a server with new keys is not judged by what it completes for so long
-STORE_UNAVAILABLE_MS = 1250.0  # since the lease was renewed last: then standbys are promoted
-CUT_OFF_MS = 1000.0  # most servers unreachable for so long: this node is cut off
+# A grant is relayed to all nodes at once. It is stored with the next move, or after this time.
+SETTLE_MS = 500.0
+STABLE_SERVERS_MS = 1000.0  # time without a change of the servers before the first assignment
+DOMINANT_COOLDOWN_MS = 3000.0  # time for which a dominant key stays where it was moved to
+# Until then, the rates of a server's new keys are mostly of requests to their previous holder.
+NEW_KEYS_GRACE_MS = 2000.0
+STORE_UNAVAILABLE_MS = 1250.0  # time since the last renewed lease after which standbys are promoted
+CUT_OFF_MS = 1000.0  # time with most servers unreachable after which this node is cut off
 
 
 @dataclass(frozen=True, slots=True)
 class _GrantedRanges:
-    """A map with the ranges settled that their new holders have, and its settled ranges."""
+    """A map in which acknowledged ranges count as settled, with an index of settled ranges."""
 
     keymap: KeyMap
     holders: dict[RangeId, Holder]
@@ -76,27 +80,32 @@
 
 @dataclass(slots=True)
 class _ServiceState:
-    """One partitioned service."""
+    """The state of one service with key ranges."""
 
     keymap: KeyMap
-    storing: KeyMap | None = None
-    outdated: bool = False  # the store has an older map than this
-    # Until when other leaders may renew grants of lost maps.
+    storing: KeyMap | None = None  # the map that is being written to the store
+    outdated: bool = False  # the store has an older map than ``keymap``
+    # The map is invalid: later maps were lost, whose grants other leaders may renew until then.
     untrusted_until_ms: float | None = None
-    granted: _GrantedRanges | None = None  # kept until the map or a transfer changes
+    granted: _GrantedRanges | None = None  # a cache, reset when the map or a transfer changes
     transfers: dict[RangeId, Transfer] = field(default_factory=dict)
     server_ids: frozenset[str] = frozenset()
     servers_since_ms: float = 0.0
     planned_ms: float = -1e12
-    dominant_moved_ms: dict[int, float] = field(default_factory=dict)  # key -> when
-    # What the store surely has, written by this leader: it alone may promote its standbys.
+    dominant_moved_ms: dict[int, float] = field(default_factory=dict)  # time of the move, by key
+    # The map that this leader wrote and that is known to be in the store. Only the leader that
+    # wrote a map may promote its standbys.
     stored: KeyMap | None = None
     promoted: set[int] = field(default_factory=set)  # tokens of standbys
-    has_unstored_promotions: bool = False  # standbys were promoted that the stored map doesn't show
+    has_unstored_promotions: bool = False  # the stored map doesn't show all promotions
 
 
 class LeaderCore:
-    """State of one term of leadership."""
+    """The leader's state and decisions during one term of leadership.
+
+    :param timing: times that follow from the duration of a lease.
+    :param limits: thresholds for moves that balance servers.
+    """
 
     def __init__(
         self, timing: LeaseTiming | None = None, limits: planner.PlanLimits | None = None
@@ -106,10 +115,11 @@
         self._services: dict[str, _ServiceState] = {}
         self._leases: dict[str, HolderLease] = {}
         self._cut_off_since_ms: float | None = None
-        self._restores = 0  # of the store
-        self._missing_until_ms: float | None = None  # until when grants of lost maps may be renewed
+        self._restores = 0  # restores of the store so far
+        # Services without a map may have lost it; other leaders may renew its grants until then.
+        self._missing_until_ms: float | None = None
 
-    # ---- what is known ------------------------------------------------------------------
+    # ---- state --------------------------------------------------------------------------
 
     def keymap(self, service: str) -> KeyMap:
         """Return the map of a service as the store last acknowledged it."""
@@ -117,23 +127,25 @@
         return state.keymap if state else KeyMap(service)
 
     def granted(self, service: str) -> frozenset[int]:
-        """Return the tokens of moving ranges that their new holders have."""
+        """Return the tokens of moving ranges whose new holders have acknowledged them."""
         state = self._services.get(service)
         transfers = state.transfers.items() if state else ()
         return frozenset(name.token for name, transfer in transfers if transfer.done)
 
     def promoted(self, service: str) -> frozenset[int]:
-        """Return the tokens of standbys that were promoted by the map in the store."""
+        """Return the tokens of promoted standbys of the map in the store."""
         state = self._services.get(service)
         return frozenset(state.promoted) if state else frozenset()
 
     def rates_by_holder(
         self, service: str, rates: Mapping[int, float], now_ms: float
     ) -> dict[str, float]:
-        """Return requests a second by server, where it has held its keys for a while.
+        """Return requests per second by server, for servers without recently granted keys.
+
+        Rates are means over some seconds, so those of keys that have just moved are mostly of
+        requests that were sent to another server.
 
-        Rates are means of some seconds: what they say of keys that have just moved was
-        asked of another server.
+        :param rates: requests per second by key.
         """
         keymap = self.keymap(service)
         found: dict[str, float] = {}
@@ -155,9 +167,11 @@
         now_ms: float = 0.0,
         same_incarnations: bool = True,
     ) -> None:
-        """Take a map over; its leases may be renewed by others until then.
+        """Take over the map of an earlier leader.
 
-        :param same_incarnations: whether the lives that were granted the keys surely answer still.
+        :param renewable_until_ms: time until which earlier leaders may renew its leases.
+        :param same_incarnations: whether the incarnations that were granted the keys are known
+            to be running still.
         """
         keymap = inherited(keymap)
         state = self._services.setdefault(keymap.service, _ServiceState(keymap))
@@ -186,7 +200,7 @@
 
     @property
     def has_unfinished_moves(self) -> bool:
-        """Whether moves were begun that the store does not yet show as done."""
+        """Whether moves have begun that the map in the store doesn't show as done yet."""
         return any(state.transfers or state.storing for state in self._services.values())
 
     # ---- rounds -------------------------------------------------------------------------
@@ -199,13 +213,13 @@
         finishing: bool = False,
         store_unavailable: bool = False,
     ) -> list[Action]:
-        """Return what is due.
+        """Return the actions that are due.
 
-        :param views: all partitioned services.
+        :param views: the states of all services with key ranges.
         :param may_change: whether maps may be stored.
-        :param finishing: whether this node is about to give its lease back: it begins no
-            moves, and stores at once what is done.
-        :param store_unavailable: whether the store takes no map for now.
+        :param finishing: whether this node is about to release the leader's lease. It then begins
+            no moves, and stores finished moves at once.
+        :param store_unavailable: whether the store accepts no map at present.
         """
         actions: list[Action] = []
         for view in views.values():
@@ -266,7 +280,7 @@
         )
 
     def _promote_standbys(self, service: str, view: ServiceView, now_ms: float) -> None:
-        """Give the ranges of holders that are gone to their standbys, without the store."""
+        """Promote the standbys of ranges whose holders are gone, without a write to the store."""
         state = self._services.get(service)
         if state is None or state.untrusted_until_ms is not None or state.outdated:
             return
@@ -287,7 +301,7 @@
             self._adopt(state, state.keymap, now_ms)
 
     def _standby_for(self, item: KeyRange, usable: Collection[Holder]) -> Standby | None:
-        """Return who is to be granted a range in place of its present grant, if anyone."""
+        """Return the standby that replaces a range's present grant, if it has to be replaced."""
         if item.holder not in usable:
             standby = item.standby
         elif item.token in self._lease(item.holder).unproven_tokens:
@@ -299,7 +313,7 @@
     def _settle(
         self, state: _ServiceState, now_ms: float, wait_ms: float = SETTLE_MS
     ) -> list[Action]:
-        """Store that ranges are with their new holders, if that waits for long enough."""
+        """Store ranges as settled once one of them has been acknowledged ``wait_ms`` ago."""
         if state.storing is not None:
             return []
         times = [transfer.done_ms for transfer in state.transfers.values()]
@@ -309,11 +323,11 @@
         return self._store(state, merge_neighbours(self._granted_map(state)))
 
     def _granted_map(self, state: _ServiceState) -> KeyMap:
-        """Return the map with the ranges settled that their new holders have."""
+        """Return the map in which acknowledged ranges count as settled."""
         return self._granted_ranges(state).keymap
 
     def _granted_ranges(self, state: _ServiceState) -> _GrantedRanges:
-        """Return that map indexed; each renewal asks for it, so it is kept."""
+        """Return that map with its index, which is cached since each renewal needs it."""
         if state.granted is None:
             service = state.keymap.service
             done = {name for name, transfer in state.transfers.items() if transfer.done}
@@ -336,13 +350,13 @@
         if not urgent and now_ms - state.planned_ms < PLAN_INTERVAL_MS:
             return []
         state.planned_ms = now_ms
-        resting = {
+        cooling_down = {
             key
             for key, moved_ms in state.dominant_moved_ms.items()
             if now_ms - moved_ms < DOMINANT_COOLDOWN_MS
         }
         keymap = self._granted_map(state)
-        moves = planner.plan_moves(keymap, candidates, rates, resting, self._limits)
+        moves = planner.plan_moves(keymap, candidates, rates, cooling_down, self._limits)
         for move in moves:
             if move.first == move.last:
                 state.dominant_moved_ms[move.first] = now_ms
@@ -351,10 +365,11 @@
         return self._store(state, begin_moves(merge_neighbours(keymap), moves), candidates)
 
     def _regrants(self, state: _ServiceState, usable: Collection[str]) -> list[Move]:
-        """Return grants at new tokens for ranges of holders of which another life may answer.
+        """Return moves to the same holder where a later incarnation of it may answer.
 
-        It would take a renewal, and hold keys at a token that did not rise. A new token is
-        right for either life, and costs the keys' requests a wait for one write and one call.
+        A later incarnation would accept a renewal, and hold keys at a token that did not rise. A
+        new token is right for either incarnation. It makes requests for the keys wait for one
+        write to the store and one call.
         """
         return [
             Move(item.first, item.last, item.holder)
@@ -369,9 +384,9 @@
         keymap: KeyMap,
         candidates: Sequence[planner.Candidate] = (),
     ) -> list[Action]:
-        """Return the order to store a map.
+        """Return the action that stores a map.
 
-        :param candidates: servers to choose standbys from; none: they stay as they are.
+        :param candidates: servers to choose standbys from; if empty, the standbys are kept.
         """
         if candidates:
             holders = [candidate.holder for candidate in candidates]
@@ -390,11 +405,11 @@
             self._note_incarnations(view.records)
         reachable = [record for record in records if not self._is_avoided(record.server_id, now_ms)]
         if len(reachable) * 2 < len(records):
-            return []  # it is rather this node that is cut off
-        resting = [record for record in reachable if record.server_id in view.shedding]
-        # Where most of them rest, the others would not bear their keys.
-        if len(resting) * 2 <= len(reachable):
-            reachable = [record for record in reachable if record not in resting]
+            return []  # this node is more likely to be cut off
+        shedding = [record for record in reachable if record.server_id in view.shedding]
+        # If most servers are shedding load, the others could not bear their keys.
+        if len(shedding) * 2 <= len(reachable):
+            reachable = [record for record in reachable if record not in shedding]
         return [
             planner.Candidate(
                 Holder(record.server_id, record.host, record.port),
@@ -406,10 +421,10 @@
         ]
 
     def _note_incarnations(self, records: Sequence[ServerRecord]) -> None:
-        """Wait no more for lives that are over, since their servers run elsewhere by now.
+        """Stop waiting for incarnations whose servers run at another address by now.
 
-        One that is back at its address is asked to release what the life before held, as
-        any holder is: a late grant to that one could still reach it.
+        A server that is back at its old address is asked to release the ranges of its earlier
+        incarnation, like any holder, since a late grant to that one could still reach it.
         """
         latest = {registered_name(record.server_id): record for record in records}
         for lease in self._leases.values():
@@ -427,7 +442,7 @@
         return lease is not None and lease.is_avoided(now_ms)
 
     def _check_connectivity(self, views: Mapping[str, ServiceView], now_ms: float) -> list[Action]:
-        """Give the lease back when most servers cannot be reached from here."""
+        """Resign if most servers can't be reached from this node for ``CUT_OFF_MS``."""
         server_ids = [record.server_id for view in views.values() for record in view.records]
         avoided = sum(self._is_avoided(server_id, now_ms) for server_id in server_ids)
         if avoided * 2 <= len(server_ids):
@@ -438,10 +453,10 @@
         return [Resign()] if now_ms - self._cut_off_since_ms >= CUT_OFF_MS else []
 
     def forget_gone(self, server_ids: Collection[str], now_ms: float) -> frozenset[str]:
-        """Drop what is known of servers that are gone and can hold nothing any more.
+        """Drop the leases of servers that are gone and can hold no keys any more.
 
         :param server_ids: servers that have a record.
-        :returns: the servers that are still known.
+        :returns: the servers that have a record or a lease.
         """
         named = set(server_ids)
         for state in self._services.values():
@@ -483,14 +498,14 @@
         ]
 
     def note_connection_closed(self, holder: Holder) -> None:
-        """A holder ended a connection: what it was granted before may be gone with its life."""
+        """Record that a holder's connection closed; its grants may belong to a past incarnation."""
         lease = self._lease(holder)
         lease.unproven_tokens.update(name.token for name in self._settled_ranges(holder.server_id))
 
     # ---- calls to servers -----------------------------------------------------------------
 
     def may_send(self, holder: Holder, name: RangeId, renewal: bool) -> bool:
-        """Whether a grant is still right; asked again right before it is sent."""
+        """Whether a grant is still valid; to be checked again right before it is sent."""
         state = self._services.get(name.service)
         if state is None or name.token in self._lease(holder).unproven_tokens:
             return False
@@ -507,11 +522,11 @@
         return item is not None and item.holder == holder
 
     def grant_sent(self, holder: Holder, now_ms: float) -> None:
-        """A grant leaves right now."""
+        """Record that a grant is sent now."""
         self._lease(holder).note_grant_sent(now_ms)
 
     def grant_ended(self, call: SendGrant, outcome: CallOutcome, now_ms: float) -> list[Action]:
-        """A grant was answered, or not."""
+        """Record the outcome of a grant, and return the actions that follow."""
         lease = self._lease(call.holder)
         actions = self._note_outcome(lease, outcome, now_ms)
         if not call.renewal:
@@ -527,14 +542,14 @@
         if outcome is CallOutcome.DONE:
             return actions + self._renewals(lease, now_ms)
         if outcome is CallOutcome.REFUSED and self.may_send(call.holder, call.range_id, True):
-            # Nobody here moves this range, so a newer leader regrants its token.
+            # This leader does not move the range, so a newer leader has raised its token.
             actions.append(StepDown())
         return actions
 
     def release_ended(
         self, call: SendRelease, outcome: CallOutcome, handover: str, now_ms: float
     ) -> list[Action]:
-        """A release was answered, or not."""
+        """Record the outcome of a release, and return the actions that follow."""
         actions = self._note_outcome(self._lease(call.holder), outcome, now_ms)
         state = self._services.get(call.range_id.service)
         transfer = state.transfers.get(call.range_id) if state else None
@@ -572,7 +587,7 @@
     # ---- the map in the store -------------------------------------------------------------
 
     def map_stored(self, keymap: KeyMap, revision: int, now_ms: float) -> None:
-        """The store took a map; its answer was read at ``now_ms``."""
+        """Record that the store accepted a map; its answer was read at ``now_ms``."""
         state = self._services[keymap.service]
         state.storing = None
         state.outdated = False
@@ -581,33 +596,39 @@
         self._adopt_stored(state, state.stored, now_ms)
 
     def map_not_stored(self, service: str) -> None:
-        """The store did not take a map, or it is not known whether it did."""
+        """Record that the store did not accept a map, or that it is not known whether it did."""
         self._services[service].storing = None
 
     def invalidate(self, service: str, renewable_until_ms: float) -> None:
-        """Later maps were lost in a restore: any server may hold any key, at any token.
+        """Invalidate a map: later maps were lost in a restore of the store.
 
-        :param renewable_until_ms: until when another leader may renew grants of those maps.
+        Any server may then hold any key, at any token.
+
+        :param renewable_until_ms: time until which another leader may renew grants of the lost
+            maps.
         """
         state = self._services.get(service)
         if state is not None:
             state.untrusted_until_ms = renewable_until_ms
 
     def note_restores(self, count: int) -> None:
-        """The store was restored from snapshots so many times, counted over its whole life."""
+        """Record how often the store has been restored from snapshots so far."""
         self._restores = max(self._restores, count)
 
     def invalidate_missing(self, renewable_until_ms: float) -> None:
-        """A service without a map may have lost it in a restore: any server may hold its keys.
+        """Invalidate missing maps: a service without a map may have lost it in a restore.
+
+        Any server may then hold its keys.
 
-        :param renewable_until_ms: until when another leader may renew grants of lost maps.
+        :param renewable_until_ms: time until which another leader may renew grants of the lost
+            maps.
         """
         self._missing_until_ms = renewable_until_ms
 
     def _revoked_everywhere(
         self, keymap: KeyMap, view: ServiceView, renewable_until_ms: float
     ) -> KeyMap:
-        """Return the map with each range moving from every server to its holder."""
+        """Return the map with each range moving from every possible holder to its holder."""
         servers = [Holder(item.server_id, item.host, item.port) for item in view.records]
         holders = possible_holders(keymap, servers)
         for holder in holders:
@@ -617,25 +638,25 @@
         return revoked_everywhere(keymap, holders, self._restores)
 
     def map_outdated(self, service: str) -> None:
-        """The store was restored with an older map of a service than is known here."""
+        """Record that the store was restored with an older map of a service than this one."""
         state = self._services.get(service)
         if state is not None:
             state.outdated = True
 
     def map_seen(self, keymap: KeyMap, now_ms: float) -> None:
-        """A map was read from the store."""
+        """Record that a map was read from the store."""
         state = self._services.setdefault(keymap.service, _ServiceState(keymap))
         if state.storing is not None or keymap.revision <= state.keymap.revision:
             return
         if keymap.token < state.keymap.token:
-            # The store was restored from a snapshot: its map is overwritten.
+            # The store was restored from a snapshot, so its map has to be overwritten.
             state.outdated = True
             keymap = replace(state.keymap, revision=keymap.revision)
         state.stored = None  # another leader may have written it
         self._adopt_stored(state, keymap, now_ms)
 
     def _adopt_stored(self, state: _ServiceState, keymap: KeyMap, now_ms: float) -> None:
-        """Take a map that the store has; it may have been on its way before a promotion."""
+        """Adopt a map that the store has; its write may have begun before a promotion."""
         listed = {standby.token for item in keymap.ranges for standby in item.standbys}
         state.promoted &= listed
         state.has_unstored_promotions = False
@@ -661,7 +682,7 @@
 
 
 def _service_ms(view: ServiceView, record: ServerRecord) -> float:
-    """Return how long a server works on a request; one of bounded rate as if it was so slow."""
+    """Return the service time of a server; a bound on its rate counts as a longer one."""
     service_ms = view.service_ms.get(record.server_id, planner.DEFAULT_SERVICE_MS)
     limit_per_s = view.limit_per_s.get(record.server_id)
     if limit_per_s is not None:
--- a/ploverhatch/sharding/load.py
+++ b/ploverhatch/sharding/load.py
@@ -1,36 +1,42 @@
-"""How busy keys and servers have been lately. Pure; times in milliseconds."""
+"""Recent load of keys and servers.
+
+This module does no I/O and reads no clock. Times are milliseconds.
+"""
 
 import math
 from collections import Counter, deque
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-# Of some ten requests a second for a server's keys, a window of 3 s counts 30, give or
-# take 5; one of 8 s, 80 give or take 9: so much less is moved by chance alone.
+# At ten requests per second for a server's keys, a window of 3 s counts 30 with a standard
+# deviation of 5, and a window of 8 s counts 80 with one of 9. The longer window causes fewer
+# moves by chance alone.
 WINDOW_MS = 8000.0
 RECENT_MS = 1000.0
 MIN_SPAN_MS = 500.0
-COMPLETION_WINDOW_MS = 1500.0  # over which answers are counted
-CHANGE_DEVIATIONS = 3.0  # standard deviations that a key's recent count is off the expected one
+COMPLETION_WINDOW_MS = 1500.0  # time over which completed requests are counted
+CHANGE_DEVIATIONS = 3.0  # standard deviations between a key's recent count and the expected count
 MAX_SAMPLES = 64  # of one server
-MIN_SAMPLES = 6  # fewer say nothing of a server
-TYPICAL_FRACTION = 0.25  # of the answers are faster than the typical time
-BEHIND_MEMORY_MS = 10_000.0  # until a server that fell behind and lost its keys is tried again
-BEHIND_FRACTION = 0.5  # a server that completes less than this of what it is asked falls behind,
-BEHIND_DEVIATIONS = 2.5  # ... if the gap is so many standard deviations of both counts
-UNRESPONSIVE_MS = 500.0  # longer than reports take to come, and than most answers take
-UNRESPONSIVE_REQUESTS = 6.0  # without one answer; by chance that happens in 1 of 400 such spans
+MIN_SAMPLES = 6  # answer times of a server; fewer say nothing of it
+TYPICAL_FRACTION = 0.25  # part of the answers that are faster than the typical time
+BEHIND_MEMORY_MS = 10_000.0  # time until a server that fell behind and lost its keys is retried
+# A server falls behind if it completes less than BEHIND_FRACTION of the requests it is sent, and
+# the gap is at least BEHIND_DEVIATIONS standard deviations of both counts.
+BEHIND_FRACTION = 0.5
+BEHIND_DEVIATIONS = 2.5
+UNRESPONSIVE_MS = 500.0  # longer than reports take to arrive, and than most answers take
+UNRESPONSIVE_REQUESTS = 6.0  # without an answer; by chance this happens in 1 of 400 such spans
 
 
 def median(values: Iterable[float]) -> float:
-    """Return the middle value; the ``statistics`` module costs 2 MB."""
+    """Return the middle value. The ``statistics`` module isn't used, since it takes 2 MB."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2]
 
 
 @dataclass
 class KeyLoad:
-    """Requests per key within a sliding window, from the samples of all nodes."""
+    """Counts of requests by key within a sliding window, from the samples of all nodes."""
 
     window_ms: float = WINDOW_MS
     _samples: deque[tuple[float, Counter[int]]] = field(default_factory=deque)
@@ -38,7 +44,7 @@
     _since_ms: float = -1.0
 
     def add(self, now_ms: float, keys: Iterable[int]) -> None:
-        """Add the keys of requests, one each."""
+        """Add the keys of sampled requests, one entry per request."""
         if self._since_ms < 0:
             self._since_ms = now_ms
         counts = Counter(keys)
@@ -49,9 +55,9 @@
     def rates(self, now_ms: float) -> dict[int, float]:
         """Return requests per second by key.
 
-        The mean of the whole window, which chance moves little, but for keys that
-        surely became busier or less busy: theirs is the rate of the last second, so
-        that they are acted on at once.
+        The rate is the mean over the whole window, which varies little by chance. For keys whose
+        recent count differs significantly it is the rate of the last second, so that a change
+        takes effect at once.
         """
         self._trim(now_ms)
         recent: Counter[int] = Counter()
@@ -80,27 +86,28 @@
 
 @dataclass
 class AnswerTimes:
-    """How long each server works on a request, from the answers of all nodes.
+    """The service time of each server, estimated from the answer times that all nodes report.
 
-    A server's mean answer time includes its queue. Its *typical* time, that of the
-    fastest quarter, hardly does. The work is taken as the typical time, scaled by
-    what the mean is of the typical time on the middle one of the servers. The
-    latest answers of all nodes together tell it within a second or two, while
-    each node alone sees a few answers of a server a second.
+    The mean answer time of a server includes the time in its queue. Its *typical* answer time,
+    below which a quarter of its answers lie, hardly does. The service time is estimated as the
+    typical time multiplied by the median ratio of mean to typical time over all servers. The
+    latest answers of all nodes together show it within a second or two, while a single node
+    receives only a few answers of a server per second.
 
-    On an overloaded server each answer has queued. But what it completes tells
-    how fast it works at least, whatever its queue.
+    On an overloaded server each request waits in the queue. The number of requests that it
+    completes then bounds its service time from above, whatever the length of the queue.
     """
 
     default_ms: float = 100.0
-    _answered_ms: dict[str, float] = field(default_factory=dict)  # when it was told last
-    _known_ms: dict[str, float] = field(default_factory=dict)  # when it was told first
+    _answered_ms: dict[str, float] = field(default_factory=dict)  # time of the last report
+    _known_ms: dict[str, float] = field(default_factory=dict)  # time of the first report
     _times: dict[str, deque[float]] = field(default_factory=dict)
     _completed: dict[str, deque[tuple[float, int]]] = field(default_factory=dict)
-    _behind: dict[str, tuple[float, float]] = field(default_factory=dict)  # when, and its work
+    # When a server was last found to fall behind, and its service time by that.
+    _behind: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def add(self, server_id: str, times_ms: Collection[float], now_ms: float) -> None:
-        """Add answer times of a server, as one node saw them since its last report."""
+        """Add the answer times of a server that one node has measured since its last report."""
         self._answered_ms[server_id] = now_ms
         self._known_ms.setdefault(server_id, now_ms)
         self._times.setdefault(server_id, deque(maxlen=MAX_SAMPLES)).extend(times_ms)
@@ -110,20 +117,21 @@
             completed.popleft()
 
     def max_service_ms(self, server_id: str, slots: int, now_ms: float) -> float:
-        """Return what a request can take at most, from what the server completed lately."""
+        """Return an upper bound of the service time, from the recently completed requests."""
         completed = self._completed_lately(server_id, now_ms)
         return slots * COMPLETION_WINDOW_MS / completed if completed else math.inf
 
     def saturated_service_ms(
         self, server_id: str, slots: int, rate: float, now_ms: float
     ) -> float | None:
-        """Return how long a request takes on a server that surely falls behind, else ``None``.
+        """Return the service time of a server that significantly falls behind, else ``None``.
 
-        Its slots are all in use, so what it completes tells its work. Answer times do
-        not: they come late and, where requests run out of time, not at all. Once its keys
-        have moved nothing tells how it works, so the last verdict holds for a while.
+        All its slots are in use, so the number of completed requests gives its service time.
+        Answer times don't: they arrive late, and not at all for requests whose deadline passes.
+        Once its keys have moved there is no evidence, so the last result is kept for
+        ``BEHIND_MEMORY_MS``.
 
-        :param rate: requests a second for its keys, which it has held for a while.
+        :param rate: requests per second for its keys, if it has held them for a while, else 0.
         """
         if not rate:
             judged_ms, service_ms = self._behind.get(server_id, (-math.inf, 0.0))
@@ -142,12 +150,12 @@
         return service_ms
 
     def _completed_lately(self, server_id: str, now_ms: float) -> int:
-        """Return how many requests a server completed lately."""
+        """Return how many requests a server completed within ``COMPLETION_WINDOW_MS``."""
         counts = self._completed.get(server_id, ())
         return sum(count for taken_ms, count in counts if taken_ms >= now_ms - COMPLETION_WINDOW_MS)
 
     def service_ms(self, server_ids: Collection[str]) -> dict[str, float]:
-        """Return the time per request of each of the servers of one service."""
+        """Return the estimated service time by server, for the servers of one service."""
         summaries = {
             name: _mean_and_typical_ms(times)
             for name in server_ids
@@ -163,11 +171,11 @@
         }
 
     def answered_ms(self, server_id: str) -> float:
-        """Return when answers of a server were reported last."""
+        """Return when answers of a server were last reported, ``-inf`` if never."""
         return self._answered_ms.get(server_id, -math.inf)
 
     def keep_only(self, server_ids: Collection[str]) -> None:
-        """Forget servers that are gone."""
+        """Drop all other servers."""
         for server_id in [known for known in self._times if known not in server_ids]:
             del self._times[server_id]
             self._completed.pop(server_id, None)
@@ -176,18 +184,18 @@
             self._behind.pop(server_id, None)
 
     def is_unresponsive(self, server_id: str, rate: float, now_ms: float) -> bool:
-        """Whether so many requests stayed unanswered that the server hardly answers at all.
+        """Whether so many requests are unanswered that the server seems not to answer at all.
 
-        A server that answers once in a while is not silent, however slow it is. That
-        alone proves nothing: a control call decides, which a slow server answers too.
+        A server that answers now and then is not unresponsive, however slow it is. Being
+        unresponsive alone moves no keys: a control call decides, which a slow server answers too.
 
-        :param rate: requests a second for its keys.
+        :param rate: requests per second for its keys.
         """
         since_ms = now_ms - self._answered_ms.get(server_id, now_ms)
         return since_ms >= UNRESPONSIVE_MS and rate * since_ms / 1000 >= UNRESPONSIVE_REQUESTS
 
 
 def _mean_and_typical_ms(times_ms: Collection[float]) -> tuple[float, float]:
-    """Return mean and typical time."""
+    """Return the mean and the typical answer time."""
     ordered = sorted(times_ms)
     return sum(ordered) / len(ordered), ordered[int(len(ordered) * TYPICAL_FRACTION)]
--- a/ploverhatch/sharding/load_estimate.py
+++ b/ploverhatch/sharding/load_estimate.py
@@ -1,4 +1,7 @@
-"""What the reports of all nodes say of one service. Pure; times in milliseconds."""
+"""Load and service times of one service, estimated from the reports of all nodes.
+
+This module does no I/O and reads no clock.
+"""
 
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass
@@ -10,7 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEstimate:
-    """Requests a second by key, work per request by server, and who answers nobody."""
+    """Requests per second by key, service time by server, and the unresponsive servers.
+
+    ``taken_ms`` is the time of the estimate.
+    """
 
     taken_ms: float
     rates: Mapping[int, float]
@@ -27,13 +33,14 @@
     now_ms: float,
     limited: Collection[str] = (),
 ) -> LoadEstimate:
-    """Reckon what the reports say by now.
+    """Return the estimate at ``now_ms``.
 
-    A server that falls behind is judged by what it completes; of another one, what it
-    completes bounds what its answers tell, since these include its queue.
+    The service time of a server that falls behind follows from the requests it completes. For
+    other servers, their completed requests bound the estimate from answer times, since answer
+    times include the queue.
 
-    :param limited: servers that named a limit: what they complete and whether they answer
-        tells how few requests they are sent.
+    :param limited: servers that announced a rate limit. They are sent few requests, so neither
+        a low count of completed requests nor missing answers says anything about them.
     """
     rates = load.rates(now_ms)
     asked = core.rates_by_holder(service, rates, now_ms)
@@ -46,9 +53,9 @@
         if name not in limited:
             behind_ms = times.saturated_service_ms(name, slots, asked.get(name, 0.0), now_ms)
         service_ms[name] = behind_ms or min(usual_ms[name], most_ms)
-    silent = {
+    unresponsive = {
         name
         for name, rate in asked.items()
         if name not in limited and times.is_unresponsive(name, rate, now_ms)
     }
-    return LoadEstimate(now_ms, rates, service_ms, silent)
+    return LoadEstimate(now_ms, rates, service_ms, unresponsive)
--- a/ploverhatch/sharding/messages.py
+++ b/ploverhatch/sharding/messages.py
@@ -1,4 +1,4 @@
-"""What the leader of the keys is told, and what it asks for. Pure."""
+"""Inputs and actions of the leader's core. This module does no I/O and reads no clock."""
 
 from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 
 class RangeId(NamedTuple):
-    """Names one grant: a span of keys at one token. Tokens rise within a service."""
+    """The identity of a grant: a span of keys at one token. Tokens rise within a service."""
 
     service: str
     first: int
@@ -19,46 +19,49 @@
 
 
 def range_id(service: str, item: KeyRange) -> RangeId:
-    """Return the name of a range of a service."""
+    """Return the identity of the present grant of a service's range."""
     return RangeId(service, item.first, item.last, item.token)
 
 
 class CallOutcome(Enum):
-    """How a control call to a server ended."""
+    """The outcome of a control call to a server."""
 
     DONE = "done"
-    REFUSED = "refused"  # a higher token was seen
-    OTHER_INSTANCE = "other-instance"  # the server meant has ended
-    NO_ANSWER = "no-answer"  # it may be carried out, now or later
-    NOT_SENT = "not-sent"  # nothing left this node
-    NOT_LISTENING = "not-listening"  # nothing left: no process has the server's port
-    UNPROVEN = "unproven"  # nothing left: another life of the server may answer
+    REFUSED = "refused"  # the server has seen a higher token
+    OTHER_INSTANCE = "other-instance"  # another incarnation answered, so the addressee has stopped
+    NO_ANSWER = "no-answer"  # the server may carry out the call, now or later
+    NOT_SENT = "not-sent"  # no byte was sent
+    NOT_LISTENING = "not-listening"  # no byte was sent, since no process listens on the port
+    UNPROVEN = "unproven"  # no byte was sent, since a later incarnation may answer
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceView:
-    """What is known of one service when a round begins."""
+    """The state of one service at the start of a round."""
 
     records: Sequence[ServerRecord]
-    rates: Mapping[int, float] = field(default_factory=dict)  # requests a second by key
+    rates: Mapping[int, float] = field(default_factory=dict)  # requests per second by key
     service_ms: Mapping[str, float] = field(default_factory=dict)  # per request, by server
-    cold: Collection[str] = ()  # servers that sustain ``cold_per_s`` requests a second
-    cold_per_s: float = 0.0  # 0: no bound
-    unresponsive: Collection[str] = ()  # servers whose keys are busy, and that answer nobody
-    shedding: Collection[str] = ()  # servers that ask for rest, and answer nobody
-    limit_per_s: Mapping[str, float] = field(default_factory=dict)  # by server that names one
+    cold: Collection[str] = ()  # servers that sustain only ``cold_per_s`` requests per second
+    cold_per_s: float = 0.0  # 0 means no bound
+    unresponsive: Collection[str] = ()  # servers with busy keys that answer no node
+    shedding: Collection[str] = ()  # servers that ask for a backoff and answer no node
+    limit_per_s: Mapping[str, float] = field(default_factory=dict)  # announced, by server
 
 
 @dataclass(frozen=True, slots=True)
 class StoreMap:
-    """Write a key map, if the store has the revision it is based on."""
+    """Write a key map if the store still has the revision that the map is based on."""
 
     keymap: KeyMap
 
 
 @dataclass(frozen=True, slots=True)
 class SendGrant:
-    """Grant or renew a range."""
+    """Send a grant of a range, or a renewal of one.
+
+    ``handover`` is the text that the previous holder answered its release with.
+    """
 
     holder: Holder
     range_id: RangeId
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendRelease:
-    """Take a range back from a server that may hold it."""
+    """Ask a server that may hold a range to release it."""
 
     holder: Holder
     range_id: RangeId
@@ -76,19 +79,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetServer:
-    """The server has surely ended, whatever its record says."""
+    """Drop a server that has certainly stopped, even if the store still has its record."""
 
     server_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """Let another node lead: this one seems to be cut off from the servers."""
+    """Release the leader's lease, since this node seems to be cut off from the servers."""
 
 
 @dataclass(frozen=True, slots=True)
 class StepDown:
-    """A newer leader has been at work: this one must stop at once."""
+    """Stop leading at once, since a newer leader has made grants."""
 
 
 Action = StoreMap | SendGrant | SendRelease | ForgetServer | Resign | StepDown
--- a/ploverhatch/sharding/planner.py
+++ b/ploverhatch/sharding/planner.py
@@ -1,9 +1,11 @@
-"""Decides which keys should go to which server. Pure.
+"""Planning of moves: which keys should be held by which server.
 
-A server's *utilisation* is its requests per second times its answer time over
-its slots. Keys of servers that leave go to the least utilised ones; a server
-that is far busier than the idlest gives up the narrowest range that evens
-them out, since a hot range is usually narrow and keys that change hands cost.
+A server's *utilisation* is its requests per second times its service time, divided by its slots.
+The keys of servers that leave go to the least utilised servers. A server that is much busier than
+the idlest one gives up the narrowest range that balances them, since a hot range is usually narrow
+and requests have to wait while their keys move.
+
+This module does no I/O and reads no clock.
 """
 
 import math
@@ -14,32 +16,33 @@
 from ploverhatch.sharding.keymap import KEY_COUNT, Holder, KeyMap, KeyRange, Move
 from ploverhatch.sharding.load import WINDOW_MS
 
-MAX_RANGES = 400  # of one map
-MERGE_ABOVE_RANGES = 100  # beyond it, neighbours are joined
+MAX_RANGES = 400  # a map with this many ranges is not divided further
+MERGE_ABOVE_RANGES = 100  # a map with more ranges is merged
 MAX_MERGE_MOVES = 4  # in one round
-NARROW_KEYS = 512  # keys: a range that is narrower and idle goes back to its neighbours' holder
-IDLE_UTILISATION = 0.02  # utilisation
-MAX_LOST_PIECES = 4  # a lost range is divided in at most so many pieces
-DOMINANT_UTILISATION = 0.6  # of a server: a key that takes more is *dominant* and gets it alone
-FASTER_FRACTION = 0.8  # a server whose work takes this part of another's is clearly faster
-DEFAULT_SERVICE_MS = 100.0  # of a server that has answered nothing yet
-KEY_WEIGHT = 0.2  # utilisation that holding all keys counts for, to spread idle keys
+NARROW_KEYS = 512  # an idle range of at most this width returns to its neighbours' holder
+IDLE_UTILISATION = 0.02
+MAX_LOST_PIECES = 4  # pieces into which the range of a lost holder is divided
+DOMINANT_UTILISATION = 0.6  # a key that uses more of a server is *dominant* and gets it alone
+FASTER_FRACTION = 0.8  # a clearly faster server has less than this part of another's cost
+DEFAULT_SERVICE_MS = 100.0  # service time of a server without answers so far
+KEY_WEIGHT = 0.2  # utilisation that holding all keys counts as, so that idle keys are spread
 
 
 @dataclass(frozen=True, slots=True)
 class PlanLimits:
-    """When servers are evened out.
-
-    A server below ``high_utilisation`` is not worth relieving. The busiest and the
-    idlest differ by ``min_gap`` at least, and by ``gap_deviations`` standard deviations of
-    what chance makes of counts over ``window_s`` seconds: each move makes callers wait
-    while the keys change hands, and between servers that are equally busy it gains
-    nothing. A round has ``max_moves`` of these at most.
-
-    Measured on 62 noisy servers of three speeds in virtual time: without ``gap_deviations``
-    and with rates of 3 s, 300 moves in 30 s at a load of 0.45 instead of 160, for the
-    same credit; at a ``gap_deviations`` of 4.0, 77 moves, and 0.008 of the credit is lost at
-    a load of 0.9. Twice or four times the moves of a round change it by 0.005 at most.
+    """Thresholds for moves that balance servers.
+
+    Keys move away only from a server of at least ``high_utilisation``. The utilisations of the
+    busiest and the idlest server must differ by at least ``min_gap``, and by ``gap_deviations``
+    standard deviations of what counts over ``window_s`` seconds vary by chance: each move makes
+    callers wait while the keys move, and between equally busy servers it gains nothing. A round
+    has at most ``max_moves`` such moves.
+
+    On 62 servers of three speeds with noise, in simulated time, a ``gap_deviations`` of 0 with
+    rates over 3 s makes 300 moves in 30 s at a load of 0.45, and the defaults make 160 with the
+    same mean credit (1 for a request answered in time, less for a late answer). A
+    ``gap_deviations`` of 4.0 makes 77 moves, but loses 0.008 of the credit at a load of 0.9.
+    Twice or four times ``max_moves`` changes the credit by at most 0.005.
     """
 
     high_utilisation: float = 0.55
@@ -56,25 +59,25 @@
     holder: Holder
     slots: int
     service_ms: float
-    limited: bool = False  # it named a limit, from which its answer time is reckoned
+    limited: bool = False  # it announced a rate limit, from which ``service_ms`` follows
 
     @property
     def cost_ms(self) -> float:
-        """Time of the whole server that one request takes."""
+        """Milliseconds of the whole server that one request uses."""
         return self.service_ms / self.slots
 
     def utilisation(self, rate: float) -> float:
-        """Return the part of the server that ``rate`` requests a second take."""
+        """Return the utilisation at ``rate`` requests per second."""
         return rate * self.cost_ms / 1000
 
     def utilisation_deviation(self, rate: float, window_s: float) -> float:
-        """Return the standard deviation of the utilisation that a measured rate shows."""
+        """Return the standard deviation of the utilisation, by chance, at a counted rate."""
         return self.utilisation(math.sqrt(rate / window_s))
 
 
 @dataclass(slots=True)
 class _Share:
-    """What one candidate holds while a plan is being made."""
+    """The load and the number of keys of one candidate, after the moves planned so far."""
 
     candidate: Candidate
     rate: float = 0.0
@@ -86,12 +89,12 @@
 
     @property
     def pressure(self) -> float:
-        """Utilisation, with idle keys counted a little."""
+        """Utilisation plus a small share for the number of keys."""
         return self.utilisation + KEY_WEIGHT * self.keys / KEY_COUNT
 
 
 def initial_pieces(candidates: Sequence[Candidate]) -> list[Move]:
-    """Deal all keys out in equal parts per slot."""
+    """Return an assignment of all keys in equal parts per slot."""
     total = sum(candidate.slots for candidate in candidates)
     pieces = []
     start = 0
@@ -106,7 +109,7 @@
 
 
 class _Plan:
-    """Shares and moves while one round is planned."""
+    """The shares of candidates and the moves of the round that is planned."""
 
     def __init__(
         self,
@@ -120,8 +123,8 @@
         self.rates = rates
         self.shares = {item.holder.server_id: _Share(item) for item in candidates}
         self.moves: list[Move] = []
-        self.handled: set[int] = set()  # keys that this round has handled
-        self.dominated: set[str] = set()  # servers that one key fills
+        self.handled: set[int] = set()  # keys that this round has decided on
+        self.dominated: set[str] = set()  # servers that a dominant key has for itself
         for item in keymap.ranges:
             share = self.shares.get(item.holder.server_id)
             if share is not None:
@@ -129,7 +132,7 @@
                 share.keys += item.width
 
     def unlimited_shares(self) -> list[_Share]:
-        """Return the shares of servers that no key fills, and that name no limit."""
+        """Return the shares of servers without a dominant key and without a rate limit."""
         return [
             share
             for name, share in self.shares.items()
@@ -143,7 +146,7 @@
         return sum(self.rates[key] for key in self.keys_within(first, last))
 
     def least_loaded_with(self, first: int, last: int) -> _Share:
-        """Return the server that is the least loaded once it holds some more keys."""
+        """Return the share that has the least pressure once it has these keys too."""
         rate = self.rate_of(first, last)
         return min(
             self.shares.values(),
@@ -169,10 +172,9 @@
 ) -> list[Move]:
     """Return the moves of one round.
 
-    :param candidates: servers that may hold keys; holders that are not among
-        them lose their keys.
+    :param candidates: servers that may hold keys; other holders lose their keys.
     :param rates: requests per second by key.
-    :param pinned: keys that were moved by themselves lately, and stay.
+    :param pinned: dominant keys that moved recently and stay where they are.
     """
     if not candidates:
         return []
@@ -188,7 +190,7 @@
 
 
 def _reassign_lost(plan: _Plan, keymap: KeyMap) -> None:
-    """Deal out the keys of holders that may hold none."""
+    """Assign the keys of holders that are no candidates."""
     lost = [item for item in keymap.ranges if item.holder.server_id not in plan.shares]
     for item in sorted(lost, key=lambda item: -plan.rate_of(item.first, item.last)):
         for first, last in _split_lost(plan, item):
@@ -196,7 +198,7 @@
 
 
 def _split_lost(plan: _Plan, item: KeyRange) -> list[tuple[int, int]]:
-    """Cut a range into pieces of about equal load, a few at most."""
+    """Return a range in at most ``MAX_LOST_PIECES`` pieces of about equal load."""
     keys = plan.keys_within(item.first, item.last)
     count = min(MAX_LOST_PIECES, len(plan.shares), item.width)
     total = plan.rate_of(item.first, item.last)
@@ -216,9 +218,10 @@
 
 
 def _relieve_limited(plan: _Plan, keymap: KeyMap, pinned: Collection[int]) -> None:
-    """Give keys that are too much for a limited server to those that name no limit.
+    """Move keys that are too much for a server with a rate limit to servers without one.
 
-    Evening out passes such a key over: its move makes the other server the busier one.
+    ``_balance`` does not move such a key, since the move would make the other server the busier
+    one.
     """
     free = [share for share in plan.shares.values() if not share.candidate.limited]
     if not free:
@@ -251,14 +254,14 @@
 
 
 def _isolate_dominant(plan: _Plan, keymap: KeyMap, pinned: Collection[int]) -> None:
-    """Give a key that fills a server by itself a fast server of its own."""
+    """Give each dominant key a fast server of its own."""
     for key in sorted(plan.rates, key=lambda key: -plan.rates[key])[: plan.limits.max_moves]:
         item = keymap.find(key)
         share = plan.shares.get(item.holder.server_id) if item else None
         if item is None or share is None or share.candidate.limited:
             continue
         if share.candidate.utilisation(plan.rates[key]) < DOMINANT_UTILISATION:
-            return  # the keys that follow are less busy
+            return  # the remaining keys are less busy
         plan.handled.add(key)
         plan.dominated.add(item.holder.server_id)
         if item.settled:
@@ -283,7 +286,7 @@
 
 
 def _move_others_off(plan: _Plan, key: int, item: KeyRange, share: _Share) -> None:
-    """Move the other busy keys of a range off a server that one key fills."""
+    """Move the other busy keys of a range away from the server of a dominant key."""
     parts = [(item.first, item.last)]
     if item.first <= key <= item.last:
         parts = [(item.first, key - 1), (key + 1, item.last)]
@@ -294,7 +297,7 @@
 
 
 def _balance(plan: _Plan, keymap: KeyMap) -> None:
-    """Move narrow ranges from the busiest server to the idlest."""
+    """Move narrow ranges from the busiest server to the idlest one."""
     limits = plan.limits
     while len(plan.moves) < limits.max_moves:
         shares = [share for name, share in plan.shares.items() if name not in plan.dominated]
@@ -315,7 +318,7 @@
 
 
 def _required_gap(limits: PlanLimits, busiest: _Share, idlest: _Share) -> float:
-    """Return the least gap that is worth a move and surely more than chance."""
+    """Return the least gap that is worth a move and significantly more than chance."""
     spread = math.hypot(
         busiest.candidate.utilisation_deviation(busiest.rate, limits.window_s),
         idlest.candidate.utilisation_deviation(idlest.rate, limits.window_s),
@@ -326,13 +329,13 @@
 def _narrowest_window(
     plan: _Plan, keymap: KeyMap, source: _Share, target: _Share, gap: float
 ) -> tuple[int, int] | None:
-    """Return the range whose move closes a good part of the gap, the narrowest of them.
+    """Return the narrowest range whose move closes at least half of the gap.
 
-    Where the busy keys are divided into so many ranges that none does, the one
-    that closes most of it.
+    If there is none, since the busy keys are divided into many ranges, return the range that
+    closes most of the gap.
     """
     per_request = source.candidate.utilisation(1.0) + target.candidate.utilisation(1.0)
-    wanted = gap / per_request  # the rate that would make both equal
+    wanted = gap / per_request  # the rate whose move makes both utilisations equal
     runs = [
         keys
         for item in keymap.held_by(source.candidate.holder.server_id)
@@ -351,7 +354,7 @@
 
 
 def _untouched_runs(plan: _Plan, item: KeyRange) -> list[list[int]]:
-    """Return the busy keys of a range, divided where a key was handled."""
+    """Return the busy keys of a range, divided at the keys that the round has decided on."""
     runs: list[list[int]] = [[]]
     for key in plan.keys_within(item.first, item.last):
         if key in plan.handled:
@@ -363,7 +366,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Window:
-    """A run of busy keys and its requests per second."""
+    """A run of busy keys and its total of requests per second."""
 
     first: int
     last: int
@@ -371,9 +374,9 @@
 
 
 def _window(plan: _Plan, keys: list[int], wanted: float) -> _Window | None:
-    """Return the narrowest run of keys with between half and all of ``wanted``.
+    """Return the narrowest run of keys whose rate is between half of ``wanted`` and ``wanted``.
 
-    Where there is none, the busiest one below that.
+    If there is none, return the busiest run below that.
     """
     narrowest: _Window | None = None
     busiest: _Window | None = None
@@ -397,11 +400,10 @@
 
 
 def _merge_ranges(plan: _Plan, keymap: KeyMap) -> None:
-    """Join ranges, so that a map that was divided often stays small.
+    """Merge ranges, so that a map that was divided often stays small.
 
-    Neighbours of one holder are granted to it as one range; that takes no
-    release. A narrow range that is idle by now goes back to the holder on both
-    sides of it.
+    Adjacent ranges of one holder are granted to it as one range, which takes no release. A narrow
+    range that has become idle returns to the holder of the ranges on both sides of it.
     """
     _return_idle(plan, keymap)
     if not plan.moves:
--- a/ploverhatch/sharding/restored.py
+++ b/ploverhatch/sharding/restored.py
@@ -1,29 +1,33 @@
-"""Key maps after a restore of the store from a snapshot, in which later maps were lost. Pure."""
+"""Key maps after a restore of the store from a snapshot, in which later maps were lost.
+
+This module does no I/O and reads no clock.
+"""
 
 from collections.abc import Iterable
 from dataclasses import replace
 
 from ploverhatch.sharding.keymap import Holder, KeyMap, merge_neighbours
 
-# Above the tokens that maps lost in a restore may have issued: in the era of the map that is
-# left, and in each of those since, where the store was restored more than once.
+# An era is the time between two restores of the store. In the era of the remaining map, lost maps
+# issue fewer than TOKEN_GAP tokens. Each later era begins at a multiple of TOKENS_PER_ERA, which
+# is above the tokens of all earlier eras, also where the store is restored more than once.
 TOKEN_GAP = 100_000
 TOKENS_PER_ERA = 1 << 24
 
 
 def token_above_lost(token: int, restores: int) -> int:
-    """Return a token above all that maps lost in restores may have issued.
+    """Return a token above all tokens that maps lost in restores may have issued.
 
-    :param token: the highest one of a map that is left.
-    :param restores: how often the store was restored so far.
+    :param token: the highest token of the remaining map.
+    :param restores: the number of restores of the store so far.
     """
     return max(token + TOKEN_GAP, restores * TOKENS_PER_ERA)
 
 
 def possible_holders(keymap: KeyMap, servers: Iterable[Holder]) -> tuple[Holder, ...]:
-    """Return all that may hold any of a map's keys, by lost maps as well.
+    """Return all servers that may hold any of a map's keys, also by lost maps.
 
-    :param servers: those that are there now.
+    :param servers: the present servers.
     """
     holders = {
         holder.server_id: holder for item in keymap.ranges for holder in item.possible_holders
@@ -34,7 +38,11 @@
 
 
 def revoked_everywhere(keymap: KeyMap, holders: Iterable[Holder], restores: int) -> KeyMap:
-    """Return the map with each range moving from every possible holder to its own."""
+    """Return the map with each range moving from every possible holder to its holder.
+
+    :param holders: all servers that may hold any key.
+    :param restores: the number of restores of the store so far.
+    """
     token = token_above_lost(keymap.token, restores)
     ranges = tuple(
         replace(
--- a/ploverhatch/sharding/standbys.py
+++ b/ploverhatch/sharding/standbys.py
@@ -1,10 +1,12 @@
-"""Standbys: who may be granted a range while the store takes no new map. Pure.
+"""Standbys: the servers that may be granted a range while the store accepts no new map.
 
-A map in the store names a standby for each range and reserves a token for it, and another
-one for the holder itself. While the store is away, the leader promotes the standby of a
-holder that is gone, at that token: every later leader knows from the stored map which servers
-an earlier one may have promoted, has them release the range at a higher token, and only then
-grants it to anyone.
+A map in the store names a standby for each range and reserves a token for it, and another token
+for the holder itself. While the store is unavailable, the leader promotes the standby of a
+holder that is gone: it moves the range to the standby at the reserved token. A later leader knows
+from the stored map which servers an earlier one may have promoted. It asks them to release the
+range at a higher token before it grants the range to anyone.
+
+This module does no I/O and reads no clock.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -12,16 +14,17 @@
 
 from ploverhatch.sharding.keymap import Holder, KeyMap, KeyRange, Standby
 
-_Grant = tuple[Holder, int]  # neighbours of one grant have one standby, so that they can be joined
+# Ranges of one grant share their standbys, so that they can be merged.
+_Grant = tuple[Holder, int]
 
 
 def assign_standbys(keymap: KeyMap, stored: KeyMap, candidates: Sequence[Holder]) -> KeyMap:
     """Return the map with a standby for each range, at tokens that no grant has.
 
-    Standbys that are replaced stay listed in the next map: until that one is surely stored,
-    the leader may promote them by the map before it.
+    Replaced standbys stay listed in the next map, since the leader may promote them by the
+    stored map until the next one is known to be stored.
 
-    :param stored: the map that the store surely has.
+    :param stored: the map that is known to be in the store.
     :param candidates: servers that may hold keys.
     """
     usable = set(candidates)
@@ -45,7 +48,7 @@
 
 
 def _in_force(item: KeyRange, usable: Collection[Holder]) -> tuple[Standby, ...] | None:
-    """Return the standbys of a range that need not be replaced."""
+    """Return the current standbys of a range, or ``None`` if they have to be replaced."""
     renewal, standby = item.renewal, item.standby
     if renewal is None or standby is None or standby.holder not in usable:
         return None
@@ -53,7 +56,7 @@
 
 
 def _choose(item: KeyRange, candidates: Sequence[Holder], number: int) -> tuple[Holder, ...]:
-    """Return a server for one more grant, if there is one; successive grants differ."""
+    """Return another server as the standby, if there is one; successive numbers differ."""
     others = [holder for holder in candidates if holder != item.holder]
     return (others[number % len(others)],) if others else ()
 
@@ -61,7 +64,8 @@
 def promote(keymap: KeyMap, tokens: Collection[int]) -> KeyMap:
     """Return the map with the standbys of some tokens as the holders of their ranges.
 
-    A range that has moved on at a higher token stays there; its move waits for the standby.
+    A range that has since moved at a higher token stays with its new holder. Its standby becomes
+    a previous holder, which the move waits for.
     """
     if not tokens or not any(
         standby.token in tokens for item in keymap.ranges for standby in item.standbys
@@ -91,7 +95,10 @@
 
 
 def inherited(keymap: KeyMap) -> KeyMap:
-    """Return an earlier leader's map: it may have promoted any of the standbys."""
+    """Return an earlier leader's map with all standbys as former ones.
+
+    The earlier leader may have promoted any of them.
+    """
     ranges = tuple(
         replace(
             item,
--- a/ploverhatch/sharding/transfer.py
+++ b/ploverhatch/sharding/transfer.py
@@ -1,8 +1,10 @@
-"""One range on its way from its previous holders to its new one. Pure.
+"""The move of one range from its previous holders to its new one.
 
-The new holder gets its grant only after each previous one has released the
-range or its lease has surely lapsed. A release names the new, higher token, so
-that an old grant that is still under way is refused when it arrives.
+The new holder is granted the range only after each previous one has released it or its lease has
+certainly expired. A release names the new, higher token, so that the server refuses an old grant
+that arrives later.
+
+This module does no I/O and reads no clock.
 """
 
 from collections.abc import Callable
@@ -16,13 +18,13 @@
 
 @dataclass(slots=True)
 class Transfer:
-    """A moving range; times are elapsed milliseconds."""
+    """A range that moves. Times are milliseconds of the elapsed clock."""
 
     range_id: RangeId
     target: Holder
     pending: dict[str, Holder]  # previous holders that may still hold it
     expiries_ms: dict[str, float]
-    # They hardly ever held the range: what they hand over says nothing of it.
+    # They rarely held the range, so their handover texts say nothing of it.
     former_standbys: frozenset[str] = frozenset()
     retry_ms: dict[str, float] = field(default_factory=dict)
     releasing: set[str] = field(default_factory=set)
@@ -39,12 +41,12 @@
     def start(
         cls, name: RangeId, item: KeyRange, leases: dict[str, HolderLease], now_ms: float
     ) -> "Transfer":
-        """Begin with the leases as they are; none is renewed from here on.
+        """Return a transfer that waits for the present leases; none is renewed from now on.
 
-        A holder that does not release is also waited for until no node sends it
-        requests any more: a late grant may revive its lease.
+        A holder that does not release the range is also waited for until no node sends it
+        requests any more, since a late grant may revive its lease.
 
-        :param now_ms: the map that says that the range moves is in the store by then.
+        :param now_ms: a time at which the map with the move is in the store.
         """
         pending = {
             holder.server_id: holder
@@ -52,21 +54,21 @@
             if not (holder.server_id in leases and leases[holder.server_id].superseded)
         }
         unused_ms = view.unused_from_ms(now_ms)
-        lapses = {
+        expiries = {
             server_id: max(leases[server_id].held_until_ms, unused_ms)
             if server_id in leases
             else unused_ms
             for server_id in pending
         }
         former = frozenset(holder.server_id for holder in item.former_standbys)
-        return cls(name, item.holder, pending, lapses, former)
+        return cls(name, item.holder, pending, expiries, former)
 
     def calls(
         self, now_ms: float, may_release: Callable[[str], bool] = lambda server_id: True
     ) -> list[SendGrant | SendRelease]:
         """Return the calls that are due.
 
-        :param may_release: whether a release may be sent to a server now.
+        :param may_release: returns whether a release may be sent to a server now.
         """
         if self.done:
             return []
@@ -92,21 +94,24 @@
         return now_ms >= self.retry_ms.get(server_id, 0.0)
 
     def released(self, server_id: str, handover: str) -> None:
-        """A previous holder gave the range back."""
+        """Record that a previous holder has released the range.
+
+        :param handover: a text for the new holder.
+        """
         self.releasing.discard(server_id)
         self.pending.pop(server_id, None)
         if server_id not in self.former_standbys:
             self.handover = handover or self.handover
 
     def holder_ended(self, server_id: str) -> None:
-        """A previous holder has ended."""
+        """Record that a previous holder has stopped."""
         self.released(server_id, "")
 
     def holder_not_listening(self, server_id: str, now_ms: float) -> None:
-        """No process has the port of a server that may hold the range.
+        """Record that no process listens on the port of a server that may hold the range.
 
-        A holder that is about to end may still work on open connections: its lease has to
-        lapse. A standby is promoted only while it takes new ones, so it has ended.
+        A holder that is stopping may still run requests on open connections, so its lease has
+        to expire. A standby is promoted only while it accepts connections, so it has stopped.
         """
         if server_id in self.former_standbys:
             self.released(server_id, "")
@@ -114,12 +119,15 @@
             self.release_failed(server_id, now_ms)
 
     def release_failed(self, server_id: str, now_ms: float) -> None:
-        """No answer to a release."""
+        """Record a release without an answer; it is sent again after ``RETRY_MS``."""
         self.releasing.discard(server_id)
         self.retry_ms[server_id] = now_ms + RETRY_MS
 
     def grant_ended(self, done: bool, now_ms: float) -> None:
-        """The grant to the new holder was answered, or not."""
+        """Record the end of a grant to the new holder.
+
+        :param done: whether the holder acknowledged it.
+        """
         self.granting = False
         if done and self.done_ms is None:
             self.done_ms = now_ms
--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -1,4 +1,7 @@
-"""Mechanisms of the key leadership that tests switch off to see the proof fail."""
+"""Mutations that switch off safety mechanisms of the key leadership.
+
+With any of them, the simulation has to find a violation.
+"""
 
 from contextlib import ExitStack, contextmanager
 from dataclasses import replace
@@ -45,7 +48,7 @@
     return replace(keymap, ranges=ranges)
 
 
-# Where nodes that use an old map are waited for, the wait covers other mechanisms too.
+# The wait for nodes that use an old map would cover up faults of other mechanisms.
 NO_WAIT_FOR_OLD_MAPS = mock.patch.object(view, "unused_from_ms", lambda changed_ms: changed_ms)
 
 
@@ -69,7 +72,7 @@
         NO_WAIT_FOR_OLD_MAPS,
         mock.patch.object(LeaderCore, "inherit", inherit_nothing),
     ],
-    # A leader that was replaced also stops when it hears of its successor.
+    # A replaced leader also stops when it learns of its successor.
     "suspensions not counted": [
         mock.patch.object(election, "observe_renewal", observe_renewal_without_stopping),
         mock.patch.object(SimKeyNode, "now_ms", property(steady_clock)),
--- a/tests/unit/test_answer_times.py
+++ b/tests/unit/test_answer_times.py
@@ -1,4 +1,4 @@
-"""Whether servers answer at all, from the reports of all nodes."""
+"""Unresponsive servers and servers that fall behind, from the reports of all nodes."""
 
 from ploverhatch.sharding.load import (
     BEHIND_MEMORY_MS,
@@ -14,19 +14,19 @@
     return made
 
 
-def test_a_busy_server_that_answers_nobody_is_silent():
+def test_a_busy_server_that_answers_no_node_is_unresponsive():
     assert times().is_unresponsive("s0", rate=20.0, now_ms=1000.0 + UNRESPONSIVE_MS)
 
 
-def test_a_server_that_is_asked_little_is_not_called_silent():
+def test_a_server_with_few_requests_is_not_unresponsive():
     assert not times().is_unresponsive("s0", rate=2.0, now_ms=2500.0)
 
 
-def test_reports_take_a_while_to_come():
+def test_a_server_is_not_unresponsive_before_reports_can_arrive():
     assert not times().is_unresponsive("s0", rate=500.0, now_ms=1000.0 + UNRESPONSIVE_MS - 1)
 
 
-def test_nothing_is_said_of_a_server_that_never_answered():
+def test_a_server_that_never_answered_is_not_unresponsive():
     assert not times().is_unresponsive("s1", rate=500.0, now_ms=90_000.0)
 
 
@@ -34,17 +34,20 @@
 
 
 def reported(per_report, reports=10, every_ms=300.0):
-    """A server that completes so many requests in each report of 0.3 s."""
+    """Return the times of a server with ``per_report`` answers in each report, and the last time.
+
+    Reports arrive every 0.3 s.
+    """
     made = AnswerTimes()
     for number in range(reports):
         made.add("s0", [200] * per_report, number * every_ms)
     return made, (reports - 1) * every_ms
 
 
-def test_what_a_server_that_falls_behind_completes_tells_its_work():
+def test_completed_requests_of_a_server_that_falls_behind_give_its_service_time():
     made, now_ms = reported(per_report=1)
     service_ms = made.saturated_service_ms("s0", slots=3, rate=20.0, now_ms=now_ms)
-    assert 700.0 <= service_ms <= 1000.0  # 3.3 a second with three slots
+    assert 700.0 <= service_ms <= 1000.0  # 3.3 per second with three slots
 
 
 def test_a_server_that_completes_nothing_any_more_counts_as_very_slow():
@@ -52,8 +55,8 @@
     assert made.saturated_service_ms("s0", 3, rate=20.0, now_ms=now_ms + 2000.0) > 4000.0
 
 
-def test_a_server_that_keeps_up_is_not_judged_by_chance():
-    made, now_ms = reported(per_report=4)  # 13.3 a second
+def test_a_server_that_keeps_up_does_not_fall_behind_by_chance():
+    made, now_ms = reported(per_report=4)  # 13.3 per second
     for rate in (10.0, 13.0, 18.0, 24.0):
         assert made.saturated_service_ms("s0", 3, rate=rate, now_ms=now_ms) is None
 
@@ -63,13 +66,13 @@
     assert made.saturated_service_ms("s0", 3, rate=3.0, now_ms=now_ms) is None
 
 
-def test_a_server_that_is_known_for_a_moment_is_not_judged():
+def test_a_server_known_for_a_short_time_does_not_fall_behind():
     made = AnswerTimes()
     made.add("s0", [200], 0.0)
     assert made.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETION_WINDOW_MS - 1) is None
 
 
-# A server that had lost its busy keys was taken for one that completes nothing, and got none again.
+# A server that had lost its busy keys counted as one that completes nothing, and got no keys again.
 def test_a_server_of_whose_keys_nobody_asks_does_not_fall_behind():
     times = AnswerTimes()
     times.add("s0", [10.0] * 20, 0.0)
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -1,4 +1,4 @@
-"""A zone whose servers are to get nothing: who counts as leaving, and where keys go."""
+"""Evacuation of a zone: which servers count as leaving, and where their keys move."""
 
 from dataclasses import replace
 
@@ -50,7 +50,7 @@
     assert "s7" in leaving(servers)
 
 
-def test_a_zone_that_is_taken_back_is_used_again_but_for_what_drains():
+def test_a_zone_that_is_no_longer_evacuated_is_used_again_except_draining_servers():
     servers = full_set()
     servers.set_evacuated({"b", "c"}, 100.0)
     servers.put(record(4, draining=True), 150.0)
@@ -69,7 +69,7 @@
         assert leaving(servers) == set()
 
 
-def test_no_slot_of_an_evacuated_server_is_shared():
+def test_an_evacuated_server_is_no_member_of_its_group():
     servers = full_set()
     servers.set_evacuated({"b"}, 100.0)
     members = groups.members_of(GroupName(SERVICE), servers.of_service(SERVICE))
@@ -84,14 +84,14 @@
     return made
 
 
-def test_servers_that_come_back_are_taken_to_be_cold():
+def test_servers_of_a_zone_that_is_no_longer_evacuated_count_as_cold():
     made = directory(cold_per_s=6.7)
     made.set_evacuated({"b"})
     made.set_evacuated(())
     assert made.servers.cold_until_ms.keys() == {"s1"}
 
 
-def test_where_cold_servers_are_not_bounded_nothing_is_assumed():
+def test_without_a_bound_for_cold_servers_none_counts_as_cold():
     made = directory(cold_per_s=0.0)
     made.set_evacuated({"b"})
     made.set_evacuated(())
@@ -138,7 +138,7 @@
     assert all(call.handover == "warm" for call in granted)
 
 
-def test_the_last_zone_keeps_its_keys_where_nobody_else_may_hold_them():
+def test_keys_stay_if_all_zones_are_evacuated():
     core = three_holders()
     servers = full_set(3)
     servers.set_evacuated(ZONES, 1000.0)
@@ -146,7 +146,7 @@
 
 
 def test_a_cold_server_is_given_no_more_busy_keys_than_it_can_serve():
-    """Keys of a lost server go where they can be served."""
+    """Keys of a draining server move to servers that can serve them."""
     core = three_holders()
     records = [record(0), record(1), record(2)]
     rates = {key: 20.0 for key in range(20_100, 39_000, 1_500)}
--- a/tests/unit/test_key_simulation.py
+++ b/tests/unit/test_key_simulation.py
@@ -1,4 +1,4 @@
-"""Whole cells under virtual time: who holds which keys, under faults."""
+"""Whole cells in simulated time: which servers hold which keys, under injected faults."""
 
 from itertools import combinations
 
@@ -9,7 +9,7 @@
 
 PAIRS = list(combinations(sorted(FAULTS), 2))
 SILENT_AND_RESTARTED = (1, ("cut-server", "kill-all", "restart-server"))
-# Schedules on which the proof fails when the mechanism is switched off: seed and faults.
+# Schedules, as a seed and faults, with a violation if the mechanism is switched off.
 FAILING_SCHEDULES = {
     "lapse not waited out": (1, ("late-orders", "store-loses-answers")),
     "release not awaited": SILENT_AND_RESTARTED,
@@ -22,7 +22,7 @@
 }
 
 
-# Found by seeds that drew these faults.
+# Schedules on which earlier versions had a violation, found by random seeds.
 FOUND_SCHEDULES = {
     "late grant revived a lease": [
         (194, ("cut-leader-from-store", "late-orders", "cut-server", "hot-key", "kill-all"))
@@ -80,9 +80,10 @@
 
 @pytest.mark.parametrize("schedule", FOUND_SCHEDULES["next life took a renewal"])
 def test_a_server_that_is_back_at_its_address(schedule):
-    """Found by simulation: the next life took a renewal or a repeated grant at its token.
+    """The next incarnation accepted a renewal or a repeated grant at an unchanged token.
 
-    In turn: after a break within a term, at a change of leaders, of a range that moved.
+    The schedules do so after a closed connection within a term, at a change of leaders, and for
+    a range that moved.
     """
     verdict = run_schedule(*schedule)
     assert verdict.clean, explain(verdict)
@@ -101,15 +102,15 @@
 
 @pytest.mark.parametrize("schedule", FOUND_SCHEDULES["late grant revived a lease"])
 def test_a_late_grant_and_a_server_cut_from_the_leader(schedule):
-    """Found by simulation: a map 4 s old led to a holder whose lapsed lease had revived."""
+    """A node used a map 4 s old, whose holder had an expired lease that a late grant revived."""
     verdict = run_schedule(*schedule)
     assert verdict.clean, explain(verdict)
 
 
 def test_a_late_order_and_a_cut_leader():
-    """Found by simulation: a stale node sent requests by a map 12 s old.
+    """A node without a current view sent requests by a map 12 s old.
 
-    The old holder had taken a grant late, out of reach of the new leader.
+    The old holder had accepted a late grant, and the new leader could not reach it.
     """
     for schedule in FOUND_SCHEDULES["old map"]:
         verdict = run_schedule(*schedule)
@@ -118,7 +119,7 @@
 
 @pytest.mark.parametrize("schedule", FOUND_SCHEDULES["two leaders before"])
 def test_a_leader_replaced_before_its_predecessors_time_was_over(schedule):
-    """Found by simulation: the third leader waited for the second one only.
+    """The third leader waited for the leases of the second one only.
 
     The first one, cut off from the store, still renewed its grants.
     """
--- a/tests/unit/test_keymap.py
+++ b/tests/unit/test_keymap.py
@@ -1,4 +1,4 @@
-"""Key maps: every key has one range, tokens only rise."""
+"""Key maps: every key is in exactly one range, and tokens only rise."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -26,7 +26,7 @@
 
 class KeyMapMachine(RuleBasedStateMachine):
     @initialize(slots=st.lists(st.integers(1, 4), min_size=1, max_size=4))
-    def deal(self, slots):
+    def assign_all(self, slots):
         candidates = [
             Candidate(holder, slot, 100.0) for holder, slot in zip(HOLDERS, slots, strict=False)
         ]
--- a/tests/unit/test_leader_core.py
+++ b/tests/unit/test_leader_core.py
@@ -1,4 +1,4 @@
-"""The leader's decisions, event by event."""
+"""Decisions of the key leader's core, tested event by event."""
 
 from dataclasses import replace
 
@@ -53,7 +53,7 @@
 
 
 def two_servers():
-    """A core whose map is settled: s0 holds the lower half, s1 the upper."""
+    """Return a core with a settled map, in which s0 holds the lower half and s1 the upper one."""
     pieces = [Move(0, 32767, holder(0)), Move(32768, 65535, holder(1))]
     keymap = settle(first_assignment(KeyMap(SERVICE), pieces), lambda item: True)
     core = LeaderCore()
@@ -66,7 +66,7 @@
     core.map_stored(action.keymap, revision, 0.0)
 
 
-def test_first_deal_waits_for_a_stable_set_of_servers():
+def test_first_assignment_waits_for_a_stable_set_of_servers():
     core = LeaderCore()
     assert core.tick(0.0, view(record(0)), True) == []
     assert core.tick(900.0, view(record(0), record(1)), True) == []
@@ -110,7 +110,7 @@
     assert (grant.holder, grant.handover, grant.range_id.token) == (holder(1), "handover", 2)
 
 
-def test_a_silent_holder_is_waited_out():
+def test_a_grant_waits_until_the_lease_of_an_unresponsive_holder_expires():
     core = two_servers()
     core.grant_sent(holder(0), 900.0)
     records = view(record(0, draining=True), record(1))
@@ -121,7 +121,7 @@
             if isinstance(action, SendRelease):
                 core.release_ended(action, CallOutcome.NO_ANSWER, "", now_ms)
             elif isinstance(action, SendGrant):
-                assert action.renewal, f"granted at {now_ms} before the lease lapsed"
+                assert action.renewal, f"granted at {now_ms} before the lease expired"
                 core.grant_ended(action, CallOutcome.DONE, now_ms)
         now_ms += 50.0
     grants = of_kind(core.tick(TIMING.expiry_ms(900.0) + 1, records, True), SendGrant)
@@ -129,7 +129,7 @@
     assert TIMING.expiry_ms(900.0) > 900.0 + LEASE_MS * 1.02
 
 
-def test_another_life_at_the_address_ends_the_wait():
+def test_another_incarnation_at_the_address_ends_the_wait():
     core = two_servers()
     core.grant_sent(holder(0), 900.0)
     records = view(record(0, draining=True), record(1))
@@ -152,7 +152,7 @@
     assert len(core.tick(200.0 + TIMING.renew_ms, view(record(0), record(1)), True)) == 2
 
 
-def test_a_renewal_is_not_sent_once_its_keys_are_on_the_move():
+def test_a_renewal_is_not_sent_once_its_keys_move():
     core = two_servers()
     (grant, *_) = of_kind(core.tick(100.0, view(record(0), record(1)), True), SendGrant)
     assert core.may_send(grant.holder, grant.range_id, renewal=True)
@@ -186,7 +186,7 @@
     assert all(item.previous == (holder(0),) for item in moved)
 
 
-def test_a_leader_that_reaches_few_servers_gives_its_lease_back():
+def test_a_leader_that_reaches_few_servers_resigns():
     core = two_servers()
     records = view(record(0), record(1))
     now_ms = 0.0
@@ -200,7 +200,7 @@
     assert of_kind(actions, Resign)
 
 
-def test_a_store_that_did_not_answer_is_asked_again_with_what_is_there():
+def test_after_a_write_without_an_answer_the_map_in_the_store_is_used():
     core = two_servers()
     records = view(record(0, draining=True), record(1))
     (action,) = of_kind(core.tick(1000.0, records, True), StoreMap)
@@ -210,13 +210,13 @@
     assert of_kind(core.tick(1050.0, records, True), SendRelease)
 
 
-def test_an_older_map_is_not_taken():
+def test_an_older_map_is_not_adopted():
     core = two_servers()
     core.map_seen(replace(KeyMap(SERVICE), revision=1), 0.0)
     assert core.keymap(SERVICE).ranges
 
 
-def test_a_grant_not_sent_says_nothing_about_the_server():
+def test_a_grant_that_was_not_sent_does_not_count_against_the_server():
     core = two_servers()
     records = view(record(0), record(1))
     for now_ms in range(0, 3000, 50):
@@ -226,13 +226,13 @@
 
 
 def test_a_refused_renewal_of_keys_that_stay_tells_of_a_newer_leader():
-    """Found in the incident of hivescale-gw: 60 refused renewals in 3 s."""
+    """A replaced leader that did not step down got 60 refused renewals in 3 s."""
     core = two_servers()
     (grant, *_) = of_kind(core.tick(100.0, view(record(0), record(1)), True), SendGrant)
     assert of_kind(core.grant_ended(grant, CallOutcome.REFUSED, 110.0), StepDown)
 
 
-def test_a_refused_renewal_of_keys_on_the_move_says_nothing():
+def test_a_leader_stays_after_a_refused_renewal_of_keys_that_move():
     core = two_servers()
     grants = of_kind(core.tick(100.0, view(record(0), record(1)), True), SendGrant)
     (grant,) = [grant for grant in grants if grant.holder == holder(0)]
@@ -247,7 +247,7 @@
 
 
 def test_a_dominant_key_that_was_moved_rests():
-    """Found in the incident of kscd-gate: one key moved twice within 0.4 s."""
+    """Without a cooldown, one key moved twice within 0.4 s."""
     core = two_servers()
     records = view(record(0), record(1), record(2), rates={5: 60.0})
     fast = {"s0": 100.0, "s1": 50.0, "s2": 100.0}
@@ -262,21 +262,21 @@
         assert action.keymap.find(5).holder == holder(1)
 
 
-def test_servers_that_are_gone_are_forgotten_once_nothing_can_be_held():
+def test_servers_that_are_gone_are_forgotten_once_their_leases_have_expired():
     core = two_servers()
     core.grant_sent(holder(0), 0.0)
     core.grant_sent(holder(1), 0.0)
-    core.grant_sent(holder(7), 0.0)  # neither in a map nor in a record any more
+    core.grant_sent(holder(7), 0.0)  # no map or record names it any more
     lapsed_ms = TIMING.expiry_ms(0.0) + 1.0
     assert core.forget_gone(["s5"], lapsed_ms - 10.0) == {"s0", "s1", "s5", "s7"}
     assert core.forget_gone(["s5"], lapsed_ms) == {"s0", "s1", "s5"}
 
 
 def test_keys_of_a_silent_holder_wait_until_no_node_uses_the_old_map():
-    """Found by the simulation (seed 194): a late grant revived a lapsed lease."""
+    """A late grant revived an expired lease (simulation, seed 194)."""
     core = two_servers()
     core.grant_sent(holder(0), 0.0)
-    stored_ms = TIMING.expiry_ms(0.0) - 500.0  # the lease lapses soon after
+    stored_ms = TIMING.expiry_ms(0.0) - 500.0  # the lease expires soon after
     records = view(record(1))
     actions = core.tick(stored_ms, records, True)
     (action,) = of_kind(actions, StoreMap)
@@ -295,7 +295,7 @@
 
 
 def renewed(core, actions, now_ms):
-    """Answer the renewals among actions; return all actions, with those that follow."""
+    """Acknowledge the renewals among actions; return all actions and those that follow."""
     followed = list(actions)
     for action in followed:
         if isinstance(action, SendGrant) and action.renewal:
@@ -304,7 +304,7 @@
 
 
 def granted_core():
-    """A core whose range 2 has moved from s0 to s1 and is not stored as settled yet."""
+    """Return a core whose range at token 2 has moved from s0 to s1, and isn't stored as settled."""
     core = two_servers()
     records = view(record(0, draining=True), record(1))
     store(core, renewed(core, core.tick(1000.0, records, True), 1000.0), 2)
@@ -315,7 +315,7 @@
 
 
 def test_a_granted_range_is_renewed_though_the_store_is_away():
-    """Found on a day of the new customer: the leader was cut off in the middle of moves."""
+    """A leader that was cut off from the store during moves let granted ranges expire."""
     core = granted_core()
     records = view(record(1))
     sent = []
@@ -328,7 +328,7 @@
     assert core.may_send(holder(1), renewals[0].range_id, True)
 
 
-def test_a_granted_range_that_moves_on_names_its_holder_as_the_previous_one():
+def test_a_granted_range_that_moves_again_has_its_holder_as_the_previous_one():
     core = granted_core()
     records = view(record(1, draining=True), record(2))
     (action,) = of_kind(core.tick(1400.0, records, True), StoreMap)
@@ -345,29 +345,29 @@
     assert [action.holder for action in of_kind(actions, SendRelease)] == [holder(0)]
 
 
-# ---- holders that fall silent --------------------------------------------------------------
+# ---- unresponsive holders ------------------------------------------------------------------
 
 
-def silent_view(*records, unresponsive=()):
+def unresponsive_view(*records, unresponsive=()):
     return {SERVICE: ServiceView(records, unresponsive=unresponsive)}
 
 
-def test_a_holder_whose_callers_get_no_answer_is_asked_at_once():
+def test_a_holder_whose_callers_get_no_answer_gets_a_renewal_at_once():
     core = two_servers()
     records = record(0), record(1)
-    renewals = of_kind(core.tick(0.0, silent_view(*records), True), SendGrant)
+    renewals = of_kind(core.tick(0.0, unresponsive_view(*records), True), SendGrant)
     for call in renewals:
         core.grant_ended(call, CallOutcome.DONE, 10.0)
-    assert core.tick(100.0, silent_view(*records), True) == []
+    assert core.tick(100.0, unresponsive_view(*records), True) == []
     (probe,) = of_kind(
-        core.tick(200.0, silent_view(*records, unresponsive={"s0"}), True), SendGrant
+        core.tick(200.0, unresponsive_view(*records, unresponsive={"s0"}), True), SendGrant
     )
     assert (probe.holder, probe.renewal) == (holder(0), True)
 
 
 def test_two_signs_of_silence_are_enough_to_move_its_keys():
     core = two_servers()
-    views = silent_view(record(0), record(1), record(2), unresponsive={"s0"})
+    views = unresponsive_view(record(0), record(1), record(2), unresponsive={"s0"})
     for call in of_kind(core.tick(0.0, views, True), SendGrant):
         done = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
         core.grant_ended(call, done, 600.0)
@@ -377,7 +377,7 @@
 
 def test_a_lost_answer_alone_moves_no_keys():
     core = two_servers()
-    views = silent_view(record(0), record(1), record(2))
+    views = unresponsive_view(record(0), record(1), record(2))
     for call in of_kind(core.tick(0.0, views, True), SendGrant):
         done = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
         core.grant_ended(call, done, 600.0)
@@ -405,7 +405,7 @@
     assert 3 <= sum(sent) <= 5
 
 
-def test_a_server_with_new_keys_is_not_judged_by_what_they_were_asked_elsewhere():
+def test_rates_of_new_keys_do_not_count_for_their_new_holder():
     core = two_servers()
     records = view(record(0, draining=True), record(1))
     store(core, core.tick(1000.0, records, True), 2)
@@ -419,8 +419,8 @@
     assert core.rates_by_holder(SERVICE, rates, 1150.0 + NEW_KEYS_GRACE_MS) == {"s1": 30.0}
 
 
-def test_a_leader_that_is_about_to_go_ends_its_moves_and_begins_none():
-    """Its successor would release the range again, and its keys stand still meanwhile."""
+def test_a_leader_that_is_about_to_resign_ends_its_moves_and_begins_none():
+    """Its successor would have the range released again, and requests for its keys would wait."""
     core = two_servers()
     records = view(record(0, draining=True), record(1))
     store(core, core.tick(1000.0, records, True), 2)
@@ -438,14 +438,14 @@
     assert of_kind(core.tick(9000.0, both_leave, True, finishing=True), StoreMap) == []
 
 
-# ---- holders that ask for rest -------------------------------------------------------------
+# ---- holders that ask for a backoff --------------------------------------------------------
 
 
 def shedding_view(*records, shedding=()):
     return {SERVICE: ServiceView(records, shedding=shedding)}
 
 
-def test_the_keys_of_a_holder_that_asks_everybody_for_rest_move():
+def test_the_keys_of_a_holder_that_asks_every_node_for_a_backoff_move():
     core = two_servers()
     views = shedding_view(record(0), record(1), record(2), shedding={"s0"})
     (action,) = of_kind(core.tick(0.0, views, True), StoreMap)
@@ -454,17 +454,17 @@
     assert holder(0) not in {item.holder for item in action.keymap.ranges}
 
 
-def test_where_most_holders_rest_their_keys_stay():
-    """The others would not bear them."""
+def test_where_most_holders_are_backing_off_their_keys_stay():
+    """The other holders could not bear them."""
     core = two_servers()
     views = shedding_view(record(0), record(1), record(2), shedding={"s0", "s1"})
     assert of_kind(core.tick(0.0, views, True), StoreMap) == []
 
 
-# ---- holders of which another life may answer ----------------------------------------------
+# ---- holders of which a later incarnation may answer ---------------------------------------
 
 
-def test_grants_from_before_a_broken_connection_are_made_anew_and_not_renewed():
+def test_grants_from_before_a_closed_connection_are_repeated_and_not_renewed():
     core = two_servers()
     views = view(record(0), record(1))
     core.note_connection_closed(holder(0))
@@ -483,7 +483,7 @@
     assert renewal.range_id.token == moving.token or renewal.holder == holder(1)
 
 
-def test_while_no_map_can_be_stored_they_lapse():
+def test_such_grants_expire_while_no_map_can_be_stored():
     core = two_servers()
     core.note_connection_closed(holder(0))
     calls = of_kind(core.tick(0.0, view(record(0), record(1)), False), SendGrant)
@@ -491,7 +491,7 @@
 
 
 def test_a_new_leader_renews_nothing_that_another_one_granted():
-    """Its predecessor's connections would have told of a server that has started again."""
+    """Only its predecessor's connections would have shown that a server has restarted."""
     stored = two_servers().keymap(SERVICE)
     later = LeaderCore()
     later.inherit(replace(stored, revision=3), 0.0, 0.0, same_incarnations=False)
@@ -501,7 +501,7 @@
     assert {item.token > 1 for item in action.keymap.ranges} == {True}
 
 
-def test_nor_does_it_repeat_a_grant_of_a_move_at_its_token():
+def test_a_new_leader_does_not_repeat_a_grant_of_a_move_at_its_token():
     stored = granted_core().keymap(SERVICE)
     later = LeaderCore()
     later.inherit(replace(stored, revision=3), 1200.0, 1200.0, same_incarnations=False)
@@ -513,10 +513,10 @@
         actions = later.tick(now_ms, views, False)
 
 
-# ---- a store that came back with an older map ------------------------------------------------
+# ---- a store that was restored with an older map ---------------------------------------------
 
 
-# A map of before, read back after a write that failed, put former holders into force again.
+# An older map, read back after a write that failed, made former holders the holders again.
 def test_a_map_of_before_is_written_over_and_gives_nobody_keys():
     core = two_servers()
     moved = begin_moves(core.keymap(SERVICE), [Move(0, 100, holder(1))])
@@ -530,8 +530,8 @@
     assert action.keymap.token == newest.token + TOKEN_GAP
 
 
-# What is left of a lost map names not all who may hold keys.
-def test_keys_of_a_map_that_is_not_trusted_are_taken_from_every_server_first():
+# After later maps were lost, the remaining map doesn't name all servers that may hold keys.
+def test_keys_of_an_invalid_map_are_released_by_every_server_first():
     core = two_servers()
     core.invalidate(SERVICE, 8000.0)
     (action,) = of_kind(core.tick(0.0, view(record(0), record(1), record(2)), True), StoreMap)
@@ -549,7 +549,7 @@
     assert {call.range_id.token for call in of_kind(calls, SendRelease)} == {token}
 
 
-# A server whose record is gone may go on holding keys that it was to release.
+# A server whose record is gone may still hold keys that it was asked to release.
 def test_previous_holders_without_a_record_are_waited_for_too():
     core = two_servers()
     moved = begin_moves(core.keymap(SERVICE), [Move(0, 32767, holder(1))])
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -1,4 +1,4 @@
-"""Limits that servers name: what their group gives them, and which keys they keep."""
+"""Rate limits that servers announce: how many requests and which keys they get."""
 
 import random
 from bisect import bisect_left
@@ -23,11 +23,11 @@
 NODE = ("10.0.0.1", 7000)
 SERVICE = "svc"
 SPAN_MS = 4000.0
-MOST_MOVES_OF_LIMITED = 20  # in 20 rounds, with load that varies
+MAX_MOVES_OF_LIMITED = 20  # in 20 rounds with varying load
 
 
 def allowed(per_s):
-    """Return what a server gets at most in 4 s that has named a limit."""
+    """Return how many requests a server with a rate limit may get in 4 s."""
     return 1.5 * per_s * SPAN_MS / 1000 + 5
 
 
@@ -47,7 +47,10 @@
 
 
 def flood(made, start_ms, end_ms, step_ms=5.0):
-    """Ask every few milliseconds, answer at once; return when slots were given, by server."""
+    """Request slots every few milliseconds and release them at once.
+
+    Returns the times at which slots were granted, by server.
+    """
     given_ms = {}
     now_ms, number = start_ms, 0
     while now_ms < end_ms:
@@ -66,13 +69,13 @@
 
 
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 100.0])
-def test_a_limited_server_gets_what_it_named_and_no_more(per_s):
+def test_a_limited_server_gets_its_rate_and_no_more(per_s):
     times = flood(group({"s0": per_s}), 0.0, 30_000.0)["s0"]
     assert most(times) <= per_s * SPAN_MS / 1000 + max(1.0, 0.02 * per_s) + 1
     assert len(times) >= 0.9 * per_s * 30
 
 
-# Two nodes count: the first one and one behind it that some take for the first.
+# Two dispatchers count: the first one and its standby, which some nodes take for the first.
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_two_nodes_that_both_count_keep_to_the_limit(per_s):
     first = flood(group({"s0": per_s}), 0.0, 20_000.0)["s0"]
@@ -80,7 +83,8 @@
     assert most([*first, *behind]) <= allowed(per_s)
 
 
-# The first node is gone and comes back: the one behind counts in full until it is asked again.
+# The first dispatcher is gone and returns. Its standby counts in full until the first one is
+# asked again.
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_a_change_of_the_node_that_counts_keeps_to_the_limit(per_s):
     gone_ms = 5000.0
@@ -90,26 +94,26 @@
     assert most([*before, *between, *after]) <= allowed(per_s)
 
 
-def test_servers_without_a_limit_take_what_a_limited_one_does_not():
+def test_servers_without_a_limit_get_the_requests_above_the_limit():
     given_ms = flood(group({"s0": 2.5}, count=2), 0.0, 4000.0)
     assert len(given_ms["s0"]) <= 11
     assert len(given_ms["s1"]) > 700
 
 
-def test_a_limit_of_nothing_is_asked_now_and_then():
+def test_a_server_with_a_limit_of_zero_gets_a_request_now_and_then():
     times = flood(group({"s0": 0.0}), 0.0, 30_000.0)["s0"]
     assert most(times) <= allowed(0.0)
     assert len(times) >= LEAST_LIMIT_PER_S * 30 - 1
 
 
-def test_who_cannot_be_served_in_time_is_told_when_to_come_back():
+def test_a_request_that_cannot_be_served_in_time_is_rejected_with_a_time_to_retry():
     made = group({"s0": 0.5})
     made.ask(wish(1, 0.0), 0.0)
     (answer,) = made.ask(wish(2, 1.0), 1.0)
     assert answer == TurnedAway(Asker(NODE, 2), 2000.0)
 
 
-def test_a_limit_binds_from_the_moment_at_which_it_is_known():
+def test_a_limit_applies_from_the_moment_at_which_it_is_known():
     limits = {}
     made = group(limits)
     assert len(flood(made, 0.0, 1000.0)["s0"]) > 150
@@ -119,7 +123,7 @@
     assert len(flood(made, 5000.0, 6000.0)["s0"]) > 150
 
 
-def test_a_group_whose_servers_are_left_to_others_gives_nothing():
+def test_a_group_whose_servers_are_left_to_other_dispatchers_grants_nothing():
     made = group({"s0": 2.5, "s1": 4.0}, count=2)
     assert not made.gives_nothing(0.0)
     made.bind(ServerBounds(limit_per_s={"s0": 2.5, "s1": 4.0}, share=0.0))
@@ -164,7 +168,7 @@
     return core
 
 
-RATES = {key: 1.0 for key in range(100, 65536, 2000)}  # 33 requests a second
+RATES = {key: 1.0 for key in range(100, 65536, 2000)}  # 33 requests per second
 
 
 def rate_held(keymap, server_id):
@@ -174,7 +178,7 @@
 
 
 def plan_rounds(core, limits, rounds=20):
-    """Return the map once moves have been planned and carried out some times."""
+    """Return the map after some rounds in which moves are planned and carried out."""
     records = [record(number) for number in range(3)]
     view = ServiceView(records, RATES, {f"s{n}": 20.0 for n in range(3)}, limit_per_s=limits)
     keymap = core.keymap(SERVICE)
@@ -187,14 +191,14 @@
     return keymap
 
 
-# A limited holder kept all its keys, and their callers were refused for as long as it was in need.
-def test_keys_that_a_limited_holder_cannot_serve_go_to_others():
+# A limited holder kept all its keys, and their callers were refused for as long as the limit held.
+def test_keys_that_a_limited_holder_cannot_serve_move_to_others():
     keymap = plan_rounds(leader(), {"s0": 2.5})
     assert 0 < rate_held(keymap, "s0") <= 2.5
     assert rate_held(keymap, "s1") + rate_held(keymap, "s2") >= 30
 
 
-# A single key that is more than the limit allows was taken for one that no server bears.
+# A single key above the limit counted as one that no server can bear.
 def test_a_key_that_is_too_much_for_a_limited_holder_leaves_it():
     keymap = plan_rounds(leader(), {"s0": 0.4})
     assert rate_held(keymap, "s0") == 0
@@ -207,8 +211,8 @@
     assert all(rate_held(keymap, name) >= 6.0 for name in limits)
 
 
-# A limited holder was remembered as slow for completing what its limit allows.
-def test_what_a_limited_holder_completes_is_no_verdict_on_it_later():
+# A limited holder counted as slow later, since it had completed only what its limit allows.
+def test_completed_requests_of_a_limited_holder_do_not_make_it_slow_later():
     core, load, times = leader(1), KeyLoad(), AnswerTimes()
     records = [record(0)]
     times.add("s0", [20.0] * 20, 0.0)
@@ -220,8 +224,8 @@
     assert later.service_ms["s0"] < 100.0
 
 
-# Where all holders are limited each busy key seemed to fill its server, and all went to and fro.
-def test_where_all_holders_are_limited_keys_do_not_go_to_and_fro():
+# With all holders limited, each busy key counted as dominant, and keys moved in every round.
+def test_where_all_holders_are_limited_keys_do_not_move_back_and_forth():
     core, chance = leader(4), random.Random(1)
     limits = dict.fromkeys(["s0", "s1", "s2", "s3"], 6.0)
     records = [record(number) for number in range(4)]
@@ -234,11 +238,11 @@
             moves.update(item.token for item in action.keymap.moving)
             keymap = settle(action.keymap, lambda item: True)
             core.map_stored(keymap, number + 1, 1000.0 * number)
-    assert len(moves) < MOST_MOVES_OF_LIMITED
+    assert len(moves) < MAX_MOVES_OF_LIMITED
 
 
-# A limited holder answers seldom since it is asked seldom, and was given up as silent.
-def test_a_limited_holder_is_not_taken_for_silent():
+# A limited holder answers rarely since it gets few requests, and counted as unresponsive.
+def test_a_limited_holder_is_not_taken_for_unresponsive():
     core, load, times = leader(1), KeyLoad(), AnswerTimes()
     times.add("s0", [20.0], 0.0)
     for step in range(1, 20):
--- a/tests/unit/test_outdated_keymaps.py
+++ b/tests/unit/test_outdated_keymaps.py
@@ -1,4 +1,4 @@
-"""Key maps that a store came back with, older than what is known."""
+"""Key maps of a restored store that are older than the known ones."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,8 +14,8 @@
     return KeyMap("svc", made.ranges, made.token, revision)
 
 
-# A map with lower tokens at a later revision put holders of before into force again.
-def test_a_map_of_before_at_a_later_revision_leaves_the_holders():
+# A map with lower tokens at a later revision made former holders the holders again.
+def test_an_older_map_at_a_later_revision_does_not_change_the_holders():
     directory = Directory()
     directory.put_keymap(keymap(1, 8, 100))
     assert directory.put_keymap(keymap(0, 5, 200))
@@ -24,18 +24,18 @@
     assert directory.outdated_keymaps == {"svc"}
 
 
-# After two restores of one copy a leader issued tokens that servers knew from the first one.
+# After two restores of one snapshot a leader issued tokens that servers knew from the first one.
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.integers(0, 1000), st.booleans()), max_size=12),
     st.integers(0, 1000),
 )
 def test_tokens_of_a_later_era_are_above_all_earlier_ones(restored, moves):
-    """Each restore brings back one of the latest maps; some of them find a leader's jump due."""
+    """Each restore brings back one of the latest maps, or a store without a map."""
     kept, highest = [moves], moves
-    for restores, (age, moves_since, starts_anew) in enumerate(restored, start=1):
+    for restores, (age, moves_since, without_map) in enumerate(restored, start=1):
         token = kept[-1 - min(age, len(kept) - 1)]
-        if starts_anew:
-            token = 0  # from before the first map
+        if without_map:
+            token = 0  # the snapshot is from before the first map
         issued = token_above_lost(token, restores)
         assert issued > highest
         highest = issued + moves_since
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -1,4 +1,4 @@
-"""Which keys go where: tables of situations."""
+"""Planned moves of keys between servers, in different situations."""
 
 from random import Random
 
@@ -45,7 +45,7 @@
     }
 
 
-def test_first_deal_is_by_slots():
+def test_first_assignment_is_by_slots():
     candidates = [candidate(0, slots=1), candidate(1, slots=3)]
     pieces = initial_pieces(candidates)
     assert pieces == [
@@ -76,28 +76,28 @@
 def test_a_hot_region_is_divided():
     candidates = [candidate(number) for number in range(4)]
     keymap = settled_map(candidates)
-    rates = {key: 0.4 for key in range(100, 300, 2)}  # 40 a second, a server runs 20
+    rates = {key: 0.4 for key in range(100, 300, 2)}  # 40 per second; a server can run 20
     for _ in range(4):
         keymap = apply(keymap, plan_moves(keymap, candidates, rates))
     assert max(utilisation(keymap, candidates, rates).values()) < 0.85
 
 
 def test_a_busy_server_is_relieved_also_when_its_keys_lie_in_many_ranges():
-    """Found on a day of the new customer: no single range closed half of the gap."""
+    """No single range closed half of the gap, so no range was moved."""
     candidates = [candidate(number) for number in range(4)]
     keymap = settled_map(candidates)
-    for number in range(40):  # every second busy key lies in a range of its own
+    for number in range(40):  # each busy key lies in a range of its own
         keymap = apply(keymap, [Move(number * 20, number * 20, candidates[1].holder)])
         keymap = apply(keymap, [Move(number * 20, number * 20, candidates[0].holder)])
     for number in range(40):
         keymap = apply(keymap, [Move(number * 20 + 5, number * 20 + 9, candidates[3].holder)])
-    rates = {number * 20: 1.2 for number in range(40)}  # 48 a second, a server runs 20
+    rates = {number * 20: 1.2 for number in range(40)}  # 48 per second; a server can run 20
     for _ in range(10):
         keymap = apply(keymap, plan_moves(keymap, candidates, rates))
     assert max(utilisation(keymap, candidates, rates).values()) < 0.85
 
 
-def test_a_dominant_key_goes_to_the_fastest_server_and_the_rest_leaves_it():
+def test_a_dominant_key_goes_to_the_fastest_server_and_other_keys_leave_it():
     candidates = [candidate(0, service_ms=160.0), candidate(1), candidate(2, service_ms=60.0)]
     keymap = settled_map(candidates)
     rates = {77: 30.0, 500: 2.0, 900: 1.0, 60000: 3.0}
@@ -127,7 +127,7 @@
 
 
 def test_a_map_that_was_divided_often_is_joined_again():
-    """Found by the placement experiment: a map only ever grew."""
+    """Without merging, the number of ranges only grew."""
     candidates = [candidate(number) for number in range(4)]
     keymap = settled_map(candidates)
     for number in range(300):
@@ -142,7 +142,7 @@
     assert keymap.ranges[-1].last == LAST_KEY
 
 
-def test_joining_takes_no_release():
+def test_merging_takes_no_release():
     holder = candidate(0).holder
     keymap = begin_moves(settled_map([candidate(0)]), [Move(0, 99, holder)])
     assert all(item.previous == () for item in keymap.moving)
@@ -163,13 +163,13 @@
 
 
 def counted(random, keys_rates):
-    """Return rates as a window of counts shows them."""
+    """Return the rates that counts over the window show."""
     span_s = PlanLimits().window_s
     return {key: poisson(random, rate * span_s) / span_s for key, rate in keys_rates.items()}
 
 
 def poisson(random, mean):
-    """Draw a count by adding up the times between events."""
+    """Draw a count from a Poisson distribution by adding up the times between events."""
     count, time = 0, random.expovariate(1.0)
     while time < mean:
         count += 1
@@ -178,7 +178,7 @@
 
 
 def moves_by_chance(seed, limits):
-    """Sixty servers at 0.7 of what they can do: some seem busier, by chance alone."""
+    """Return the moves among 60 equal servers, at 0.7 of their capacity, with counted rates."""
     random = Random(seed)
     candidates = [candidate(number, slots=3, service_ms=210.0) for number in range(60)]
     keymap = settled_map(candidates)
@@ -191,13 +191,13 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_chance_moves_fewer_keys_the_surer_a_gap_has_to_be(seed):
+def test_a_larger_gap_in_deviations_causes_fewer_moves_by_chance(seed):
     always = moves_by_chance(seed, PlanLimits(gap_deviations=0.0))
     assert moves_by_chance(seed, PlanLimits()) < always * 0.8
     assert moves_by_chance(seed, PlanLimits(gap_deviations=4.5)) == 0
 
 
-def test_slow_servers_give_keys_to_fast_ones_though_chance_blurs_it():
+def test_keys_move_from_slow_servers_to_fast_ones_despite_noise():
     random = Random(1)
     candidates = [
         candidate(number, slots=3, service_ms=140.0 if number % 3 else 320.0)
--- a/tests/unit/test_renewals.py
+++ b/tests/unit/test_renewals.py
@@ -1,4 +1,4 @@
-"""Renewals of a holder's ranges, some of which get no answer."""
+"""Renewals of a holder's ranges where some calls get no answer."""
 
 import heapq
 import itertools
@@ -27,7 +27,7 @@
 
 
 def keymap_of(ranges):
-    """Return a settled map whose ranges go to holders in turn, each at a token of its own."""
+    """Return a settled map with ranges assigned to holders in turn, each at its own token."""
     step = (LAST_KEY + 1) // ranges
     ends = [*range(step - 1, step * (ranges - 1), step), LAST_KEY]
     pieces = [Move(n * step, end, holder(n % HOLDERS)) for n, end in enumerate(ends)]
@@ -37,7 +37,7 @@
 
 
 class Term:
-    """A leader that has inherited a map, under virtual time."""
+    """A leader that has inherited a map, in simulated time."""
 
     def __init__(self, chance, keymap, unanswered):
         self.chance = chance
@@ -90,13 +90,13 @@
 
 
 def test_ranges_stay_leased_where_some_renewals_get_no_answer():
-    """One unanswered renewal held up all others of its holder, whose leases lapsed."""
+    """One unanswered renewal delayed all others of its holder until their leases expired."""
     found = [Term(random.Random(seed), keymap_of(20), 0.4).longest_gap_ms() for seed in range(5)]
     assert max(found) < LEASE_MS, found
 
 
 def test_a_holder_that_answers_nothing_gets_few_calls_at_once():
-    """It may be frozen, and have a hundred ranges."""
+    """A suspended holder may have a hundred ranges."""
     term = Term(random.Random(1), keymap_of(200), 1.0)
     most = 0
     for tick in range(100):
@@ -107,8 +107,8 @@
     assert most == MAX_LATE_CALLS
 
 
-def test_a_slow_holder_gets_no_more_calls_for_it():
-    """Its answers come in order, so that none of them was lost."""
+def test_a_slow_holder_gets_no_additional_calls():
+    """Its answers arrive in order, so none of them was lost."""
     term = Term(random.Random(1), keymap_of(20), 0.0)
     term.answer_ms = 300.0
     assert term.longest_gap_ms() < LEASE_MS
--- a/tests/unit/test_standbys.py
+++ b/tests/unit/test_standbys.py
@@ -1,4 +1,4 @@
-"""Standbys of ranges: who may be granted them while the store takes no map."""
+"""Standbys: servers that may be granted ranges while the store accepts no map."""
 
 from dataclasses import replace
 
@@ -49,7 +49,7 @@
 
 
 def assigned(count=3):
-    """Return a settled map of so many servers, with standbys, as the store has it."""
+    """Return a settled map of ``count`` servers, with standbys, as the store has it."""
     width = 65536 // count
     pieces = [Move(n * width, (n + 1) * width - 1, holder(n)) for n in range(count - 1)]
     pieces.append(Move((count - 1) * width, 65535, holder(count - 1)))
@@ -58,7 +58,7 @@
 
 
 def leading(keymap):
-    """Return a core that has stored a map."""
+    """Return a core that has stored the map in its term."""
     core = LeaderCore()
     core.inherit(KeyMap(SERVICE), 0.0)
     core.map_stored(keymap, keymap.revision, 0.0)
@@ -86,13 +86,13 @@
 
 
 @given(st.sets(st.integers(1, 12)))
-def test_promotions_come_to_the_same_in_whatever_order_they_are_told(tokens):
-    """A node that missed the first of two promotions kept on sending to the lost holder."""
+def test_promotions_have_the_same_result_one_at_a_time_and_together(tokens):
+    """A node that missed the first of two promotions still sent requests to the lost holder."""
     keymap = assigned()
-    told = keymap
+    promoted = keymap
     for token in sorted(tokens):
-        told = promote(told, {token})
-    assert promote(keymap, tokens) == told
+        promoted = promote(promoted, {token})
+    assert promote(keymap, tokens) == promoted
 
 
 def test_the_stored_form_keeps_standbys():
@@ -123,8 +123,8 @@
     assert core.promoted(SERVICE) == frozenset()
 
 
-def test_only_a_standby_that_is_surely_stored_is_promoted():
-    """A later leader would not know of the others."""
+def test_only_a_standby_that_is_known_to_be_stored_is_promoted():
+    """A later leader would not know of other standbys."""
     core = leading(KeyMap(SERVICE))
     (action,) = of_kind(core.tick(0.0, view(), True) + core.tick(2000.0, view(), True), StoreMap)
     core.map_not_stored(SERVICE)
@@ -136,9 +136,9 @@
 
 
 def test_a_leader_promotes_no_standbys_of_its_successor():
-    """It had keys released at the successor's tokens, whose own grants were refused from then on.
+    """Otherwise keys are released at the successor's tokens, and its own grants are refused.
 
-    Found by simulation (seeds 207 and 250).
+    The simulation showed this (seeds 207 and 250).
     """
     core = leading(assigned())
     later = begin_moves(assigned(), [Move(0, 65535, holder(0))])
@@ -148,7 +148,7 @@
     assert core.promoted(SERVICE) == frozenset()
 
 
-def test_a_holder_whose_connection_broke_is_granted_its_range_anew():
+def test_a_holder_whose_connection_closed_is_granted_its_range_again():
     core = leading(assigned())
     core.note_connection_closed(holder(0))
     actions = core.tick(LEAVES_MS, view(), False, store_unavailable=True)
@@ -159,7 +159,7 @@
     )
 
 
-def test_a_promotion_is_stored_first_when_the_store_is_back():
+def test_a_promotion_is_stored_first_when_the_store_is_available_again():
     core = leading(assigned())
     (release,) = of_kind(core.tick(LEAVES_MS, view(0), False, store_unavailable=True), SendRelease)
     (grant,) = of_kind(core.release_ended(release, CallOutcome.DONE, "", 1010.0), SendGrant)
@@ -171,8 +171,8 @@
     assert core.promoted(SERVICE) == frozenset()
 
 
-def test_a_map_that_was_on_its_way_has_its_move_wait_for_the_promoted_standby():
-    """Its answer was lost: the store may take it after the promotion."""
+def test_the_move_of_a_map_stored_after_a_promotion_waits_for_the_standby():
+    """The answer to its write was lost, so the store may accept it after the promotion."""
     core = leading(assigned())
     (action,) = of_kind(core.tick(LEAVES_MS, view(0), True), StoreMap)
     core.map_not_stored(SERVICE)
@@ -205,7 +205,7 @@
     assert {grant.handover for grant in granted} == {""}
 
 
-def test_a_former_standby_that_has_ended_holds_nobody_up():
+def test_a_former_standby_that_has_stopped_is_not_waited_for():
     core = LeaderCore()
     core.inherit(assigned(), 5000.0, 0.0, same_incarnations=False)
     (action,) = of_kind(core.tick(100.0, view(), True), StoreMap)
