--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -207,9 +207,9 @@
         stop = self.planned_stop
         if stop is None:
             return deadline_ms
-        if not stop.takes(elapsed_ms(), deadline_ms):
+        if not stop.admits(elapsed_ms(), deadline_ms):
             raise RefusedError(results.NODE_DRAINING, "", RETRY_AFTER_STOP_S)
-        return stop.bounded(deadline_ms)
+        return stop.answer_deadline_ms(deadline_ms)
 
     # ---- attempts -------------------------------------------------------------------
 
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -43,7 +43,7 @@
 )
 from ploverhatch.relay.messages import Beacon, Told
 from ploverhatch.relay.publisher import Term
-from ploverhatch.routing.planned_stop import PlannedStop, caller_rest_s
+from ploverhatch.routing.planned_stop import PlannedStop, caller_idle_timeout_s
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
@@ -175,7 +175,7 @@
             self.directory.limits,
             self._note_rejected,
             settings.max_caller_connections,
-            caller_rest_s(settings.grace_s * 1000),
+            caller_idle_timeout_s(settings.grace_s * 1000),
         )
         self._readiness = CallerServer(
             settings.readiness, self._answer_readiness, self.directory.limits
@@ -227,7 +227,7 @@
         if settings != self._settings:
             LOG.info("Settings taken.")
         self._settings = settings
-        self._callers.keep_alive_s = caller_rest_s(settings.grace_s * 1000)
+        self._callers.keep_alive_s = caller_idle_timeout_s(settings.grace_s * 1000)
         self._budget.ratio = settings.retry_ratio
         self._budget.slack = settings.retry_slack
         self._budget.window_s = settings.retry_window_s
@@ -251,7 +251,7 @@
         if self._draining:
             return
         self._draining = True
-        plan = PlannedStop.after_standing(
+        plan = PlannedStop.after_suspension(
             elapsed_ms(), self._standstill.ran_until_ms, self._settings.grace_s * 1000
         )
         stop = StopSequence(plan, self._callers, self._forwarder, self._slots, self._leave)
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -17,7 +17,7 @@
 from ploverhatch.gateway.directory import Directory
 from ploverhatch.gateway.upstreams import Upstream, UpstreamPool
 from ploverhatch.routing import balancer, sending
-from ploverhatch.routing.sending import Bar, HolderTimes
+from ploverhatch.routing.sending import Exclusion, HolderGracePeriods
 from ploverhatch.state.servers import ServerRecord
 
 JITTER = 0.15
@@ -47,15 +47,15 @@
     ) -> None:
         self._directory = directory
         self._pool = pool
-        self._times = HolderTimes.of(drain_ms, evacuate_ms)
+        self._times = HolderGracePeriods.of(drain_ms, evacuate_ms)
         self._rested: set[str] = set()  # servers that asked for a rest and have not recovered
 
-    def bar(self, call: Call, server_id: str) -> Bar | None:
+    def bar(self, call: Call, server_id: str) -> Exclusion | None:
         """Return why a request may not be sent to a server now; ``None``: it may.
 
         First tries and repeats, with and without a key or a shared slot, all ask here.
         """
-        return sending.bar(
+        return sending.find_exclusion(
             self._directory.servers,
             server_id,
             call.partitioned,
@@ -171,12 +171,12 @@
 
     def _hopeless_at(self, call: Call, server_ids: Collection[str]) -> Hopeless | None:
         bars = {server_id: self.bar(call, server_id) for server_id in server_ids}
-        resting = [server_id for server_id, bar in bars.items() if bar is Bar.RESTS]
+        resting = [server_id for server_id, bar in bars.items() if bar is Exclusion.RESTS]
         if not bars or not all(bars.values()):
             return None
         if resting:
             return self._until_rest_is_over(resting)
-        if not all(bar is Bar.LEAVES for bar in bars.values()):
+        if not all(bar is Exclusion.LEAVES for bar in bars.values()):
             return None
         said_ms = self._directory.servers.standings.leaving_ms
         said = {name: elapsed_ms() - said_ms[name] for name in bars if name in said_ms}
--- a/ploverhatch/gateway/stop_sequence.py
+++ b/ploverhatch/gateway/stop_sequence.py
@@ -45,7 +45,7 @@
         self._slots.dismiss_waiting()
         LOG.info("Stopping.", busy=callers.busy, connections=callers.open_connections)
         leaving = gevent.spawn(self._leave)
-        self._sleep_until(self._plan.last_call_ms)
+        self._sleep_until(self._plan.admission_cutoff_ms)
         self._await_empty(self._plan.listening_until_ms)
         # While new connections come the process is never empty, and it would end
         # with requests under way.
--- a/ploverhatch/routing/attempt_outcome.py
+++ b/ploverhatch/routing/attempt_outcome.py
@@ -28,7 +28,7 @@
     }
 )
 # An attempt that never arrived costs no server anything.
-FREE = frozenset({AttemptResult.NOT_CONNECTED, AttemptResult.WITHHELD})
+UNSENT = frozenset({AttemptResult.NOT_CONNECTED, AttemptResult.WITHHELD})
 
 
 class NextStep(Enum):
@@ -49,7 +49,7 @@
     def after(self, result: AttemptResult) -> "AttemptHistory":
         """Add one attempt."""
         return AttemptHistory(
-            arrivals=self.arrivals + (result not in FREE),
+            arrivals=self.arrivals + (result not in UNSENT),
             may_have_run=self.may_have_run or result not in NOT_RUN,
         )
 
--- a/ploverhatch/routing/retry_budget.py
+++ b/ploverhatch/routing/retry_budget.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass, field
 
-EARNED_PART = 0.8  # of the ratio that is used
-HELD_PART = 0.6  # of a node's part of the slack: most that it may save up
-REFILL_PART = 0.2  # of a node's part of the slack: what comes back in a window
+EARNED_FRACTION = 0.8  # of the ratio that is used
+MAX_SAVED_FRACTION = 0.6  # of a node's part of the slack: most that it may save up
+REFILL_FRACTION = 0.2  # of a node's part of the slack: what comes back in a window
 
 
 @dataclass(slots=True)
@@ -37,12 +37,12 @@
     @property
     def ceiling(self) -> float:
         """Most tokens that are saved up for a service; one at least, to be of use."""
-        return max(1.0, self.share * HELD_PART)
+        return max(1.0, self.share * MAX_SAVED_FRACTION)
 
     def earn(self, service: str, now_ms: float) -> None:
         """Count a first attempt."""
         bucket = self._filled(service, now_ms)
-        bucket.tokens = min(self.ceiling, bucket.tokens + self.ratio * EARNED_PART)
+        bucket.tokens = min(self.ceiling, bucket.tokens + self.ratio * EARNED_FRACTION)
 
     def spend(self, service: str, now_ms: float) -> bool:
         """Take a token for a further attempt; false when there is none."""
@@ -56,10 +56,10 @@
         bucket = self._buckets.get(service)
         if bucket is None:
             # Half full, so that restarts within a window do not add up.
-            bucket = _Bucket(self.share * HELD_PART / 2, now_ms)
+            bucket = _Bucket(self.share * MAX_SAVED_FRACTION / 2, now_ms)
             self._buckets[service] = bucket
         windows = (now_ms - bucket.filled_ms) / 1000 / self.window_s
         bucket.filled_ms = now_ms
-        refilled = bucket.tokens + windows * self.share * REFILL_PART
+        refilled = bucket.tokens + windows * self.share * REFILL_FRACTION
         bucket.tokens = min(self.ceiling, refilled)
         return bucket
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -28,7 +28,7 @@
 from ploverhatch.node.process import Node
 from ploverhatch.platform.store import PlatformStore
 from ploverhatch.quarantine.record import ServerEnd
-from ploverhatch.routing.planned_stop import READINESS_MISSES_MS
+from ploverhatch.routing.planned_stop import READINESS_DETECTION_MS
 from ploverhatch.settings.loader import load_settings
 from ploverhatch.store import kinds
 from ploverhatch.transport.http_server import HttpServer
@@ -397,7 +397,7 @@
     gevent.sleep(0.1)
     assert keeper.slots.waiting == 1
     keeper.slots.leaving = True
-    gevent.sleep(READINESS_MISSES_MS / 1000)
+    gevent.sleep(READINESS_DETECTION_MS / 1000)
     keeper.slots.dismiss_waiting()
     gevent.sleep(0.05)
     keeper.stop()
--- a/tests/functional/test_suspension.py
+++ b/tests/functional/test_suspension.py
@@ -17,7 +17,7 @@
 
 from ploverhatch.common import clock
 from ploverhatch.leadership.election import AUTHORITY_MS
-from ploverhatch.routing.planned_stop import READINESS_MISSES_MS
+from ploverhatch.routing.planned_stop import READINESS_DETECTION_MS
 from tests.functional.test_gateway import Site, ask, start_site, until
 from tests.standin.suspension import Suspension
 
@@ -67,7 +67,7 @@
     begun_ms = clock.elapsed_ms()
     stopped = gevent.spawn(gateway.drain)
     gevent.sleep(0.2)
-    machine.suspend(READINESS_MISSES_MS / 1000)
+    machine.suspend(READINESS_DETECTION_MS / 1000)
     stopped.get(timeout=2 * NOTICED_S)
     assert clock.elapsed_ms() - begun_ms < gateway.settings.grace_s * 1000
 
--- a/tests/unit/test_planned_stop.py
+++ b/tests/unit/test_planned_stop.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from ploverhatch.routing.planned_stop import (
-    END_MARGIN_PART,
-    READINESS_MISSES_MS,
-    REST_MARGIN_MS,
+    END_MARGIN_FRACTION,
+    IDLE_MARGIN_MS,
+    READINESS_DETECTION_MS,
     PlannedStop,
-    caller_rest_s,
+    caller_idle_timeout_s,
 )
 
 GRACE_MS = st.floats(1000.0, 120_000.0)
@@ -19,11 +19,11 @@
 
 @given(st.floats(0, 1e6), st.floats(0, 30_000), st.floats(500, 60_000))
 def test_a_stop_after_standing_still_begins_when_the_process_last_ran(now_ms, stood_ms, grace_ms):
-    stop = PlannedStop.after_standing(now_ms, now_ms - stood_ms, grace_ms)
+    stop = PlannedStop.after_suspension(now_ms, now_ms - stood_ms, grace_ms)
     left_ms = stop.end_ms - now_ms
-    assert left_ms >= grace_ms * END_MARGIN_PART - 1e-6  # to answer what is under way
+    assert left_ms >= grace_ms * END_MARGIN_FRACTION - 1e-6  # to answer what is under way
     assert stop.begun_ms <= now_ms
-    if left_ms > grace_ms * END_MARGIN_PART + 1e-6:
+    if left_ms > grace_ms * END_MARGIN_FRACTION + 1e-6:
         assert stop.begun_ms == pytest.approx(now_ms - stood_ms)
 
 
@@ -32,40 +32,40 @@
     stop = PlannedStop(begun_ms, grace_ms)
     times = [
         begun_ms,
-        stop.last_call_ms,
+        stop.admission_cutoff_ms,
         stop.listening_until_ms,
         stop.answered_by_ms,
         stop.end_ms,
         begun_ms + grace_ms,
     ]
     assert times == sorted(times)
-    assert stop.last_call_ms < stop.listening_until_ms < stop.end_ms
+    assert stop.admission_cutoff_ms < stop.listening_until_ms < stop.end_ms
 
 
 @given(TIMES_MS, GRACE_MS, SPANS_MS, SPANS_MS)
 def test_what_is_taken_after_the_last_call_ends_by_its_own_deadline(begun, grace, after, limit):
     stop = PlannedStop(begun, grace)
-    now_ms = stop.last_call_ms + after
-    if stop.takes(now_ms, now_ms + limit):
-        assert stop.bounded(now_ms + limit) == now_ms + limit
+    now_ms = stop.admission_cutoff_ms + after
+    if stop.admits(now_ms, now_ms + limit):
+        assert stop.answer_deadline_ms(now_ms + limit) == now_ms + limit
         assert now_ms + limit < stop.end_ms
 
 
 @given(TIMES_MS, GRACE_MS, SPANS_MS)
 def test_no_request_that_is_taken_outlives_the_process(begun, grace, limit):
     stop = PlannedStop(begun, grace)
-    assert stop.takes(begun, begun + limit)
-    assert stop.bounded(begun + limit) < stop.end_ms
+    assert stop.admits(begun, begun + limit)
+    assert stop.answer_deadline_ms(begun + limit) < stop.end_ms
 
 
 def test_a_short_grace_time_leaves_half_of_it_for_what_is_under_way():
-    assert PlannedStop(0.0, 2000.0).last_call_ms == 1000.0
-    assert PlannedStop(0.0, 60_000.0).last_call_ms == READINESS_MISSES_MS
+    assert PlannedStop(0.0, 2000.0).admission_cutoff_ms == 1000.0
+    assert PlannedStop(0.0, 60_000.0).admission_cutoff_ms == READINESS_DETECTION_MS
 
 
 @given(TIMES_MS, GRACE_MS)
 def test_callers_are_told_to_use_no_connection_that_a_stop_may_close(begun, grace):
     """A connection that is kept while the stop begins is at rest for that long before its close."""
     stop = PlannedStop(begun, grace)
-    rest_s = caller_rest_s(grace)
-    assert rest_s == 0 or rest_s * 1000 + REST_MARGIN_MS <= stop.last_call_ms - begun + 1e-3
+    rest_s = caller_idle_timeout_s(grace)
+    assert rest_s == 0 or rest_s * 1000 + IDLE_MARGIN_MS <= stop.admission_cutoff_ms - begun + 1e-3
--- a/tests/unit/test_sending.py
+++ b/tests/unit/test_sending.py
@@ -4,13 +4,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from ploverhatch.routing.sending import Bar, HolderTimes, bar
+from ploverhatch.routing.sending import Exclusion, HolderGracePeriods, find_exclusion
 from ploverhatch.state.lives import life_id
 from ploverhatch.state.servers import ServerRecord, ServerSet
 from ploverhatch.state.standing import LEAVING_MS, LONGEST_REST_MS, ServerNotice
 
 BORN = 1_764_700_000_000
-TIMES = HolderTimes.of(drain_ms=2000.0, evacuate_ms=5000.0)
+TIMES = HolderGracePeriods.of(drain_ms=2000.0, evacuate_ms=5000.0)
 NAMES = st.sampled_from(["i-1", "i-2", "i-3"])
 
 
@@ -90,20 +90,23 @@
                 del self.said_ms[life]
 
     def _bars(self, life):
-        return [bar(self.servers, life, keyed, (), TIMES, self.now_ms) for keyed in (False, True)]
+        return [
+            find_exclusion(self.servers, life, keyed, (), TIMES, self.now_ms)
+            for keyed in (False, True)
+        ]
 
     @invariant()
     def what_was_said_holds(self):
         for life in self.life.values():
             plain, keyed = self._bars(life)
             if self.now_ms < self.rest_until_ms.get(life, 0.0):
-                assert (plain, keyed) == (Bar.RESTS, Bar.RESTS)
+                assert (plain, keyed) == (Exclusion.RESTS, Exclusion.RESTS)
                 continue
             said_ms = self.said_ms.get(life)
             leaves = said_ms is not None or self.draining[life]
-            assert (plain is Bar.LEAVES) == leaves
-            if said_ms is not None and self.now_ms - said_ms > TIMES.said_ms:
-                assert keyed is Bar.LEAVES
+            assert (plain is Exclusion.LEAVES) == leaves
+            if said_ms is not None and self.now_ms - said_ms > TIMES.announced_ms:
+                assert keyed is Exclusion.LEAVES
             if not leaves:
                 assert keyed is None
 
@@ -111,7 +114,7 @@
     def nothing_goes_to_a_life_that_is_over(self):
         present = set(self.life.values())
         for life in self.draining.keys() - present:
-            assert self._bars(life) == [Bar.GONE, Bar.GONE]
+            assert self._bars(life) == [Exclusion.GONE, Exclusion.GONE]
         assert set(self.servers.records) == present
 
 
