--- a/ploverhatch/admission/groups.py
+++ b/ploverhatch/admission/groups.py
@@ -41,7 +41,7 @@
 
     :param regions: whose servers may be used; all where none is named.
     """
-    usable = [record for record in records if not record.leaving and record.lies_in(regions)]
+    usable = [record for record in records if not record.leaving and record.in_regions(regions)]
     divided = len(usable) > MOST_SERVERS
     allowed = tuple(sorted(regions))
     names = [GroupName(item.service, item.zone if divided else "", "", allowed) for item in usable]
@@ -55,7 +55,7 @@
     return [
         record
         for record in records
-        if not record.leaving and name.zone in {"", record.zone} and record.lies_in(name.regions)
+        if not record.leaving and name.zone in {"", record.zone} and record.in_regions(name.regions)
     ]
 
 
--- a/ploverhatch/admission/request_rate.py
+++ b/ploverhatch/admission/request_rate.py
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ploverhatch.state.standing import LEAST_LIMIT_PER_S
+from ploverhatch.state.server_notices import MIN_LIMIT_PER_S
 
 MOST_SAVED = 1.0  # requests that may be given at once: the rate holds in each second
 # Queued requests are served at a fixed tick: a smaller burst would cap rates at one a tick.
@@ -49,7 +49,7 @@
             bound = self.cold_per_s
         limit = self.limit_per_s.get(server_id, NO_BOUND)
         if limit < NO_BOUND:
-            bound = min(bound, max(limit, LEAST_LIMIT_PER_S) * self.share)
+            bound = min(bound, max(limit, MIN_LIMIT_PER_S) * self.share)
         return bound
 
 
--- a/ploverhatch/experiment/placement_run.py
+++ b/ploverhatch/experiment/placement_run.py
@@ -92,7 +92,7 @@
         """Plan one round and return the owner of each key."""
         self._smooth += smoothing_weight(1000.0) * (rates - self._smooth)
         for target in plan(self._view(), self._limits, now_ms):
-            owners = self._table.meeting(target.range)
+            owners = self._table.overlapping(target.range)
             if owners:
                 self._moved_ms[target.range] = now_ms
             self._token += 1
--- a/ploverhatch/gateway/dialect.py
+++ b/ploverhatch/gateway/dialect.py
@@ -5,7 +5,7 @@
 
 from ploverhatch.gateway.messages import CallerRequest, HeaderList, RequestFacts
 from ploverhatch.routing.attempt_outcome import AttemptResult
-from ploverhatch.state.standing import ServerNotice
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.transport.http_connection import WireAnswer
 
 
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -15,8 +15,8 @@
 from ploverhatch.sharding import view
 from ploverhatch.sharding.keymap import KeyMap, KeyRange, settle
 from ploverhatch.sharding.standbys import promote
+from ploverhatch.state.server_notices import NO_LIMIT, NO_NOTICE, RateLimit, ServerNotice
 from ploverhatch.state.servers import ServerRecord, ServerSet
-from ploverhatch.state.standing import NO_LIMIT, NOTHING, RateLimit, ServerNotice
 
 LOG = PartLogger("directory")
 
@@ -96,16 +96,16 @@
 
         :param asked_ms: when the request was sent; now where that is not known.
         """
-        news = self.servers.take_notice(server_id, notice, elapsed_ms(), asked_ms)
+        news = self.servers.apply_notice(server_id, notice, elapsed_ms(), asked_ms)
         if news.leaving:
             LOG.info("Server says that it leaves.", server=server_id, by="its-answer")
-        if news.rest_ms:
-            LOG.info("Server asks for rest.", server=server_id, for_ms=round(news.rest_ms))
-        if notice.limit_per_s is not None and server_id in self.servers.standings.limits:
+        if news.backoff_ms:
+            LOG.info("Server asks for rest.", server=server_id, for_ms=round(news.backoff_ms))
+        if notice.limit_per_s is not None and server_id in self.servers.notices.limits:
             self._heard_limits[server_id] = elapsed_ms()
         if news.limit_per_s is not None:
             self._log_limit(server_id, news.limit_per_s, "its-answer")
-        if news != NOTHING:
+        if news != NO_NOTICE:
             self.changed.raise_()
 
     def _log_limit(self, server_id: str, per_s: float, by: str) -> None:
@@ -118,7 +118,7 @@
         """Another node tells which servers said that they leave, and how long ago."""
         now_ms = elapsed_ms()
         for server_id, age_ms in ages_ms.items():
-            if self.servers.hear_leaving(server_id, now_ms - age_ms, now_ms):
+            if self.servers.note_reported_leaving(server_id, now_ms - age_ms, now_ms):
                 LOG.info(
                     "Server says that it leaves.",
                     server=server_id,
@@ -131,15 +131,15 @@
         """Another node tells what servers said of the rate that they take."""
         now_ms = elapsed_ms()
         for server_id, (per_s, age_ms) in told.items():
-            if self.servers.hear_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
+            if self.servers.note_reported_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
                 self._log_limit(server_id, per_s, by)
                 self.changed.raise_()
 
     def limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
         """Return what some servers said of the rate that they take, as far as is known."""
-        limits, now_ms = self.servers.standings.limits, elapsed_ms()
+        limits, now_ms = self.servers.notices.limits, elapsed_ms()
         return {
-            name: (limits[name].per_s, now_ms - limits[name].said_ms)
+            name: (limits[name].per_s, now_ms - limits[name].announced_ms)
             for name in server_ids
             if name in limits
         }
@@ -157,7 +157,7 @@
 
     def next_limits(self) -> ToldLimits:
         """Return the words to tell next; all are told in turn, since messages are short."""
-        known = sorted(self.servers.standings.limits)
+        known = sorted(self.servers.notices.limits)
         after = [name for name in known if name > self._told_limit]
         told = [*after, *known][: min(MOST_LIMITS, len(known))]
         self._told_limit = told[-1] if told else ""
@@ -168,7 +168,7 @@
         now_ms, records = elapsed_ms(), self.servers.records
         return {
             name: now_ms - ms
-            for name, ms in self.servers.standings.leaving_ms.items()
+            for name, ms in self.servers.notices.leaving_ms.items()
             if not records[name].draining
         }
 
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -40,7 +40,7 @@
 from ploverhatch.routing.planned_stop import PlannedStop
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import ShareSplitter
-from ploverhatch.state.standing import NOTHING
+from ploverhatch.state.server_notices import NO_NOTICE
 from ploverhatch.transport.http_connection import (
     AnswerCutError,
     HttpConnection,
@@ -447,9 +447,9 @@
         if result is not AttemptResult.WRONG_INSTANCE:
             upstream.heard_ms = elapsed_ms()
         notice = self._dialect.notice(call.facts.request_id, record.server_id, answer)
-        if notice != NOTHING:
+        if notice != NO_NOTICE:
             self._directory.take_notice(record.server_id, notice, sent_ms)
-        if notice.rest_ms:
+        if notice.backoff_ms:
             upstream.asked_for_rest()
             self._choice.note_rest(record.server_id)
         if result is AttemptResult.LOST:
@@ -491,12 +491,12 @@
             raise
 
     def _count_send(self, server_id: str) -> None:
-        standings = self._directory.servers.standings
-        if standings.leaves(server_id):
+        notices = self._directory.servers.notices
+        if notices.is_leaving(server_id):
             self.metrics.sends["leaving"] += 1
-        if standings.rest_left_ms(server_id, elapsed_ms()) > 0:
+        if notices.backoff_left_ms(server_id, elapsed_ms()) > 0:
             self.metrics.sends["resting"] += 1
-        if server_id in standings.limit_per_s:
+        if server_id in notices.limit_per_s:
             self.metrics.sends["limited"] += 1
 
     # ---- choice of the server ---------------------------------------------------------
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -35,7 +35,7 @@
 )
 from ploverhatch.sharding.reading import Reading
 from ploverhatch.sharding.resting import RestReports
-from ploverhatch.state.standing import NO_LIMIT
+from ploverhatch.state.server_notices import NO_LIMIT
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     ObjectStore,
@@ -225,13 +225,13 @@
     def _view(self, service: str, now_ms: float) -> ServiceView:
         servers = self._directory.servers
         records = servers.of_service(service)
-        words = servers.standings.limits
+        words = servers.notices.limits
         limits = {
             item.server_id: word.per_s
             for item in records
             if (word := words.get(item.server_id))
             and word.per_s < NO_LIMIT
-            and now_ms - word.said_ms < PLANNED_LIMIT_MS
+            and now_ms - word.announced_ms < PLANNED_LIMIT_MS
         }
         known = self._readings.get(service)
         if known is None or now_ms - known.taken_ms >= READ_EVERY_MS:
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -436,7 +436,7 @@
             times,
             strength=self._elector.offered_strength,
             leaving=self.directory.leaving_ages_ms(),
-            resting=self.directory.servers.standings.resting(elapsed_ms()),
+            resting=self.directory.servers.notices.backing_off(elapsed_ms()),
             limits=self.directory.own_limits(),
         )
 
@@ -484,11 +484,13 @@
         metrics.gauge("leading", lambda: float(self.leads))
         metrics.gauge("servers", lambda: float(len(self.directory.servers.records)))
         metrics.gauge("evacuated_zones", lambda: float(len(self.directory.servers.evacuated)))
-        metrics.gauge("cold_servers", lambda: float(self.directory.servers.cold(elapsed_ms())))
-        standings = self.directory.servers.standings
-        metrics.gauge("leaving_servers", lambda: float(len(standings.leaving_ms)))
-        metrics.gauge("resting_servers", lambda: float(len(standings.resting(elapsed_ms()))))
-        metrics.gauge("limited_servers", lambda: float(len(standings.limit_per_s)))
+        metrics.gauge(
+            "cold_servers", lambda: float(self.directory.servers.count_cold(elapsed_ms()))
+        )
+        notices = self.directory.servers.notices
+        metrics.gauge("leaving_servers", lambda: float(len(notices.leaving_ms)))
+        metrics.gauge("resting_servers", lambda: float(len(notices.backing_off(elapsed_ms()))))
+        metrics.gauge("limited_servers", lambda: float(len(notices.limit_per_s)))
         metrics.gauge("configuration_version", lambda: float(table.version if table else 0))
         metrics.gauge("nodes", lambda: float(self._elector.node_count))
         metrics.gauge("connections", lambda: float(self._callers.open_connections))
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -490,4 +490,4 @@
 
 def _announced(upstream: Upstream) -> bool:
     """Whether a server said that it is about to end."""
-    return upstream.record.draining or upstream.record.says_it_leaves
+    return upstream.record.draining or upstream.record.announced_leaving
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -119,20 +119,20 @@
 
     def barred(self) -> tuple[str, ...]:
         """Return the servers that a dispatcher need not give: they rest, or recover from it."""
-        standings, now_ms = self._directory.servers.standings, elapsed_ms()
+        notices, now_ms = self._directory.servers.notices, elapsed_ms()
         barred = []
         for server_id in list(self._rested):
             upstream = self._pool.get(server_id)
             if upstream is None or not upstream.recovering:
                 self._rested.discard(server_id)
-            elif standings.rest_left_ms(server_id, now_ms) > 0 or not upstream.has_room:
+            elif notices.backoff_left_ms(server_id, now_ms) > 0 or not upstream.has_room:
                 barred.append(server_id)
         return tuple(sorted(barred))
 
     def needs_dispatcher(self, record: ServerRecord) -> bool:
         """Whether only the group's dispatcher may give a server's slots: it counts for all."""
         servers = self._directory.servers
-        if record.server_id in servers.standings.limit_per_s:
+        if record.server_id in servers.notices.limit_per_s:
             return True
         cold = servers.is_cold(record.server_id, elapsed_ms())
         return cold and self._directory.cold_per_s(record.service) > 0
@@ -178,7 +178,7 @@
             return self._until_rest_is_over(resting)
         if not all(bar is Exclusion.LEAVES for bar in bars.values()):
             return None
-        said_ms = self._directory.servers.standings.leaving_ms
+        said_ms = self._directory.servers.notices.leaving_ms
         said = {name: elapsed_ms() - said_ms[name] for name in bars if name in said_ms}
         if call.partitioned and not said:
             return None
@@ -187,9 +187,9 @@
 
     def _until_rest_is_over(self, server_ids: Collection[str]) -> Hopeless:
         """Return when the first of some rests is over; callers come back spread from then on."""
-        standings, now_ms = self._directory.servers.standings, elapsed_ms()
+        notices, now_ms = self._directory.servers.notices, elapsed_ms()
         left_ms, server_id = min(
-            (standings.rest_left_ms(name, now_ms), name) for name in server_ids
+            (notices.backoff_left_ms(name, now_ms), name) for name in server_ids
         )
         after_s = (left_ms + random.uniform(0.0, REST_SPREAD_MS)) / 1000
         detail = f"{server_id}:rests-{left_ms:.0f}-ms,{len(server_ids)}-rest"
@@ -197,7 +197,7 @@
 
     def _shut(self, record: ServerRecord, call: Call) -> bool:
         """Whether operators want nothing sent to a server."""
-        return record.evacuated or not record.lies_in(call.route.regions)
+        return record.evacuated or not record.in_regions(call.route.regions)
 
     def wait_until_ms(self, call: Call) -> float:
         """Return until when a request waits for a server.
--- a/ploverhatch/gateway/server_control.py
+++ b/ploverhatch/gateway/server_control.py
@@ -15,7 +15,7 @@
 )
 from ploverhatch.sharding.keymap import Holder
 from ploverhatch.sharding.messages import CallOutcome
-from ploverhatch.state.standing import NOTHING, ServerNotice
+from ploverhatch.state.server_notices import NO_NOTICE, ServerNotice
 from ploverhatch.transport.http_connection import (
     AnswerCutError,
     HostPort,
@@ -130,7 +130,7 @@
             connection.close()
             self._connect_again()
         notice = self._dialect.notice(b"", self._server_id, answer)
-        if notice != NOTHING:
+        if notice != NO_NOTICE:
             self._heard(self._server_id, notice)
         return answer
 
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -356,7 +356,7 @@
 
     def _limited(self, name: GroupName) -> list[str]:
         """Return the servers of a group that named a limit."""
-        limits = self._directory.servers.standings.limits
+        limits = self._directory.servers.notices.limits
         if not limits:
             return []
         records = self._directory.servers.of_service(name.service)
@@ -368,7 +368,7 @@
 
         :raises TurnedAwayError: when it is for a holder that names one.
         """
-        named = self._directory.servers.standings.limit_per_s
+        named = self._directory.servers.notices.limit_per_s
         limited = [server_id for server_id in self._limited(name) if server_id in named]
         if limited and wish.holder is not None:
             raise TurnedAwayError(UNREACHABLE_MS)
@@ -506,7 +506,7 @@
         return ServerBounds(
             servers.cold_until_ms,
             self._directory.cold_per_s(name.service),
-            servers.standings.limit_per_s,
+            servers.notices.limit_per_s,
             0.0 if self.leaving else share,
         )
 
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -267,7 +267,7 @@
 
     def _start_move(self, target: Target, now_ms: float) -> None:
         owners = {
-            item.server for item in self._state.assignments.meeting(target.range) if item.server
+            item.server for item in self._state.assignments.overlapping(target.range) if item.server
         }
         # Overlapping moves would take a range from an owner that was never asked.
         if len(owners) > 1 or touches(target.range, self.moves):
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -17,8 +17,8 @@
 from ploverhatch.gateway.messages import CallerRequest, HeaderList, RequestFacts
 from ploverhatch.platform import names
 from ploverhatch.routing.attempt_outcome import AttemptResult
-from ploverhatch.state.lives import registered_name
-from ploverhatch.state.standing import NO_LIMIT, NOTHING, ServerNotice
+from ploverhatch.state.incarnations import registered_name
+from ploverhatch.state.server_notices import NO_LIMIT, NO_NOTICE, ServerNotice
 from ploverhatch.transport.http_connection import WireAnswer
 
 LOG = PartLogger("platform")
@@ -106,10 +106,10 @@
     def notice(self, request_id: bytes, server_id: str, answer: WireAnswer) -> ServerNotice:
         answered_id = answer.get(names.REQUEST_ID)
         if answered_id is not None and answered_id != request_id:
-            return NOTHING
+            return NO_NOTICE
         instance = answer.get(names.INSTANCE)
         if instance is not None and instance != _instance(server_id):
-            return NOTHING
+            return NO_NOTICE
         leaving = answer.get(names.LEAVING)
         rest_s = 0.0
         if answer.status == 503:
--- a/ploverhatch/platform/documents.py
+++ b/ploverhatch/platform/documents.py
@@ -17,7 +17,7 @@
     Service,
     ServiceShare,
 )
-from ploverhatch.state.lives import life_id
+from ploverhatch.state.incarnations import incarnation_id
 from ploverhatch.state.servers import ServerRecord
 from ploverhatch.store.objects import VersionedObject
 from ploverhatch.transport.http_connection import HostPort
@@ -167,7 +167,7 @@
     except (ValueError, OverflowError) as error:
         raise DocumentError(f"{item.name}: {error}") from error
     return ServerRecord(
-        server_id=life_id(item.name, document.born),
+        server_id=incarnation_id(item.name, document.born),
         service=document.info.service,
         host=address.host,
         port=address.port,
--- a/ploverhatch/routing/sending.py
+++ b/ploverhatch/routing/sending.py
@@ -59,9 +59,9 @@
     record = servers.records.get(server_id)
     if record is None:
         return Exclusion.GONE
-    if not record.lies_in(regions):
+    if not record.in_regions(regions):
         return Exclusion.REGION
-    if servers.standings.rest_left_ms(server_id, now_ms) > 0:
+    if servers.notices.backoff_left_ms(server_id, now_ms) > 0:
         return Exclusion.RESTS
     if record.leaving and (not keyed or _left_long_ago(servers, record, times, now_ms)):
         return Exclusion.LEAVES
@@ -72,7 +72,7 @@
     servers: ServerSet, record: ServerRecord, times: HolderGracePeriods, now_ms: float
 ) -> bool:
     """Whether a server is leaving for so long that its keys' requests go there no more."""
-    said_ms = servers.standings.leaving_ms.get(record.server_id)
+    said_ms = servers.notices.leaving_ms.get(record.server_id)
     if said_ms is not None and now_ms - said_ms > times.announced_ms:
         return True
     since_ms = servers.leaving_since.get(record.server_id)
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -42,9 +42,9 @@
 from ploverhatch.sharding.restored import above_lost, possible_holders, revoked_everywhere
 from ploverhatch.sharding.standbys import assign_standbys, inherited, promote
 from ploverhatch.sharding.transfer import Transfer
-from ploverhatch.state.lives import is_later_life, registered_name
+from ploverhatch.state.incarnations import is_later_incarnation, registered_name
+from ploverhatch.state.server_notices import MIN_LIMIT_PER_S
 from ploverhatch.state.servers import ServerRecord
-from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
 PLAN_EVERY_MS = 400.0
 SETTLE_MS = 500.0  # a grant is told to all nodes at once, and stored with the next move or then
@@ -417,7 +417,7 @@
             if record is None or lease.is_over:
                 continue
             elsewhere = (record.host, record.port) != (holder.host, holder.port)
-            if elsewhere and is_later_life(record.server_id, holder.server_id):
+            if elsewhere and is_later_incarnation(record.server_id, holder.server_id):
                 lease.life_over()
                 self._end_transfers_from(holder)
 
@@ -664,7 +664,7 @@
     work_ms = view.work_ms.get(record.server_id, planner.DEFAULT_WORK_MS)
     limit_per_s = view.limit_per_s.get(record.server_id)
     if limit_per_s is not None:
-        work_ms = max(work_ms, record.slots * 1000 / max(limit_per_s, LEAST_LIMIT_PER_S))
+        work_ms = max(work_ms, record.slots * 1000 / max(limit_per_s, MIN_LIMIT_PER_S))
     if record.server_id in view.cold and view.cold_per_s:
         return max(work_ms, record.slots * 1000 / view.cold_per_s)
     return work_ms
--- a/ploverhatch/simulation/keys/cell.py
+++ b/ploverhatch/simulation/keys/cell.py
@@ -9,7 +9,7 @@
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS, Journal, SimKeyServer
 from ploverhatch.simulation.keys.store import SimStore
 from ploverhatch.simulation.world import World
-from ploverhatch.state.lives import life_id, registered_name
+from ploverhatch.state.incarnations import incarnation_id, registered_name
 from ploverhatch.state.servers import ServerRecord
 
 HOT_RATE = 60.0
@@ -45,7 +45,7 @@
         """Start a server with a new name, or a life of one that has a name."""
         self._lives += 1
         drift = self.world.random.uniform(1.0, MAX_DRIFT)
-        life = life_id(name, FIRST_BORN_MS + self._lives) if name else f"life-{self._lives}"
+        life = incarnation_id(name, FIRST_BORN_MS + self._lives) if name else f"life-{self._lives}"
         server = SimKeyServer(self.world, self.journal, life, port, drift)
         self.servers[server.life] = server
         return server
--- a/ploverhatch/simulation/keys/faults.py
+++ b/ploverhatch/simulation/keys/faults.py
@@ -5,7 +5,7 @@
 
 from ploverhatch.simulation.keys.cell import KeyCell
 from ploverhatch.simulation.keys.server import SimKeyServer
-from ploverhatch.state.lives import registered_name
+from ploverhatch.state.incarnations import registered_name
 
 Heal = Callable[[], None]
 Fault = Callable[[KeyCell], Heal]
--- a/ploverhatch/state/assignment.py
+++ b/ploverhatch/state/assignment.py
@@ -87,7 +87,7 @@
         slices = self._groups.get(group)
         return slices.find(key_hash) if slices else None
 
-    def meeting(self, span: SliceRange) -> list[Slice]:
+    def overlapping(self, span: SliceRange) -> list[Slice]:
         """Return the slices that overlap a range."""
         slices = self._groups.get(span.group)
         if slices is None:
--- a/ploverhatch/state/lives.py
+++ b/ploverhatch/state/incarnations.py
@@ -9,12 +9,12 @@
 _MARK = "~"
 
 
-def life_id(name: str, born_ms: int) -> str:
+def incarnation_id(name: str, started_ms: int) -> str:
     """Return the name of a life.
 
-    :param born_ms: Unix milliseconds of its start; 0 where nobody tells.
+    :param started_ms: Unix milliseconds of its start; 0 where nobody tells.
     """
-    return f"{name}{_MARK}{born_ms}" if born_ms else name
+    return f"{name}{_MARK}{started_ms}" if started_ms else name
 
 
 def registered_name(server_id: str) -> str:
@@ -23,17 +23,17 @@
     return name if mark and born.isdigit() else server_id
 
 
-def born_ms(server_id: str) -> int:
+def started_ms(server_id: str) -> int:
     """Return when a life began; 0 where nobody told."""
     _, mark, born = server_id.rpartition(_MARK)
     return int(born) if mark and born.isdigit() else 0
 
 
-def is_later_life(server_id: str, other: str) -> bool:
+def is_later_incarnation(server_id: str, other: str) -> bool:
     """Whether a life proves that another one of the same server is over.
 
     Not where one of them has no time: it may be the same life, told by an earlier version.
     """
     if registered_name(server_id) != registered_name(other):
         return False
-    return 0 < born_ms(other) < born_ms(server_id)
+    return 0 < started_ms(other) < started_ms(server_id)
--- a/ploverhatch/state/servers.py
+++ b/ploverhatch/state/servers.py
@@ -13,21 +13,21 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field, replace
 
-from ploverhatch.state.lives import registered_name
-from ploverhatch.state.standing import (
-    LEAVING_MS,
-    NOTHING,
+from ploverhatch.state.incarnations import registered_name
+from ploverhatch.state.server_notices import (
+    LEAVING_MEMORY_MS,
+    NO_NOTICE,
     RateLimit,
     ServerNotice,
-    Standings,
+    ServerNotices,
 )
 
 VANISH_GRACE_MS = 3000.0
 STORE_FAILURE_MEMORY_MS = 4000.0
 # After a restore of the store each server rewrites its record at its own pace. Until then its
 # record may be outdated: a draining server stays so, and one that has left stays away.
-RESTORED_MS = 5000.0
-LEFT_MS = 30_000.0  # copies are seconds old
+STALE_AFTER_RESTORE_MS = 5000.0
+DEPARTED_MEMORY_MS = 30_000.0  # copies are seconds old
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,17 +43,17 @@
     draining: bool
     warmup_ms: float = 0.0  # how much longer it was cold when it wrote the record
     evacuated: bool = False  # its zone is being evacuated
-    says_it_leaves: bool = False  # in its answers, whatever its record says
+    announced_leaving: bool = False  # in its answers, whatever its record says
     region: str = ""  # that its zone lies in
 
-    def lies_in(self, regions: Collection[str]) -> bool:
+    def in_regions(self, regions: Collection[str]) -> bool:
         """Whether it is in one of some regions; all are meant where none is named."""
         return not regions or self.region in regions
 
     @property
     def leaving(self) -> bool:
         """Whether it gets no new requests."""
-        return self.draining or self.evacuated or self.says_it_leaves
+        return self.draining or self.evacuated or self.announced_leaving
 
 
 @dataclass
@@ -66,17 +66,17 @@
     leaving_since: dict[str, float] = field(default_factory=dict)  # id -> when heard
     cold_until_ms: dict[str, float] = field(default_factory=dict)  # of servers that were cold
     evacuated: frozenset[str] = frozenset()  # zones
-    standings: Standings = field(default_factory=Standings)
-    _life_of: dict[str, str] = field(default_factory=dict)  # by registered name
+    notices: ServerNotices = field(default_factory=ServerNotices)
+    _incarnation_by_name: dict[str, str] = field(default_factory=dict)  # by registered name
     store_failed_ms: float = -1e12
     store_restored_ms: float = -1e12  # when a restore of the store was detected
-    _left: dict[str, float] = field(default_factory=dict)  # drained servers that went, and when
+    _departed: dict[str, float] = field(default_factory=dict)  # drained servers that went, and when
 
     def is_cold(self, server_id: str, now_ms: float) -> bool:
         """Whether a server sustains few requests for now."""
         return self.cold_until_ms.get(server_id, -1e12) > now_ms
 
-    def cold(self, now_ms: float) -> int:
+    def count_cold(self, now_ms: float) -> int:
         """Return how many servers are cold."""
         return sum(until_ms > now_ms for until_ms in self.cold_until_ms.values())
 
@@ -100,16 +100,16 @@
         region = self.regions.get(record.zone, "")
         record = replace(record, evacuated=record.zone in self.evacuated, region=region)
         name = registered_name(record.server_id)
-        before = self._life_of.get(name, record.server_id)
-        restored = now_ms - self.store_restored_ms < RESTORED_MS
-        if restored and record.server_id in self._left:
+        before = self._incarnation_by_name.get(name, record.server_id)
+        restored = now_ms - self.store_restored_ms < STALE_AFTER_RESTORE_MS
+        if restored and record.server_id in self._departed:
             return ""
         earlier = self.records.get(record.server_id)
         if restored and earlier is not None and earlier.draining:
             record = replace(record, draining=True)
         if before != record.server_id:
             self._drop(before)
-        self._life_of[name] = record.server_id
+        self._incarnation_by_name[name] = record.server_id
         known = self.records.get(record.server_id)
         if record.warmup_ms > 0 and (known is None or known.warmup_ms != record.warmup_ms):
             self.note_cold(record.server_id, now_ms + record.warmup_ms)
@@ -118,15 +118,15 @@
         return before if before != record.server_id else ""
 
     def _show(self, record: ServerRecord, now_ms: float) -> None:
-        said = self.standings.leaves(record.server_id)
-        record = replace(record, says_it_leaves=said)
+        said = self.notices.is_leaving(record.server_id)
+        record = replace(record, announced_leaving=said)
         self.records[record.server_id] = record
         if record.leaving:
             self.leaving_since.setdefault(record.server_id, now_ms)
         else:
             self.leaving_since.pop(record.server_id, None)
 
-    def take_notice(
+    def apply_notice(
         self, server_id: str, notice: ServerNotice, now_ms: float, asked_ms: float | None = None
     ) -> ServerNotice:
         """Take what an answer of a server says of it; return what of it is new.
@@ -135,27 +135,27 @@
         """
         record = self.records.get(server_id)
         if record is None:
-            return NOTHING
-        news = self.standings.note(server_id, notice, now_ms, asked_ms)
+            return NO_NOTICE
+        news = self.notices.note(server_id, notice, now_ms, asked_ms)
         if news.leaving:
             self._show(record, now_ms)
         return news
 
-    def hear_leaving(self, server_id: str, since_ms: float, now_ms: float) -> bool:
+    def note_reported_leaving(self, server_id: str, since_ms: float, now_ms: float) -> bool:
         """Another node tells that a server said it leaves; true if that is new."""
         record = self.records.get(server_id)
-        if record is None or now_ms - since_ms > LEAVING_MS:
+        if record is None or now_ms - since_ms > LEAVING_MEMORY_MS:
             return False
-        news = self.standings.note_leaving(server_id, since_ms)
+        news = self.notices.note_leaving(server_id, since_ms)
         if news:
             self._show(record, now_ms)
         return news
 
-    def hear_limit(self, server_id: str, word: RateLimit) -> bool:
+    def note_reported_limit(self, server_id: str, word: RateLimit) -> bool:
         """Another node tells what a server said of its limit; true if that is new."""
         if server_id not in self.records:
             return False
-        return self.standings.hear_limit(server_id, word)
+        return self.notices.note_reported_limit(server_id, word)
 
     def note_cold(self, server_id: str, until_ms: float) -> None:
         """A server is cold until a time, or for longer if that was known."""
@@ -176,7 +176,7 @@
 
     def remove(self, name: str, now_ms: float) -> None:
         """Take note that the record of a server is gone, by its registered name."""
-        self._remove_all({self._life_of.get(name, name)}, now_ms)
+        self._remove_all({self._incarnation_by_name.get(name, name)}, now_ms)
 
     def replace_all(self, records: list[ServerRecord], now_ms: float) -> None:
         """Take a whole listing."""
@@ -194,7 +194,7 @@
                 self.vanished.setdefault(server_id, now_ms)
             else:
                 if record.draining:
-                    self._left[server_id] = now_ms
+                    self._departed[server_id] = now_ms
                 self._drop(server_id)
 
     def _most_vanish(self, record: ServerRecord, server_ids: set[str]) -> bool:
@@ -207,8 +207,10 @@
 
     def expire(self, now_ms: float) -> bool:
         """Drop vanished records whose grace is over, and old words; true if any was."""
-        self._left = {name: ms for name, ms in self._left.items() if now_ms - ms < LEFT_MS}
-        stayed = self.standings.expire(now_ms)
+        self._departed = {
+            name: ms for name, ms in self._departed.items() if now_ms - ms < DEPARTED_MEMORY_MS
+        }
+        stayed = self.notices.expire(now_ms)
         for server_id in stayed:
             self._show(self.records[server_id], now_ms)
         overdue = [
@@ -223,12 +225,12 @@
     def _drop(self, server_id: str) -> None:
         self.records.pop(server_id, None)
         name = registered_name(server_id)
-        if self._life_of.get(name) == server_id:
-            del self._life_of[name]
+        if self._incarnation_by_name.get(name) == server_id:
+            del self._incarnation_by_name[name]
         self.vanished.pop(server_id, None)
         self.leaving_since.pop(server_id, None)
         self.cold_until_ms.pop(server_id, None)
-        self.standings.forget({server_id})
+        self.notices.forget({server_id})
 
     def forget_address(self, server_id: str) -> None:
         """Drop a server whose address was seen to belong to another one."""
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -17,8 +17,8 @@
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import Route, RouteTable, Service, ServiceShare
 from ploverhatch.sharding.keymap import LAST_KEY, Holder, KeyMap, KeyRange
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.state.servers import ServerRecord
-from ploverhatch.state.standing import ServerNotice
 from tests.standin.upstream import RawUpstream, Upstream
 
 PLAIN, KEYED = "plain", "keyed"
@@ -626,7 +626,7 @@
 
 # ---- servers that leave or want rest ------------------------------------------------------
 
-REST = ServerNotice(rest_ms=3000.0)
+REST = ServerNotice(backoff_ms=3000.0)
 LEAVES = ServerNotice(leaving=True)
 
 
@@ -716,7 +716,7 @@
     holder = Upstream("u1", sharded=True)
     bench.own_keys(bench.add(holder, service=KEYED))
     now_ms = elapsed_ms()
-    assert bench.directory.servers.hear_leaving("u1", now_ms - 1300.0, now_ms)
+    assert bench.directory.servers.note_reported_leaving("u1", now_ms - 1300.0, now_ms)
     reply = bench.ask(b"/key/", headers=((b"Shard-Key", b"5"),))
     assert elapsed_ms() - now_ms < 50.0
     assert (reply.status, holder.arrived) == (503, [])
--- a/tests/functional/test_server_control.py
+++ b/tests/functional/test_server_control.py
@@ -13,7 +13,7 @@
 from ploverhatch.platform.dialect import PlatformDialect
 from ploverhatch.sharding.keymap import Holder
 from ploverhatch.sharding.messages import CallOutcome
-from ploverhatch.state.standing import ServerNotice
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.transport.http_connection import HostPort
 from tests.standin.upstream import RawUpstream
 
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -15,7 +15,7 @@
     UNREACHABLE_MS,
     TurnedAwayError,
 )
-from ploverhatch.state.standing import NO_LIMIT, ServerNotice
+from ploverhatch.state.server_notices import NO_LIMIT, ServerNotice
 from tests.functional.test_shared_slots import Cluster, record, wish
 
 LIMIT = ServerNotice(limit_per_s=2.5)
@@ -68,7 +68,7 @@
         assert slot.dispatcher == first.name
         second.directory.take_notice("s0", LIMIT)
     gevent.sleep(0.05)
-    assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
+    assert first.directory.servers.notices.limit_per_s == {"s0": 2.5}
     assert len(given(second, 1.5)) <= 5
 
 
@@ -82,7 +82,7 @@
         cluster.hold_all(held, 1, cluster.nodes.index(third))
         with pytest.raises(TurnedAwayError):
             cluster.hold_all(held, 1, cluster.nodes.index(third), wait_ms=40.0)
-    assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
+    assert first.directory.servers.notices.limit_per_s == {"s0": 2.5}
     assert len(given(third, 1.0)) <= 4
 
 
@@ -95,7 +95,7 @@
     with second.slots.hold(wish(wait_ms=1000.0)):
         second.directory.take_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
     gevent.sleep(0.05)
-    assert first.directory.servers.standings.limit_per_s == {}
+    assert first.directory.servers.notices.limit_per_s == {}
     assert len(given(third, 0.5)) > 20
 
 
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -17,8 +17,8 @@
 from ploverhatch.sharding.load import AnswerTimes, KeyLoad
 from ploverhatch.sharding.messages import ServiceView, StoreMap
 from ploverhatch.sharding.reading import read
+from ploverhatch.state.server_notices import MIN_LIMIT_PER_S
 from ploverhatch.state.servers import ServerRecord
-from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
 NODE = ("10.0.0.1", 7000)
 SERVICE = "svc"
@@ -99,7 +99,7 @@
 def test_a_limit_of_nothing_is_asked_now_and_then():
     times = flood(group({"s0": 0.0}), 0.0, 30_000.0)["s0"]
     assert most(times) <= allowed(0.0)
-    assert len(times) >= LEAST_LIMIT_PER_S * 30 - 1
+    assert len(times) >= MIN_LIMIT_PER_S * 30 - 1
 
 
 def test_who_cannot_be_served_in_time_is_told_when_to_come_back():
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -10,9 +10,14 @@
 from ploverhatch.sharding.keymap import Holder, KeyMap, Move, first_assignment, settle
 from ploverhatch.sharding.leader_core import LeaderCore
 from ploverhatch.sharding.messages import SendGrant, SendRelease, ServiceView, StoreMap
-from ploverhatch.state.lives import born_ms, is_later_life, life_id, registered_name
+from ploverhatch.state.incarnations import (
+    incarnation_id,
+    is_later_incarnation,
+    registered_name,
+    started_ms,
+)
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.state.servers import ServerRecord, ServerSet
-from ploverhatch.state.standing import ServerNotice
 
 SERVICE = "svc"
 BORN = 1_764_700_000_000
@@ -20,42 +25,42 @@
 
 @given(st.text(), st.integers(min_value=1, max_value=10**15))
 def test_a_name_tells_server_and_start(name, born):
-    assert registered_name(life_id(name, born)) == name
-    assert born_ms(life_id(name, born)) == born
+    assert registered_name(incarnation_id(name, born)) == name
+    assert started_ms(incarnation_id(name, born)) == born
 
 
 def test_a_server_that_does_not_tell_its_start_is_one_life():
-    assert life_id("i-1", 0) == "i-1"
+    assert incarnation_id("i-1", 0) == "i-1"
     assert registered_name("i-1") == "i-1"
     assert registered_name("i~x") == "i~x"
-    assert born_ms("i-1") == 0
+    assert started_ms("i-1") == 0
 
 
 def test_only_a_later_start_of_the_same_server_proves_that_a_life_is_over():
-    first, second = life_id("i-1", BORN), life_id("i-1", BORN + 5)
-    assert is_later_life(second, first)
-    assert not is_later_life(first, second)
-    assert not is_later_life(first, first)
-    assert not is_later_life(life_id("i-2", BORN + 5), first)
-    assert not is_later_life(second, "i-1")
-    assert not is_later_life("i-1", first)
+    first, second = incarnation_id("i-1", BORN), incarnation_id("i-1", BORN + 5)
+    assert is_later_incarnation(second, first)
+    assert not is_later_incarnation(first, second)
+    assert not is_later_incarnation(first, first)
+    assert not is_later_incarnation(incarnation_id("i-2", BORN + 5), first)
+    assert not is_later_incarnation(second, "i-1")
+    assert not is_later_incarnation("i-1", first)
 
 
 def record(born, port=9000, name="i-1", **changes):
-    values = ServerRecord(life_id(name, born), SERVICE, "10.0.0.1", port, "z1", 2, False)
+    values = ServerRecord(incarnation_id(name, born), SERVICE, "10.0.0.1", port, "z1", 2, False)
     return replace(values, **changes)
 
 
 def test_the_record_of_another_life_takes_the_place_of_the_one_before():
     servers = ServerSet()
     assert servers.put(record(BORN), 0.0) == ""
-    servers.take_notice(life_id("i-1", BORN), ServerNotice(True, 9000.0), 10.0)
-    servers.note_cold(life_id("i-1", BORN), 5000.0)
-    assert servers.put(record(BORN + 5), 100.0) == life_id("i-1", BORN)
-    assert list(servers.records) == [life_id("i-1", BORN + 5)]
+    servers.apply_notice(incarnation_id("i-1", BORN), ServerNotice(True, 9000.0), 10.0)
+    servers.note_cold(incarnation_id("i-1", BORN), 5000.0)
+    assert servers.put(record(BORN + 5), 100.0) == incarnation_id("i-1", BORN)
+    assert list(servers.records) == [incarnation_id("i-1", BORN + 5)]
     (present,) = servers.records.values()
     assert not present.leaving
-    assert servers.standings.resting(100.0) == {}
+    assert servers.notices.backing_off(100.0) == {}
     assert not servers.is_cold(present.server_id, 100.0)
     servers.remove("i-1", 200.0)
     assert servers.records == {}
@@ -66,13 +71,13 @@
     servers.replace_all([record(BORN), record(BORN, 9001, "i-2")], 0.0)
     servers.note_store_failure(0.0)
     servers.replace_all([record(BORN + 5), record(BORN, 9001, "i-2")], 100.0)
-    assert set(servers.records) == {life_id("i-1", BORN + 5), life_id("i-2", BORN)}
+    assert set(servers.records) == {incarnation_id("i-1", BORN + 5), incarnation_id("i-2", BORN)}
     assert servers.vanished == {}
 
 
 def test_calls_name_the_server_and_not_its_life():
     dialect = PlatformDialect()
-    call = dialect.encode_release(ReleaseCall(1, 2, 3), life_id("i-1", BORN), "10.0.0.1:80")
+    call = dialect.encode_release(ReleaseCall(1, 2, 3), incarnation_id("i-1", BORN), "10.0.0.1:80")
     assert b"\r\nExpect-Instance: i-1\r\n" in call
 
 
@@ -80,7 +85,7 @@
 
 
 def holder(born, port=9000, name="i-1"):
-    return Holder(life_id(name, born), "10.0.0.1", port)
+    return Holder(incarnation_id(name, born), "10.0.0.1", port)
 
 
 def core_of(first, second):
--- a/tests/unit/test_restored_servers.py
+++ b/tests/unit/test_restored_servers.py
@@ -1,6 +1,6 @@
 """Servers that a store shows as before, since it came back from a copy."""
 
-from ploverhatch.state.servers import RESTORED_MS, ServerRecord, ServerSet
+from ploverhatch.state.servers import STALE_AFTER_RESTORE_MS, ServerRecord, ServerSet
 
 
 def record(draining=False):
@@ -43,5 +43,5 @@
     assert not servers.records["s0"].draining
     servers = restored(record(draining=True))
     servers.note_store_restored(100.0)
-    servers.put(record(), 100.0 + RESTORED_MS)
+    servers.put(record(), 100.0 + STALE_AFTER_RESTORE_MS)
     assert not servers.records["s0"].draining
--- a/tests/unit/test_sending.py
+++ b/tests/unit/test_sending.py
@@ -5,9 +5,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from ploverhatch.routing.sending import Exclusion, HolderGracePeriods, find_exclusion
-from ploverhatch.state.lives import life_id
+from ploverhatch.state.incarnations import incarnation_id
+from ploverhatch.state.server_notices import LEAVING_MEMORY_MS, MAX_BACKOFF_MS, ServerNotice
 from ploverhatch.state.servers import ServerRecord, ServerSet
-from ploverhatch.state.standing import LEAVING_MS, LONGEST_REST_MS, ServerNotice
 
 BORN = 1_764_700_000_000
 TIMES = HolderGracePeriods.of(drain_ms=2000.0, evacuate_ms=5000.0)
@@ -34,7 +34,7 @@
     def start(self, name):
         """Start for the first time, or again."""
         self.births += 1
-        self.life[name] = life_id(name, BORN + self.births)
+        self.life[name] = incarnation_id(name, BORN + self.births)
         self.draining[self.life[name]] = False
         self.servers.put(self._record(name, False), self.now_ms)
 
@@ -62,31 +62,31 @@
     @rule(name=NAMES)
     def say_leaving(self, name):
         if name in self.life:
-            self.servers.take_notice(self.life[name], ServerNotice(leaving=True), self.now_ms)
+            self.servers.apply_notice(self.life[name], ServerNotice(leaving=True), self.now_ms)
             self.said_ms.setdefault(self.life[name], self.now_ms)
 
-    @rule(name=NAMES, age_ms=st.floats(min_value=0.0, max_value=LEAVING_MS))
+    @rule(name=NAMES, age_ms=st.floats(min_value=0.0, max_value=LEAVING_MEMORY_MS))
     def pass_on_leaving(self, name, age_ms):
         if name in self.life:
             since_ms = self.now_ms - age_ms
-            self.servers.hear_leaving(self.life[name], since_ms, self.now_ms)
+            self.servers.note_reported_leaving(self.life[name], since_ms, self.now_ms)
             known_ms = self.said_ms.get(self.life[name], since_ms)
             self.said_ms[self.life[name]] = min(known_ms, since_ms)
 
-    @rule(name=NAMES, rest_ms=st.floats(min_value=1.0, max_value=2 * LONGEST_REST_MS))
+    @rule(name=NAMES, rest_ms=st.floats(min_value=1.0, max_value=2 * MAX_BACKOFF_MS))
     def ask_for_rest(self, name, rest_ms):
         if name in self.life:
             life = self.life[name]
-            self.servers.take_notice(life, ServerNotice(rest_ms=rest_ms), self.now_ms)
-            until_ms = self.now_ms + min(rest_ms, LONGEST_REST_MS)
+            self.servers.apply_notice(life, ServerNotice(backoff_ms=rest_ms), self.now_ms)
+            until_ms = self.now_ms + min(rest_ms, MAX_BACKOFF_MS)
             self.rest_until_ms[life] = max(until_ms, self.rest_until_ms.get(life, 0.0))
 
-    @rule(span_ms=st.one_of(st.floats(0.0, 3000.0), st.floats(0.0, LEAVING_MS)))
+    @rule(span_ms=st.one_of(st.floats(0.0, 3000.0), st.floats(0.0, LEAVING_MEMORY_MS)))
     def wait(self, span_ms):
         self.now_ms += span_ms
         self.servers.expire(self.now_ms)
         for life, said_ms in list(self.said_ms.items()):
-            if self.now_ms - said_ms > LEAVING_MS:
+            if self.now_ms - said_ms > LEAVING_MEMORY_MS:
                 del self.said_ms[life]
 
     def _bars(self, life):
