--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -17,7 +17,12 @@
 from functools import partial
 
 from ploverhatch.admission.dispatcher import Answer, Asker, Given, Group, TurnedAway, Wish
-from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, MOVE_PART, USEFUL_PART, WAIT_PART
+from ploverhatch.gateway.forwarder import (
+    HOLD_MARGIN_MS,
+    MOVE_FRACTION,
+    USEFUL_FRACTION,
+    WAIT_FRACTION,
+)
 from ploverhatch.sharding import reading
 from ploverhatch.sharding.keymap import KEY_COUNT, KeyMap
 from ploverhatch.sharding.leader_core import LeaderCore
@@ -259,8 +264,8 @@
         wish = Wish(
             Asker(NODE, request.number),
             1,
-            start_ms + scenario.objective_ms * USEFUL_PART,
-            start_ms + scenario.deadline_ms * WAIT_PART,
+            start_ms + scenario.objective_ms * USEFUL_FRACTION,
+            start_ms + scenario.deadline_ms * WAIT_FRACTION,
             start_ms + scenario.deadline_ms - self.now_ms + HOLD_MARGIN_MS,
             zone="zone",
         )
@@ -281,7 +286,7 @@
         for server in self._servers.values():
             if server.group.waiting:
                 self._take(server, server.group.expire(self.now_ms))
-        limit_ms = self.scenario.objective_ms * MOVE_PART
+        limit_ms = self.scenario.objective_ms * MOVE_FRACTION
         for request in [r for r in self._waiting if self.now_ms - r.arrived_ms > limit_ms]:
             self._waiting.remove(request)
             self.tally.turned_away += 1
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -18,8 +18,8 @@
 from ploverhatch.admission.dispatcher import Answer, Asker, Given, Group, TurnedAway, Wish
 from ploverhatch.admission.groups import GroupName
 from ploverhatch.experiment.slots_world import SERVICE, Request, World
-from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, USEFUL_PART, WAIT_PART
-from ploverhatch.gateway.shared_slots import NEAR_PART
+from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, USEFUL_FRACTION, WAIT_FRACTION
+from ploverhatch.gateway.shared_slots import OWN_ZONE_WAIT_FRACTION
 from ploverhatch.routing import balancer
 from ploverhatch.routing.answer_time import AnswerTime
 from ploverhatch.routing.balancer import ServerLoad
@@ -159,8 +159,8 @@
         wish = Wish(
             Asker((SERVICE, 0), request.number),
             priority=0,
-            useful_ms=request.arrived_ms + scenario.objective_ms * USEFUL_PART,
-            until_ms=request.arrived_ms + scenario.deadline_ms * WAIT_PART,
+            useful_ms=request.arrived_ms + scenario.objective_ms * USEFUL_FRACTION,
+            until_ms=request.arrived_ms + scenario.deadline_ms * WAIT_FRACTION,
             hold_ms=scenario.deadline_ms + HOLD_MARGIN_MS,
             zone=zone,
         )
@@ -168,7 +168,7 @@
 
     def _ask(self, request: Request, wish: Wish, names: list[GroupName]) -> None:
         name, rest = names[0], names[1:]
-        part = NEAR_PART if rest else 1.0
+        part = OWN_ZONE_WAIT_FRACTION if rest else 1.0
         now_ms = self._world.now_ms
         until_ms = now_ms + (wish.until_ms - now_ms) * part
         asked = replace(wish, until_ms=until_ms, useful_ms=min(wish.useful_ms, until_ms))
--- a/ploverhatch/gateway/answer_record.py
+++ b/ploverhatch/gateway/answer_record.py
@@ -24,7 +24,7 @@
 class SentAnswer:
     """A whole answer that was written to a caller's connection."""
 
-    name: str  # of its request
+    request_id: str
     status: int
     size: int  # bytes
 
@@ -62,7 +62,7 @@
                 self.untaken += 1
                 LOG.warning(
                     "Answer not taken.",
-                    request=answer.name,
+                    request=answer.request_id,
                     status=answer.status,
                     unacknowledged=min(left, answer.size),
                     size=answer.size,
@@ -75,7 +75,7 @@
         self.taken += 1
         if self.taken > MOST_NAMES:
             return  # counted only
-        self._names.append(f"{answer.name}:{answer.status}")
+        self._names.append(f"{answer.request_id}:{answer.status}")
         if len(self._names) >= NAMES_IN_LINE:
             self.flush()
 
--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -179,14 +179,14 @@
     def _tell_broken(self, error: BaseException) -> None:
         """Tell whose answer the end of the connection cost; resting ones may end as they like."""
         if self._request is not None:
-            self.tell_unanswered(repr(error))
+            self.log_unanswered(repr(error))
         elif self._incoming is not None or self._ready:
             LOG.info("Request not read.", whole=len(self._ready), cause=repr(error))
 
-    def tell_unanswered(self, cause: str) -> None:
+    def log_unanswered(self, cause: str) -> None:
         """Tell that the request which is being served, if there is one, gets no whole answer."""
         if self._request is not None:
-            name, took_ms = self._request.name, elapsed_ms() - self._request.received_ms
+            name, took_ms = self._request.request_id, elapsed_ms() - self._request.received_ms
             LOG.warning(
                 "Request without answer.", request=name, cause=cause, took_ms=round(took_ms)
             )
@@ -235,7 +235,7 @@
     def _deliver(self, reply: CallerReply, method: bytes, close: bool) -> None:
         size = self._send(reply, method, close)
         if self._server.draining and self._request is not None:
-            self._answers.append(SentAnswer(self._request.name, reply.status, size))
+            self._answers.append(SentAnswer(self._request.request_id, reply.status, size))
 
     def _next_request(self) -> _Incoming | None:
         """Return the next whole request; ``None`` when the connection is over.
--- a/ploverhatch/gateway/caller_server.py
+++ b/ploverhatch/gateway/caller_server.py
@@ -119,7 +119,7 @@
         """Tell what became of the requests whose connections the end of the process closes."""
         for connection in list(self._connections):
             connection.tell_answers()
-            connection.tell_unanswered("process-ends")
+            connection.log_unanswered("process-ends")
         self.answers.flush()
 
     def note_taken(self, first: bool) -> None:
--- a/ploverhatch/gateway/dialect.py
+++ b/ploverhatch/gateway/dialect.py
@@ -56,7 +56,9 @@
         """Return the request as it goes to a server."""
 
     @abstractmethod
-    def judge(self, facts: RequestFacts, server_id: str, answer: WireAnswer) -> AttemptResult:
+    def classify_answer(
+        self, facts: RequestFacts, server_id: str, answer: WireAnswer
+    ) -> AttemptResult:
         """Tell what a server's whole answer proves."""
 
     @abstractmethod
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -28,7 +28,12 @@
 from ploverhatch.gateway.quarantine import OnTrialElsewhereError, Quarantine
 from ploverhatch.gateway.request_log import AttemptNote, RequestTrace
 from ploverhatch.gateway.server_choice import RETRY_AFTER_NO_SERVER_S, ServerChoice
-from ploverhatch.gateway.shared_slots import SharedSlot, SharedSlots, SlotWish, TurnedAwayError
+from ploverhatch.gateway.shared_slots import (
+    SharedSlot,
+    SharedSlots,
+    SlotRequirements,
+    TurnedAwayError,
+)
 from ploverhatch.gateway.slots import NoSlotError, QueueFullError
 from ploverhatch.gateway.upstreams import Upstream, UpstreamPool
 from ploverhatch.routing.attempt_outcome import (
@@ -51,12 +56,12 @@
 LOG = PartLogger("forwarder")
 
 CONNECT_TIMEOUT_S = 0.3
-OFFER_PART = 0.23  # of the objective: by then a request is offered to a server or refused
-USEFUL_PART = 0.5  # of the objective: a request that gets its slot by then is mostly in time
-WAIT_PART = 0.55  # of the time until the caller or the route gives up: then no slot helps
+OFFER_FRACTION = 0.23  # of the objective: by then a request is offered to a server or refused
+USEFUL_FRACTION = 0.5  # of the objective: a request that gets its slot by then is mostly in time
+WAIT_FRACTION = 0.55  # of the time until the caller or the route gives up: then no slot helps
 HOLD_MARGIN_MS = 100.0  # a slot that all nodes share is leased for longer than it is used
 LONGEST_RETRY_AFTER_S = 2.0  # longer waits are of no use to callers, whose deadlines are seconds
-MOVE_PART = 0.6  # of the objective: how long to wait for keys that change hands
+MOVE_FRACTION = 0.6  # of the objective: how long to wait for keys that change hands
 LEAST_ATTEMPT_PART = 0.1  # of the objective: less time than that is no use
 RETRY_AFTER_BUSY_S = 0.15
 RETRY_AFTER_MOVE_S = 0.25
@@ -75,7 +80,7 @@
 def _alone() -> Quarantine:
     """Return the quarantine of a node that has no others."""
     quarantine = Quarantine("", tuple, lambda message, to: None)
-    quarantine.settle()
+    quarantine.mark_synced()
     return quarantine
 
 
@@ -103,7 +108,7 @@
         self._under_way = RequestsUnderWay()
         self.sampled_keys: dict[str, list[int]] = {}
         self._quarantine = quarantine or _alone()
-        pool.removed = self._quarantine.ended
+        pool.on_removed = self._quarantine.ended
         self.metrics = GatewayMetrics()
 
     # ---- entry ----------------------------------------------------------------------
@@ -116,7 +121,7 @@
         result = results.OK
         try:
             facts = self._dialect.facts(request)
-            request.name = trace.request_id = facts.request_id.decode("latin-1") or "-"
+            request.request_id = trace.request_id = facts.request_id.decode("latin-1") or "-"
             call = self._match(request, facts, trace)
             with self._under_way.serve() as under_way:
                 under_way.deadline_ms = call.deadline_ms
@@ -136,7 +141,7 @@
             result, detail = results.INTERNAL_ERROR, type(error).__name__
             reply = self._refuse(RefusedError(result), facts)
         except CallerGoneError:
-            trace.tell_unanswered("caller-gone", elapsed_ms() - request.received_ms)
+            trace.log_unanswered("caller-gone", elapsed_ms() - request.received_ms)
             raise
         except DeadlineOverError:
             result = results.DEADLINE_IN_FLIGHT if trace.sent else results.QUEUE_TIMEOUT
@@ -145,7 +150,7 @@
             result = results.DEADLINE_IN_FLIGHT if trace.sent else results.NODE_DRAINING
             reply = self._refuse(RefusedError(result), facts)
         took_ms = elapsed_ms() - request.received_ms
-        self.metrics.ended(result.code, took_ms)
+        self.metrics.count_request(result.code, took_ms)
         trace.finish(reply.status, result.code, detail, took_ms)
         return reply
 
@@ -194,8 +199,8 @@
             service=service,
             partitioned=partitioned,
             deadline_ms=start_ms + limit_ms,
-            offer_by_ms=start_ms + min(route.objective_ms * OFFER_PART, limit_ms),
-            move_by_ms=start_ms + min(route.objective_ms * MOVE_PART, limit_ms),
+            offer_by_ms=start_ms + min(route.objective_ms * OFFER_FRACTION, limit_ms),
+            move_by_ms=start_ms + min(route.objective_ms * MOVE_FRACTION, limit_ms),
             trace=trace,
         )
 
@@ -347,12 +352,12 @@
             return None
         now_ms = elapsed_ms()
         received_ms = call.request.received_ms
-        useful_ms = received_ms + call.route.objective_ms * USEFUL_PART
-        until_ms = received_ms + (call.deadline_ms - received_ms) * WAIT_PART
+        useful_ms = received_ms + call.route.objective_ms * USEFUL_FRACTION
+        until_ms = received_ms + (call.deadline_ms - received_ms) * WAIT_FRACTION
         if history.arrivals:  # it may have run: only an answer helps
             until_ms = call.deadline_ms
         attempts = call.trace.attempts
-        wish = SlotWish(
+        wish = SlotRequirements(
             call.service,
             call.route.priority,
             max(0.0, useful_ms - now_ms),
@@ -443,15 +448,15 @@
         answer = self._exchange(call, upstream, connection, payload, sent_ms)
         if isinstance(answer, AttemptResult):
             return answer, None
-        result = self._dialect.judge(call.facts, record.server_id, answer)
+        result = self._dialect.classify_answer(call.facts, record.server_id, answer)
         if result is not AttemptResult.WRONG_INSTANCE:
             upstream.heard_ms = elapsed_ms()
         notice = self._dialect.notice(call.facts.request_id, record.server_id, answer)
         if notice != NOTHING:
             self._directory.take_notice(record.server_id, notice, sent_ms)
         if notice.rest_ms:
-            upstream.asked_for_rest()
-            self._choice.note_rest(record.server_id)
+            upstream.note_backoff()
+            self._choice.note_backoff(record.server_id)
         if result is AttemptResult.LOST:
             connection.abort()
             return result, None
--- a/ploverhatch/gateway/messages.py
+++ b/ploverhatch/gateway/messages.py
@@ -15,7 +15,7 @@
     body: bytes
     received_ms: float  # when its first byte was read
     caller: bytes = b""  # address of the other end of its connection, without the port
-    name: str = "-"  # by which logs know it, once its header fields are understood
+    request_id: str = "-"  # by which logs know it, once its header fields are understood
 
     @property
     def path(self) -> bytes:
--- a/ploverhatch/gateway/metrics.py
+++ b/ploverhatch/gateway/metrics.py
@@ -25,7 +25,7 @@
         """Add a value that is read when it is asked for."""
         self._gauges[name] = read
 
-    def ended(self, result_code: int, took_ms: float) -> None:
+    def count_request(self, result_code: int, took_ms: float) -> None:
         """Count a request."""
         self.results[result_code] += 1
         bucket = next((limit for limit in BUCKETS_MS if took_ms <= limit), float("inf"))
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -18,13 +18,13 @@
 from ploverhatch.gateway.elector import Elector
 from ploverhatch.gateway.feeds import Feed, FeedTask, Pauses
 from ploverhatch.gateway.forwarder import Forwarder
-from ploverhatch.gateway.held_requests import HeldRequests
 from ploverhatch.gateway.key_leader import KeyLeader
 from ploverhatch.gateway.keymap_relay import KeymapRelay
 from ploverhatch.gateway.messages import CallerReply, CallerRequest
 from ploverhatch.gateway.peer_link import MAX_KEYS, Address, LoadReport, PeerLink
 from ploverhatch.gateway.peer_objects import SnapshotClient, SnapshotServer
 from ploverhatch.gateway.quarantine import Quarantine
+from ploverhatch.gateway.quarantine_persistence import QuarantinePersistence
 from ploverhatch.gateway.relay import Relay
 from ploverhatch.gateway.settings import GatewaySettings, SettingsError, SettingsSource
 from ploverhatch.gateway.shared_slots import SharedSlots
@@ -122,7 +122,7 @@
             self._peers.send,
             self._elector.address,
         )
-        self._peers.take_slots(self._slots.take)
+        self._peers.take_slots(self._slots.handle_message)
         permits = TrialPermits(
             self._other_leader, lambda: self._elector.node_count, self._peers.send
         )
@@ -135,12 +135,14 @@
             permits,
             lambda: self._standstill.ran_until_ms,
         )
-        self._held_requests = HeldRequests(store, self._quarantine, lambda: self.leads)
-        self._peers.take_from(TrialAsk, permits.take_ask)
-        self._peers.take_from(TrialWord, permits.take_word)
-        self._peers.take_from(TrialOver, permits.take_over)
-        self._peers.take_from(CrashesTold, self._quarantine.take_told)
-        self._peers.take_from(CrashesAsk, self._quarantine.take_ask)
+        self._quarantine_persistence = QuarantinePersistence(
+            store, self._quarantine, lambda: self.leads
+        )
+        self._peers.take_from(TrialAsk, permits.handle_request)
+        self._peers.take_from(TrialWord, permits.handle_reply)
+        self._peers.take_from(TrialOver, permits.handle_finished)
+        self._peers.take_from(CrashesTold, self._quarantine.handle_report)
+        self._peers.take_from(CrashesAsk, self._quarantine.handle_query)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
@@ -207,8 +209,8 @@
             ("reports", self._peers.report_forever, None),
             ("datagrams", self._peers.receive_forever, None),
             ("slots", self._slots.expire_forever, None),
-            ("quarantine", self._quarantine.ask_forever, None),
-            ("held-requests", self._held_requests.run, None),
+            ("quarantine", self._quarantine.query_forever, None),
+            ("held-requests", self._quarantine_persistence.run, None),
             ("suspension", self._standstill.run, None),
             ("housekeeping", self._keep_house, None),
             ("pool", self._sync_pool, None),
@@ -258,7 +260,7 @@
         try:
             stop.run()
             # What the last requests showed is known to this node alone until it is told.
-            self._quarantine.tell_now()
+            self._quarantine.send_reports_now()
         finally:  # a fault in between must not keep the process
             self._stopped.set()
 
@@ -430,7 +432,7 @@
             service: found if len(found) <= MAX_KEYS else random.sample(found, MAX_KEYS)
             for service, found in sampled.items()
         }
-        times = self._pool.take_answer_times(self._partitioned)
+        times = self._pool.collect_answer_times(self._partitioned)
         return LoadReport(
             keys,
             times,
@@ -463,7 +465,7 @@
         table = self.directory.table
         if self._draining or table is None or not self.directory.servers_known:
             return False
-        if not self._quarantine.settled:
+        if not self._quarantine.synced:
             return False
         return all(
             service.name in self.directory.keymaps
@@ -494,9 +496,9 @@
         metrics.gauge("connections", lambda: float(self._callers.open_connections))
         metrics.gauge("shared_slots_in_use", lambda: float(self._slots.in_use))
         metrics.gauge("shared_slots_waiting", lambda: float(self._slots.waiting))
-        metrics.gauge("servers_ended_under_requests", lambda: float(self._quarantine.ends))
-        metrics.gauge("requests_held", lambda: float(self._quarantine.held))
-        metrics.gauge("requests_suspected", lambda: float(self._quarantine.known))
+        metrics.gauge("servers_ended_under_requests", lambda: float(self._quarantine.crashes))
+        metrics.gauge("requests_held", lambda: float(self._quarantine.quarantined_count))
+        metrics.gauge("requests_suspected", lambda: float(self._quarantine.known_count))
         metrics.gauge("busy", lambda: float(self._callers.busy))
         return metrics.text()
 
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -34,8 +34,8 @@
 
 Send = Callable[[CrashesTold | CrashesAsk, Address], None]
 
-OPEN_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
-MOST_OPEN = 16  # of one server
+UNRESOLVED_KEPT_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
+MAX_UNRESOLVED = 16  # of one server
 WORK_GOES_ON_MS = 300.0  # after its caller has left; what ends its server does so sooner
 LOOK_S = 0.1  # a dead port refuses within a round trip; a cut link says nothing
 USUAL_ANSWER_MS = 100.0  # of a server that has answered nothing yet
@@ -45,7 +45,7 @@
 # A node that has just started asks some others before it sends requests on: they answer
 # within a round trip. Where none does it waits no longer, and goes on asking.
 FIRST_ASKED = 3
-FIRST_ANSWER_S = 0.3
+INITIAL_REPLY_TIMEOUT_S = 0.3
 MEMBERS_S = 1.0  # until it is known which other nodes there are
 MOST_TOLD = 24  # records in one datagram: each has 200 bytes, one with eight ends 500
 # Datagrams of tellings: a hundred nodes hear of ten ends a second from one node.
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _OpenQuestion:
+class _UnresolvedAttempt:
     """A copy that ended without an answer while its server may have been there.
 
     ``broke`` says that the server broke its connection, else this node did.
@@ -115,42 +115,42 @@
         permits: TrialPermits | None = None,
         ran_until_ms: Callable[[], float] = elapsed_ms,
     ) -> None:
-        self.ends = 0  # requests under which a server was found to have ended
+        self.crashes = 0  # requests under which a server was found to have ended
         self._node = node
         self._members = members
         self._send = send
         self._await_members = await_members
         self._leads = leads
-        self._settled = Event()
+        self._synced = Event()
         self._ledger = CrashLedger()
         self._ran_until_ms = ran_until_ms
         self._permits = permits or TrialPermits(lambda: None, lambda: 1, lambda message, to: None)
         self._first = FirstCopies()
-        self._open: dict[str, deque[_OpenQuestion]] = {}  # by server
-        self._untold: set[bytes] = set()
+        self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # by server
+        self._unreported: set[bytes] = set()
         self._told_s = -math.inf  # when it was told last, elapsed
         self._logged: dict[bytes, int] = {}  # contents that are held: by how many ends
         self._may_send = MOST_SENT_AT_ONCE
         self._refilled_ms = elapsed_ms()
 
     @property
-    def held(self) -> int:
+    def quarantined_count(self) -> int:
         """How many contents are held for some caller."""
         return self._ledger.held(elapsed_ms())
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """How many contents are remembered, held or not."""
         return len(self._ledger)
 
     @property
-    def settled(self) -> bool:
+    def synced(self) -> bool:
         """Whether another node was asked what it knows, or none answers."""
-        return bool(self._settled.is_set())
+        return bool(self._synced.is_set())
 
-    def settle(self) -> None:
+    def mark_synced(self) -> None:
         """Send requests on without asking other nodes first."""
-        self._settled.set()
+        self._synced.set()
 
     # ---- for requests of this node ------------------------------------------------------
 
@@ -165,7 +165,7 @@
 
         :raises RefusedError: when it is held, or another copy's trial takes too long.
         """
-        self._settled.wait(FIRST_ANSWER_S)
+        self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
         until_ms = call.move_by_ms if may_have_run else call.offer_by_ms
         self._await_first(call, until_ms)
         while (after_ms := self._ask(call, may_have_run)) > 0:
@@ -206,7 +206,7 @@
                 return 0.0
             if self._permits.has(call):
                 return 0.0
-            after_ms = self._permits.take(call)
+            after_ms = self._permits.acquire(call)
             if after_ms > 0:
                 if hold is not None:
                     raise self._refusal(results.QUARANTINED, call, may_have_run, TRIAL_OF_HELD_S)
@@ -234,7 +234,7 @@
         """A request has ended, so that another copy may go on trial."""
         if self._first.over(call.hint, call):
             self._permits.changed.raise_()
-        self._permits.give_back(call)
+        self._permits.release(call)
 
     def answered(self, call: Call) -> None:
         """A server has answered a request: it has not ended under it."""
@@ -242,7 +242,7 @@
         if not self._ledger.may_know(call.hint):
             return
         if self._ledger.note_answer(call.fingerprint, elapsed_ms()):
-            self._changed_here(call.fingerprint.content)
+            self._note_change(call.fingerprint.content)
 
     def lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A server broke a request's connection before its answer: look whether it has ended.
@@ -271,17 +271,17 @@
             self._note(copy, lost_ms)
             self.ended(upstream)
         else:  # its next life may have the port already
-            self._leave_open(upstream, _OpenQuestion(copy, lost_ms, broke=True))
+            self._leave_open(upstream, _UnresolvedAttempt(copy, lost_ms, broke=True))
 
     def left(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A request's caller has left, or its time is over, while a server worked on it."""
         copy = _Copy.of(call, upstream, sent_ms)
-        self._leave_open(upstream, _OpenQuestion(copy, elapsed_ms(), broke=False))
+        self._leave_open(upstream, _UnresolvedAttempt(copy, elapsed_ms(), broke=False))
 
-    def _leave_open(self, upstream: Upstream, question: _OpenQuestion) -> None:
+    def _leave_open(self, upstream: Upstream, question: _UnresolvedAttempt) -> None:
         if not _announced(upstream):
             server_id = upstream.record.server_id
-            self._open.setdefault(server_id, deque(maxlen=MOST_OPEN)).append(question)
+            self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(question)
 
     def ended(self, upstream: Upstream) -> None:
         """A server has surely ended: its port is dead, or another life or none has its entry.
@@ -290,20 +290,20 @@
         nothing, were the last that it worked on.
         """
         now_ms = elapsed_ms()
-        for question in self._open.pop(upstream.record.server_id, ()):
-            is_late = now_ms - question.left_ms >= OPEN_MS
+        for question in self._unresolved.pop(upstream.record.server_id, ()):
+            is_late = now_ms - question.left_ms >= UNRESOLVED_KEPT_MS
             if not (is_late or _announced(upstream) or question.is_harmless(upstream.heard_ms)):
                 self._note(question.copy, question.left_ms)
 
-    def _close_old_questions(self) -> None:
+    def _expire_unresolved(self) -> None:
         now_ms = elapsed_ms()
-        for server_id, questions in list(self._open.items()):
-            if all(now_ms - question.left_ms >= OPEN_MS for question in questions):
-                del self._open[server_id]
+        for server_id, questions in list(self._unresolved.items()):
+            if all(now_ms - question.left_ms >= UNRESOLVED_KEPT_MS for question in questions):
+                del self._unresolved[server_id]
 
     def _note(self, copy: _Copy, ended_ms: float, frozen: bool = False) -> None:
         """A server has ended under a request, or frozen."""
-        self.ends += not frozen
+        self.crashes += not frozen
         LOG.warning(
             "Server froze under a request." if frozen else "Server ended under a request.",
             request=copy.request_id,
@@ -315,7 +315,7 @@
         content, caller = copy.fingerprint
         end = ServerEnd(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
         if self._ledger.note_end(content, end):
-            self._changed_here(content)
+            self._note_change(content)
 
     # ---- between nodes ------------------------------------------------------------------
 
@@ -335,26 +335,26 @@
         """Whether anything may be known of a request; cheap, as all requests ask."""
         return self._ledger.may_know(call.hint)
 
-    def _changed_here(self, content: bytes) -> None:
+    def _note_change(self, content: bytes) -> None:
         self._log_hold(content)
         self._tell_soon(content)
         self._permits.changed.raise_()  # those who wait for a copy's trial look again
 
     def _tell_soon(self, content: bytes) -> None:
-        if not self._untold:
+        if not self._unreported:
             # The first one at once: the other nodes send copies on until they know of it.
             gevent.spawn_later(
-                max(0.0, self._told_s + TELL_S - elapsed_ms() / 1000), self._tell_untold
+                max(0.0, self._told_s + TELL_S - elapsed_ms() / 1000), self._send_reports
             )
-        self._untold.add(content)
+        self._unreported.add(content)
 
-    def tell_now(self) -> None:
+    def send_reports_now(self) -> None:
         """Tell what waits to be told together, since the process ends."""
-        if self._untold:
-            self._tell_untold()
+        if self._unreported:
+            self._send_reports()
 
-    def _tell_untold(self) -> None:
-        contents, self._untold = self._untold, set()
+    def _send_reports(self) -> None:
+        contents, self._unreported = self._unreported, set()
         self._told_s = elapsed_ms() / 1000
         told = self._told(contents)
         members = list(self._members())
@@ -386,7 +386,7 @@
         self._may_send -= len(chosen) * each
         return chosen
 
-    def take_told(self, told: CrashesTold, _peer: Address) -> None:
+    def handle_report(self, told: CrashesTold, _peer: Address) -> None:
         """Take what another node knows."""
         now_ms = elapsed_ms()
         for record in told.records:
@@ -398,7 +398,7 @@
             if self._leads():
                 self._tell_soon(record.content)
         if told.whole:
-            self.settle()
+            self.mark_synced()
 
     def _merge(self, told: ToldRecord, now_ms: float) -> bool:
         """Take one record; return whether it told something new."""
@@ -418,16 +418,16 @@
             )
         return True
 
-    def held_records(self) -> list[ToldRecord]:
+    def quarantined_records(self) -> list[ToldRecord]:
         """Return what is held, as it is saved."""
         return saved.held_records(self._ledger, elapsed_ms())
 
     def load(self, records: list[ToldRecord]) -> None:
         """Take what was saved before, and tell the other nodes."""
         for content in saved.load(self._ledger, records, elapsed_ms()):
-            self._changed_here(content)
+            self._note_change(content)
 
-    def take_ask(self, ask: CrashesAsk, peer: Address) -> None:
+    def handle_query(self, ask: CrashesAsk, peer: Address) -> None:
         """Tell all that is known to a node that knows something else."""
         same = self._ledger.is_empty or ask.summary == self._ledger.summary
         if same and not ask.just_started:
@@ -438,14 +438,14 @@
             for message in told:
                 self._send(message, address)
 
-    def ask_forever(self) -> None:
+    def query_forever(self) -> None:
         """Ask some other nodes at the start, and then one after the other."""
         self._ask_first()
         while True:
             gevent.sleep(ASK_S)
             self._ledger.expire(elapsed_ms())
             self._permits.expire()
-            self._close_old_questions()
+            self._expire_unresolved()
             self._forget_logged()
             members = list(self._members())
             if members:
@@ -457,8 +457,8 @@
         for address in random.sample(members, min(FIRST_ASKED, len(members))):
             self._send(CrashesAsk(self._ledger.summary, just_started=True), address)
         if members:
-            self._settled.wait(FIRST_ANSWER_S)
-        self.settle()
+            self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
+        self.mark_synced()
 
     # ---- for operators --------------------------------------------------------------------
 
--- a/ploverhatch/gateway/held_requests.py
+++ b/ploverhatch/gateway/quarantine_persistence.py
@@ -23,7 +23,7 @@
 SAVE_MS = 2000.0  # between writes
 
 
-class HeldRequests:
+class QuarantinePersistence:
     """Loads what the last leader saved, then saves what is held whenever that changes.
 
     :param leads: whether this node leads.
@@ -70,7 +70,7 @@
         self._quarantine.load(records)
 
     def _save(self) -> None:
-        records = self._quarantine.held_records()
+        records = self._quarantine.quarantined_records()
         if _names(records) == self._saved:
             return
         self._saved_ms = elapsed_ms()
--- a/ploverhatch/gateway/request_log.py
+++ b/ploverhatch/gateway/request_log.py
@@ -49,7 +49,7 @@
             return
         self._tell("Request ended.", status, result_code, detail, took_ms)
 
-    def tell_unanswered(self, cause: str, took_ms: float) -> None:
+    def log_unanswered(self, cause: str, took_ms: float) -> None:
         """Write the line of a request whose caller got no answer."""
         self._tell("Request without answer.", 0, 0, cause, took_ms)
 
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -113,7 +113,7 @@
             found = None if self.bar(call, server_id) else self._pool.get(server_id)
         return found if found is not None and found.has_room else None
 
-    def note_rest(self, server_id: str) -> None:
+    def note_backoff(self, server_id: str) -> None:
         """A server asked this node for a rest."""
         self._rested.add(server_id)
 
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -38,8 +38,8 @@
 
 LOG = PartLogger("slots")
 
-ANSWER_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
-ASKED_TIMES = 2
+REPLY_TIMEOUT_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
+MAX_TRIES = 2
 ASKED_NODES = 4  # where the first ones are about to stop, as in a restart of all in turn
 SILENT_NODES = 2  # of these, that give no answer: each one costs the time of two answers
 LEARN_MS = 25.0  # a new dispatcher asks all nodes for the slots they hold, and waits so long
@@ -49,7 +49,8 @@
 RELEARN_MS = 1000.0  # between these questions
 ELSEWHERE_MS = 10_000.0  # slots are held for less: who gave some before then says nothing
 LATE_S = 0.02  # the way of an answer to one that waits
-NEAR_PART = 0.3  # of the time that a request waits in its own zone, if there are others
+# Of the time that a request waits, spent in its own zone where other zones have servers.
+OWN_ZONE_WAIT_FRACTION = 0.3
 REFRESH_MS = 100.0  # how old the members of a group may be at its dispatcher
 FORGET_MS = 20_000.0  # a queue that nobody asked for so long is forgotten
 DISCOVERY_MS = 6000.0  # from the start of a node until all others know it
@@ -73,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotWish:
+class SlotRequirements:
     """What a request needs; times are milliseconds from now.
 
     With a slot within ``useful_ms`` its answer is in time; within ``wait_ms`` it is
@@ -92,7 +93,7 @@
     regions: frozenset[str] = frozenset()
     barred: tuple[str, ...] = ()
 
-    def after(self, spent_ms: float) -> "SlotWish":
+    def after(self, spent_ms: float) -> "SlotRequirements":
         """Return what is left of the wish after a time."""
         return replace(
             self,
@@ -213,7 +214,7 @@
     # ---- for requests of this node ------------------------------------------------------
 
     @contextmanager
-    def hold(self, wish: SlotWish) -> Iterator[SharedSlot | None]:
+    def hold(self, wish: SlotRequirements) -> Iterator[SharedSlot | None]:
         """Hold a slot, or ``None`` where no dispatcher tells.
 
         :raises TurnedAwayError: when none can be expected in time.
@@ -232,7 +233,7 @@
             raise turned_away
         yield None
 
-    def _groups(self, wish: SlotWish) -> list[tuple[GroupName, float]]:
+    def _groups(self, wish: SlotRequirements) -> list[tuple[GroupName, float]]:
         """Return the groups to ask, and the part of the time to wait there."""
         if wish.holder is not None:
             name = GroupName(wish.service, wish.holder.zone, wish.holder.server_id)
@@ -240,7 +241,7 @@
         sizes = groups.groups_of(self._directory.servers.of_service(wish.service), wish.regions)
         near = [name for name in sizes if name.zone in {"", self._zone}]
         others = [name for name in sizes if name not in near]
-        found = [(name, NEAR_PART if others else 1.0) for name in near]
+        found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in near]
         if others:
             weights = [sizes[name] for name in others]
             found.append((random.choices(others, weights)[0], 1.0))
@@ -248,7 +249,7 @@
 
     @contextmanager
     def _hold_in(
-        self, name: GroupName, wish: SlotWish, wait_ms: float
+        self, name: GroupName, wish: SlotRequirements, wait_ms: float
     ) -> Iterator[SharedSlot | None]:
         number = next(self._numbers)
         slot = SharedSlot()
@@ -267,7 +268,7 @@
             self._give_back(number, name, slot, asked)
 
     def _await_word(
-        self, number: int, name: GroupName, wish: SlotWish, wait_ms: float, asked: list[str]
+        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: list[str]
     ) -> SlotWord | None:
         """Return a dispatcher's last word, asking the next one where one stops or is silent.
 
@@ -328,7 +329,7 @@
             self._send(back, keeper)
 
     def _ask_for(
-        self, number: int, name: GroupName, wish: SlotWish, wait_ms: float, asked: str
+        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: str
     ) -> SlotAsk:
         return SlotAsk(
             number,
@@ -363,7 +364,7 @@
         members = groups.members_of(name, records)
         return [record.server_id for record in members if record.server_id in limits]
 
-    def _without_limited(self, name: GroupName, wish: SlotWish) -> SlotWish:
+    def _without_limited(self, name: GroupName, wish: SlotRequirements) -> SlotRequirements:
         """Return a wish that bars rate-limited servers, for a node that enforces no limits.
 
         :raises TurnedAwayError: when it is for a holder that names one.
@@ -377,9 +378,9 @@
     def _ask(self, ask: SlotAsk, pending: _Pending, node: str) -> SlotWord | None:
         """Return a dispatcher's answer; ``None`` when there is none in time."""
         address = pending.asked = HostPort.parse(node)
-        for _ in range(ASKED_TIMES):
+        for _ in range(MAX_TRIES):
             self._send(ask, address)
-            if pending.wait(ANSWER_S):
+            if pending.wait(REPLY_TIMEOUT_S):
                 return pending.word
         if self._choice.not_answered(node, elapsed_ms()):
             LOG.info(
@@ -397,7 +398,7 @@
 
     # ---- messages -----------------------------------------------------------------------
 
-    def take(self, message: SlotMessage, peer: Address) -> None:
+    def handle_message(self, message: SlotMessage, peer: Address) -> None:
         """Take a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
@@ -526,7 +527,7 @@
         for answer in answers:
             self._send(_word(answer), answer.asker.node)
 
-    def dismiss_waiting(self) -> None:
+    def redirect_waiting(self) -> None:
         """Send those who wait here to the nodes that keep the queues from now on.
 
         These learn from all nodes which slots are in use.
--- a/ploverhatch/gateway/stop_sequence.py
+++ b/ploverhatch/gateway/stop_sequence.py
@@ -42,7 +42,7 @@
         self._forwarder.planned_stop = self._plan
         callers.draining = True
         self._slots.leaving = True
-        self._slots.dismiss_waiting()
+        self._slots.redirect_waiting()
         LOG.info("Stopping.", busy=callers.busy, connections=callers.open_connections)
         leaving = gevent.spawn(self._leave)
         self._sleep_until(self._plan.last_call_ms)
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -25,8 +25,8 @@
 
 Node = tuple[str, int]  # address
 
-ANSWER_S = 0.025  # the leader is asked again after it, and twice before it is passed over
-ASKED_TIMES = 2
+REPLY_TIMEOUT_S = 0.025  # the leader is asked again after it, and twice before it is passed over
+MAX_TRIES = 2
 # A wait that took longer than this many times its time-out counts for nothing, so often at
 # most: this process was suspended meanwhile, and where a whole machine was, so was the leader.
 OVERSLEPT_FACTOR = 2.0
@@ -34,8 +34,8 @@
 PASSED_MS = 1000.0  # for how long a leader that did not answer isn't asked, unless it does late
 # Between asks of this node for one content while another node has a copy of it under way. Where
 # there are many nodes they ask more rarely, so that the leader hears of 1,000 a second at most.
-AGAIN_MS = 50.0
-AGAIN_MS_PER_NODE = 1.0
+POLL_MS = 50.0
+POLL_MS_PER_NODE = 1.0
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
         self.changed = Signal()  # raised when a copy of this node has ended
 
     @property
-    def kept(self) -> int:
+    def granted_count(self) -> int:
         """Permits that this node gave."""
         return len(self._kept)
 
@@ -85,7 +85,7 @@
             return False
         return claim.until_ms - elapsed_ms() > PERMIT_MS / 2
 
-    def take(self, call: Call) -> float:
+    def acquire(self, call: Call) -> float:
         """Return after how many milliseconds to ask again; 0: the request may be sent.
 
         One that has the permit already gets it for the whole time again.
@@ -99,7 +99,7 @@
                 return claim.until_ms - now_ms
             number = claim.number
         claim = self._claims[content] = _Claim(call, number, now_ms + PERMIT_MS)
-        again_ms = max(AGAIN_MS, AGAIN_MS_PER_NODE * self._nodes())
+        again_ms = max(POLL_MS, POLL_MS_PER_NODE * self._nodes())
         after_ms = min(self._ask(content, claim), again_ms)
         if after_ms > 0:
             claim.call = None
@@ -109,7 +109,7 @@
         claim.until_ms = elapsed_ms() + PERMIT_MS
         return 0.0
 
-    def give_back(self, call: Call) -> None:
+    def release(self, call: Call) -> None:
         """A request has ended, with or without a permit."""
         for content, claim in list(self._claims.items()):
             if claim.call is call:
@@ -146,16 +146,16 @@
         word = self._words[ask.number] = AsyncResult()
         try:
             waits = overslept = 0
-            while waits < ASKED_TIMES:
+            while waits < MAX_TRIES:
                 start_ms = elapsed_ms()
                 self._send(ask, node)
-                word.wait(ANSWER_S)
+                word.wait(REPLY_TIMEOUT_S)
                 # Where the process stood still, the timer goes off before the word is read.
                 gevent.sleep(0)
                 if word.ready():
                     return float(word.get())
                 took_s = (elapsed_ms() - start_ms) / 1000
-                if took_s > OVERSLEPT_FACTOR * ANSWER_S and overslept < MOST_OVERSLEPT:
+                if took_s > OVERSLEPT_FACTOR * REPLY_TIMEOUT_S and overslept < MOST_OVERSLEPT:
                     overslept += 1
                 else:
                     waits += 1
@@ -163,12 +163,12 @@
             del self._words[ask.number]
         return None
 
-    def take_ask(self, ask: TrialAsk, peer: Node) -> None:
+    def handle_request(self, ask: TrialAsk, peer: Node) -> None:
         """Answer another node, to which this one leads."""
         after_ms = self._kept.ask(ask.content, (peer, ask.number), elapsed_ms())
         self._send(TrialWord(ask.number, after_ms), peer)
 
-    def take_word(self, word: TrialWord, peer: Node) -> None:
+    def handle_reply(self, word: TrialWord, peer: Node) -> None:
         """Take the leader's answer; one that comes too late tells that the leader is there."""
         if peer == self._leader():
             self._passed_ms = -math.inf
@@ -176,6 +176,6 @@
         if waits is not None:
             waits.set(word.after_ms)
 
-    def take_over(self, over: TrialOver, peer: Node) -> None:
+    def handle_finished(self, over: TrialOver, peer: Node) -> None:
         """Take a permit back."""
         self._kept.end(over.content, (peer, over.number))
--- a/ploverhatch/gateway/upstreams.py
+++ b/ploverhatch/gateway/upstreams.py
@@ -93,7 +93,7 @@
         self.failing_until_ms = 0.0
         self._used_ms = elapsed_ms()
 
-    def take_answer_times(self) -> list[int]:
+    def collect_answer_times(self) -> list[int]:
         """Return the latest answer times since the last call."""
         times = list(self._recent_ms)
         self._recent_ms.clear()
@@ -107,7 +107,7 @@
         """The server refused for want of room, or did not answer in time."""
         self.limit = max(LEAST_LIMIT, self.limit / 2)
 
-    def asked_for_rest(self) -> None:
+    def note_backoff(self) -> None:
         """The server turned a request away and wants none for a while."""
         self.limit = LEAST_LIMIT
         self._recovering = True
@@ -181,19 +181,19 @@
 
 
 class UpstreamPool:
-    """All servers that this node knows, by id; ``removed`` is told of those that are gone."""
+    """All servers that this node knows, by id; ``on_removed`` is told of those that are gone."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
         self._upstreams: dict[str, Upstream] = {}
-        self.removed: Callable[[Upstream], None] = lambda upstream: None
+        self.on_removed: Callable[[Upstream], None] = lambda upstream: None
 
     def sync(self, records: dict[str, ServerRecord]) -> None:
         """Take the present records."""
         for server_id in [known for known in self._upstreams if known not in records]:
             gone = self._upstreams.pop(server_id)
             gone.close()
-            self.removed(gone)
+            self.on_removed(gone)
         for server_id, record in records.items():
             known = self._upstreams.get(server_id)
             if known is not None and known.address != (record.host, record.port):
@@ -208,10 +208,10 @@
         """Return a server's state, or ``None`` when it is not known."""
         return self._upstreams.get(server_id)
 
-    def take_answer_times(self, services: Collection[str]) -> dict[str, list[int]]:
+    def collect_answer_times(self, services: Collection[str]) -> dict[str, list[int]]:
         """Return the answer times of servers of some services since the last call, by id."""
         taken = {
-            server_id: upstream.take_answer_times()
+            server_id: upstream.collect_answer_times()
             for server_id, upstream in self._upstreams.items()
             if upstream.record.service in services
         }
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -78,7 +78,9 @@
         return b"\r\n".join(rows) + b"\r\n\r\n" + request.body
 
     @override
-    def judge(self, facts: RequestFacts, server_id: str, answer: WireAnswer) -> AttemptResult:
+    def classify_answer(
+        self, facts: RequestFacts, server_id: str, answer: WireAnswer
+    ) -> AttemptResult:
         status = answer.status
         answered_id = answer.get(names.REQUEST_ID)
         if answered_id is not None and answered_id != facts.request_id:
--- a/tests/functional/test_ends_seen_later.py
+++ b/tests/functional/test_ends_seen_later.py
@@ -31,16 +31,16 @@
     leave(bench, upstream)
     upstream.crash()
     assert bench.ask(b"/once/b").status == 503
-    assert bench.quarantine.ends == 1
+    assert bench.quarantine.crashes == 1
 
 
 def test_another_server_at_the_address_tells_that_the_one_before_ended(bench):
     upstream = bench.add_life()
     upstream.crashed = lambda life: Upstream("next", port=life.address.port)
     assert bench.ask(b"/once/a", headers=ENDS).status == 502
-    assert bench.quarantine.ends == 0
+    assert bench.quarantine.crashes == 0
     bench.ask(b"/once/b")
-    assert bench.quarantine.ends == 1
+    assert bench.quarantine.crashes == 1
 
 
 def test_a_server_that_goes_on_after_a_caller_has_left_did_not_end_of_it(bench):
@@ -50,7 +50,7 @@
     gevent.sleep(0.35)
     assert bench.ask(b"/once/b").status == 200
     remove(bench, upstream)
-    assert bench.quarantine.ends == 0
+    assert bench.quarantine.crashes == 0
 
 
 def test_a_server_that_said_that_it_leaves_did_not_end_of_a_request(bench):
@@ -59,22 +59,22 @@
     bench.directory.hear_leaving({upstream.server_id: 0.0}, "a-test")
     bench.pool.sync(bench.directory.servers.records)
     remove(bench, upstream)
-    assert bench.quarantine.ends == 0
+    assert bench.quarantine.crashes == 0
 
 
 def test_an_end_long_after_a_caller_has_left_is_not_held_against_its_request(bench, monkeypatch):
-    monkeypatch.setattr("ploverhatch.gateway.quarantine.OPEN_MS", 50.0)
+    monkeypatch.setattr("ploverhatch.gateway.quarantine.UNRESOLVED_KEPT_MS", 50.0)
     upstream = bench.add_life()
     leave(bench, upstream)
     gevent.sleep(0.06)
     remove(bench, upstream)
-    assert bench.quarantine.ends == 0
-    bench.quarantine._close_old_questions()
-    assert not bench.quarantine._open
+    assert bench.quarantine.crashes == 0
+    bench.quarantine._expire_unresolved()
+    assert not bench.quarantine._unresolved
 
 
 def test_few_open_questions_are_kept_of_a_server(bench):
     upstream = bench.add_life()
     for number in range(20):
         leave(bench, upstream, b"/once/%d" % number)
-    assert len(bench.quarantine._open[upstream.server_id]) == 16
+    assert len(bench.quarantine._unresolved[upstream.server_id]) == 16
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -8,7 +8,7 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.directory import Directory
-from ploverhatch.gateway.forwarder import MOVE_PART, OFFER_PART, Forwarder
+from ploverhatch.gateway.forwarder import MOVE_FRACTION, OFFER_FRACTION, Forwarder
 from ploverhatch.gateway.messages import CallerGoneError, CallerRequest
 from ploverhatch.gateway.shared_slots import SharedSlot, TurnedAwayError
 from ploverhatch.gateway.upstreams import UpstreamPool
@@ -282,7 +282,7 @@
     assert order == [0, 1, 2]
 
 
-@pytest.mark.parametrize(("moving_for_ms", "part"), [(0.0, MOVE_PART), (600.0, OFFER_PART)])
+@pytest.mark.parametrize(("moving_for_ms", "part"), [(0.0, MOVE_FRACTION), (600.0, OFFER_FRACTION)])
 def test_a_move_that_waits_for_a_lapse_is_told_early(bench, monkeypatch, moving_for_ms, part):
     record = bench.add(Upstream("u1", sharded=True), service=KEYED)
     with monkeypatch.context() as earlier:
@@ -705,9 +705,9 @@
         bench.add(upstream)
     slots = share(bench, GivenSlots("u1", "u2", "u2"))
     bench.ask(b"/once/", b"POST")
-    bench.pool.get("u1").asked_for_rest()
+    bench.pool.get("u1").note_backoff()
     bench.directory.take_notice("u1", REST)
-    bench.forwarder._choice.note_rest("u1")
+    bench.forwarder._choice.note_backoff("u1")
     bench.ask(b"/once/", b"POST")
     assert [wish.barred for wish in slots.wishes] == [(), ("u1",)]
 
--- a/tests/functional/test_gateway_logs.py
+++ b/tests/functional/test_gateway_logs.py
@@ -158,8 +158,8 @@
 def test_metrics_text():
     metrics = GatewayMetrics()
     for took_ms in (5.0, 30.0, 5000.0):
-        metrics.ended(1000, took_ms)
-    metrics.ended(2101, 60.0)
+        metrics.count_request(1000, took_ms)
+    metrics.count_request(2101, 60.0)
     metrics.attempts["answered"] += 3
     metrics.gauge("leading", lambda: 1.0)
     rows = metrics.text().decode().splitlines()
@@ -173,7 +173,7 @@
 def test_a_request_whose_caller_got_no_answer_is_told(caplog):
     trace = RequestTrace("r1", "route", "service")
     with caplog.at_level(logging.INFO, "absl"):
-        trace.tell_unanswered("caller-gone", 12.4)
+        trace.log_unanswered("caller-gone", 12.4)
     (line,) = [row.getMessage() for row in caplog.records]
     assert line.startswith("[request] Request without answer. request=r1 status=0 result=0")
     assert "detail=caller-gone took_ms=12" in line
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -398,7 +398,7 @@
     assert keeper.slots.waiting == 1
     keeper.slots.leaving = True
     gevent.sleep(READINESS_MISSES_MS / 1000)
-    keeper.slots.dismiss_waiting()
+    keeper.slots.redirect_waiting()
     gevent.sleep(0.05)
     keeper.stop()
     gevent.joinall([waiting, *holders], timeout=6.0)
@@ -483,10 +483,10 @@
         now_ms = elapsed_ms()
         end = ServerEnd("u9", b"caller", "n", now_ms - 10.0, now_ms)
         quarantine._ledger.note_end(b"a content 16 b.", end)
-        quarantine._changed_here(b"a content 16 b.")
+        quarantine._note_change(b"a content 16 b.")
         tell_open()
 
     first._callers.tell_open = note_an_end
     first.drain()
-    assert quarantine._untold == set()  # the process may end now
-    until(lambda: second._quarantine.known == 1)
+    assert quarantine._unreported == set()  # the process may end now
+    until(lambda: second._quarantine.known_count == 1)
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -30,7 +30,7 @@
         self.quarantine = Quarantine(
             "node-1", lambda: [PEER], lambda message, to: self.sent.append((message, to))
         )
-        self.quarantine.settle()
+        self.quarantine.mark_synced()
         self.forwarder = Forwarder(
             self.directory, self.pool, PlatformDialect(), self.budget, quarantine=self.quarantine
         )
@@ -76,7 +76,7 @@
     assert 55 < float(field(reply, b"retry-after")[0]) <= 60
     assert upstream.arrived == []
     assert bench.ask(b"/once/b").status == 200
-    assert bench.quarantine.held == 1
+    assert bench.quarantine.quarantined_count == 1
 
 
 def test_a_try_that_ends_a_second_server_is_not_sent_to_a_fourth(bench):
@@ -96,7 +96,7 @@
     assert bench.result() == HELD
     gevent.sleep(0.35)
     assert bench.ask(b"/once/a").status == 200  # the same request; the server bears it now
-    assert bench.quarantine.held == 0
+    assert bench.quarantine.quarantined_count == 0
     assert bench.ask(b"/once/a").status == 200
     assert len(upstream.ran) == 2
 
@@ -126,7 +126,7 @@
         bench.directory.put_server(leaving)
         bench.pool.sync(bench.directory.servers.records)
         assert asked.get().status == 502
-    assert bench.quarantine.ends == 0
+    assert bench.quarantine.crashes == 0
 
 
 def test_a_reset_by_a_server_that_is_there_is_no_end(bench):
@@ -135,14 +135,14 @@
     for _ in range(6):
         assert bench.ask(b"/once/a").status == 502
     assert bench.ask(b"/once/a").status == 200
-    assert bench.quarantine.ends == 0
+    assert bench.quarantine.crashes == 0
 
 
 def test_a_cut_answer_or_bytes_that_are_none_are_no_end(bench):
     raw = RawUpstream(*[b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut"] * 5, close=True)
     bench.add(raw, "raw")
     assert {bench.ask(b"/once/a").status for _ in range(3)} == {502}
-    assert bench.quarantine.ends == 0
+    assert bench.quarantine.crashes == 0
 
 
 def test_the_look_goes_on_when_the_caller_leaves(bench, monkeypatch):
@@ -159,7 +159,7 @@
     looking.wait(1.0)
     asked.kill(GreenletExit)
     gevent.sleep(0.1)
-    assert bench.quarantine.ends == 1
+    assert bench.quarantine.crashes == 1
 
 
 def test_what_is_seen_is_told_and_what_is_told_is_kept(bench):
@@ -168,58 +168,58 @@
     told = [message for message, to in bench.sent if to == PEER]
     assert len(told[-1].records[0].ends) == 3
     other = QuarantineBench()
-    other.quarantine.take_told(told[-1], PEER)
+    other.quarantine.handle_report(told[-1], PEER)
     upstream = other.add_life()
     assert other.result() == HELD
     assert upstream.arrived == []
-    other.quarantine.take_ask(CrashesAsk(0), PEER)
+    other.quarantine.handle_query(CrashesAsk(0), PEER)
     (answer,) = [message for message, _ in other.sent if isinstance(message, CrashesTold)]
     assert len(answer.records[0].ends) == 3
     other.sent.clear()
-    bench.quarantine.take_told(answer, PEER)
-    asks = gevent.spawn(other.quarantine.ask_forever)
+    bench.quarantine.handle_report(answer, PEER)
+    asks = gevent.spawn(other.quarantine.query_forever)
     gevent.sleep(0.05)
     asks.kill()
     (ask,) = [message for message, _ in other.sent]
     bench.sent.clear()
-    bench.quarantine.take_ask(CrashesAsk(ask.summary), PEER)
+    bench.quarantine.handle_query(CrashesAsk(ask.summary), PEER)
     assert bench.sent == []  # both know the same
     assert ask.just_started
-    bench.quarantine.take_ask(ask, PEER)
+    bench.quarantine.handle_query(ask, PEER)
     assert len(bench.sent) == 1  # told all the same
 
 
 def test_a_node_that_has_just_started_asks_before_it_sends_anything_on(monkeypatch):
-    monkeypatch.setattr("ploverhatch.gateway.quarantine.FIRST_ANSWER_S", 5.0)
+    monkeypatch.setattr("ploverhatch.gateway.quarantine.INITIAL_REPLY_TIMEOUT_S", 5.0)
     bench = QuarantineBench()
-    bench.quarantine._settled.clear()
+    bench.quarantine._synced.clear()
     upstream = bench.add_life()
     asked = gevent.spawn(bench.result)
-    asks = gevent.spawn(bench.quarantine.ask_forever)
+    asks = gevent.spawn(bench.quarantine.query_forever)
     gevent.sleep(0.05)
     assert upstream.arrived == []
     other = QuarantineBench()
     other.end_servers(3)
-    other.quarantine.take_ask(bench.sent[0][0], PEER)
+    other.quarantine.handle_query(bench.sent[0][0], PEER)
     whole = other.sent[-1][0]
-    bench.quarantine.take_told(CrashesTold([]), PEER)  # of another content: not all
+    bench.quarantine.handle_report(CrashesTold([]), PEER)  # of another content: not all
     gevent.sleep(0.02)
-    assert not bench.quarantine.settled
-    bench.quarantine.take_told(whole, PEER)
+    assert not bench.quarantine.synced
+    bench.quarantine.handle_report(whole, PEER)
     assert asked.get(timeout=1.0) == HELD
     assert upstream.arrived == []
     asks.kill()
 
 
 def test_a_node_whom_nobody_answers_sends_on_soon(bench):
-    bench.quarantine._settled.clear()
+    bench.quarantine._synced.clear()
     bench.add_life()
-    asks = gevent.spawn(bench.quarantine.ask_forever)
+    asks = gevent.spawn(bench.quarantine.query_forever)
     gevent.sleep(0)  # its wait begins before that of the request
     start_ms = elapsed_ms()
     assert bench.ask(b"/once/a").status == 200
     assert 200 < elapsed_ms() - start_ms < 400
-    assert bench.quarantine.settled
+    assert bench.quarantine.synced
     asks.kill()
 
 
@@ -231,7 +231,7 @@
         other = QuarantineBench()
         other.quarantine._leads = lambda leads=leads: leads
         for _ in range(3):
-            other.quarantine.take_told(told, PEER)
+            other.quarantine.handle_report(told, PEER)
             gevent.sleep(0.05)
         assert len(other.sent) == passed_on
 
@@ -242,8 +242,8 @@
     bench.end_servers(1)
     gevent.sleep(0.05)
     other = QuarantineBench()
-    other.quarantine.take_told(bench.sent[-1][0], PEER)
-    other.quarantine.take_told(bench.sent[-1][0], PEER)
+    other.quarantine.handle_report(bench.sent[-1][0], PEER)
+    other.quarantine.handle_report(bench.sent[-1][0], PEER)
     (heard,) = [text for text in caplog.messages if "Heard of an end under a request." in text]
     assert "server=u1 witness=node-1 ended_ms_ago=" in heard
     assert not any("Sent under suspicion." in text for text in caplog.messages)
@@ -276,9 +276,9 @@
         node = QuarantineBench()
         node.quarantine._ran_until_ms = lambda held_up=held_up_ms: elapsed_ms() - held_up
         answer = messages.ToldRecord(content, [], {b"c9": 20.0}, 20.0)
-        node.quarantine.take_told(CrashesTold([messages.ToldRecord(content, ends)]), PEER)
-        node.quarantine.take_told(CrashesTold([answer]), PEER)
-        assert (node.quarantine.held == 1) is stays
+        node.quarantine.handle_report(CrashesTold([messages.ToldRecord(content, ends)]), PEER)
+        node.quarantine.handle_report(CrashesTold([answer]), PEER)
+        assert (node.quarantine.quarantined_count == 1) is stays
 
 
 def ask_many(bench, count, path=b"/read/a", headers=()):
@@ -287,7 +287,7 @@
 
 def test_after_one_end_one_copy_at_a_time_is_sent_until_it_is_answered(bench, monkeypatch):
     """What ends no servers waits for a single answer; all are served."""
-    monkeypatch.setattr("ploverhatch.gateway.forwarder.OFFER_PART", 1.0)  # of 400 ms
+    monkeypatch.setattr("ploverhatch.gateway.forwarder.OFFER_FRACTION", 1.0)  # of 400 ms
     bench.end_servers(1)
     upstreams = [bench.add_life() for _ in range(4)]
     for upstream in upstreams:
@@ -418,9 +418,9 @@
         told = messages.ToldRecord(
             b"%d" % number, [messages.ToldEnd(f"s{number}", b"c", "n", 30.0, 0.0)]
         )
-        bench.quarantine.take_told(CrashesTold([told]), PEER)
-        bench.quarantine._changed_here(b"%d" % number)
-        bench.quarantine._tell_untold()
+        bench.quarantine.handle_report(CrashesTold([told]), PEER)
+        bench.quarantine._note_change(b"%d" % number)
+        bench.quarantine._send_reports()
     assert len(bench.sent) <= 2100
 
 
@@ -459,4 +459,4 @@
         assert bench.ask(b"/once/a", headers=ENDS).status == 502
         bench.directory.remove_server(upstream.server_id)
         bench.pool.sync(bench.directory.servers.records)
-    assert bench.quarantine.ends == 3
+    assert bench.quarantine.crashes == 3
--- a/tests/functional/test_requests_that_freeze_servers.py
+++ b/tests/functional/test_requests_that_freeze_servers.py
@@ -33,14 +33,14 @@
     upstream.behaviour.work_s = 0.0
     assert bench.ask(b"/once/b").status == 200
     assert asked.get().status == 504
-    assert bench.quarantine.known == 0
+    assert bench.quarantine.known_count == 0
 
 
 def test_a_time_out_sooner_than_the_server_works_tells_nothing(bench):
     upstream = bench.add_life()
     upstream.behaviour.hang = True
     assert bench.ask(b"/once/a", headers=[(b"Request-Deadline-Ms", b"100")]).status == 504
-    assert bench.quarantine.known == 0
+    assert bench.quarantine.known_count == 0
 
 
 def test_a_process_that_stood_still_itself_does_not_judge(bench):
@@ -49,7 +49,7 @@
     started_ms = elapsed_ms()
     bench.quarantine._ran_until_ms = lambda: started_ms
     assert bench.ask(b"/once/a", headers=DEADLINE).status == 504
-    assert bench.quarantine.known == 0
+    assert bench.quarantine.known_count == 0
 
 
 def test_one_frozen_server_counts_once_whoever_asks(bench):
@@ -57,7 +57,7 @@
     upstream.behaviour.hang = True
     for _ in range(4):
         bench.ask(b"/once/a", headers=DEADLINE)
-    assert bench.quarantine.held == 0
+    assert bench.quarantine.quarantined_count == 0
 
 
 def test_what_is_answered_elsewhere_meanwhile_is_a_bystander(bench):
@@ -73,7 +73,7 @@
         assert bench.ask(b"/once/a").status == 200
         assert asked.get().status == 504
         bench.directory.remove_server(sound.server_id)
-    assert bench.quarantine.held == 0
+    assert bench.quarantine.quarantined_count == 0
 
 
 def test_who_may_have_frozen_servers_is_tried_again_soon(bench):
@@ -91,7 +91,7 @@
     gevent.sleep(0.05)
     told = [message for message, _ in bench.sent][-1]
     other = QuarantineBench()
-    other.quarantine.take_told(told, ("10.0.0.3", 7000))
+    other.quarantine.handle_report(told, ("10.0.0.3", 7000))
     assert other.result(headers=()) == HELD
     ends = messages.decode(told.records[0], elapsed_ms()).ends
     assert [end.frozen for end in ends] == [True] * 3
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -13,12 +13,12 @@
 from ploverhatch.gateway.directory import Directory
 from ploverhatch.gateway.peer_link import LoadReport, PeerLink
 from ploverhatch.gateway.shared_slots import (
-    ANSWER_S,
-    ASKED_TIMES,
     LEARN_MS,
+    MAX_TRIES,
     RELEARN_MS,
+    REPLY_TIMEOUT_S,
     SharedSlots,
-    SlotWish,
+    SlotRequirements,
     TurnedAwayError,
 )
 from ploverhatch.state.servers import ServerRecord
@@ -34,7 +34,7 @@
 
 
 def wish(holder=None, wait_ms=300.0, hold_ms=2000.0, priority=1):
-    return SlotWish(SERVICE, priority, wait_ms, wait_ms, hold_ms, holder)
+    return SlotRequirements(SERVICE, priority, wait_ms, wait_ms, hold_ms, holder)
 
 
 class Node:
@@ -46,7 +46,7 @@
         )
         self.lost = lambda message: False
         self.slots = SharedSlots(zone, self.directory, lambda: cluster.zones, self.send)
-        self.link.take_slots(self.slots.take)
+        self.link.take_slots(self.slots.handle_message)
         self.tasks = [
             gevent.spawn(self.link.receive_forever),
             gevent.spawn(self.slots.expire_forever),
@@ -185,7 +185,7 @@
     cluster.nodes[0].lost = first_is_lost
     with cluster.nodes[0].slots.hold(wish(holder=record(0))) as slot:
         assert slot is not None
-    assert ASKED_TIMES > 1
+    assert MAX_TRIES > 1
 
 
 def test_a_slot_whose_return_is_lost_comes_free(start):
@@ -208,7 +208,7 @@
         assert slot is not None
         assert slot.dispatcher != keeper.name
     keeper.lost = lambda message: False
-    gevent.sleep(2 * ANSWER_S)
+    gevent.sleep(2 * REPLY_TIMEOUT_S)
     assert keeper.slots._kept[HOLDER].group.in_use == 0
 
 
@@ -257,7 +257,7 @@
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     first.slots.leaving = True
-    take, asks = first.slots.take, []
+    take, asks = first.slots.handle_message, []
 
     def answer_late(message, peer):
         """Answer the first ask when the second one comes, and that one when it is too late."""
@@ -310,9 +310,9 @@
     def answer_and_stand_still(message, peer):
         take(message, peer)
         if type(message).__name__ == "SlotAsk":
-            time.sleep(3 * ANSWER_S)  # the whole process
+            time.sleep(3 * REPLY_TIMEOUT_S)  # the whole process
 
-    take = keeper.slots.take
+    take = keeper.slots.handle_message
     asker.lost = is_first_ask
     keeper.link.take_slots(answer_and_stand_still)
     with asker.slots.hold(wish(holder=record(0))) as slot:
--- a/tests/functional/test_trial_permits.py
+++ b/tests/functional/test_trial_permits.py
@@ -47,7 +47,11 @@
             gevent.spawn_later(takes_s, self._deliver, sender, message, to)
 
     def _deliver(self, sender, message, to):
-        takers = {TrialAsk: "take_ask", TrialWord: "take_word", TrialOver: "take_over"}
+        takers = {
+            TrialAsk: "handle_request",
+            TrialWord: "handle_reply",
+            TrialOver: "handle_finished",
+        }
         getattr(self.permits[to], takers[type(message)])(message, sender)
 
     def nodes(self):
@@ -63,36 +67,36 @@
 def test_one_node_at_a_time_has_the_permit(fleet):
     first, second, third = fleet.nodes()
     asked = call()
-    assert second.take(asked) == 0.0
+    assert second.acquire(asked) == 0.0
     assert second.has(asked)
-    assert [0 < other.take(call()) <= trial_permits.AGAIN_MS for other in (first, third)] == [
+    assert [0 < other.acquire(call()) <= trial_permits.POLL_MS for other in (first, third)] == [
         True
     ] * 2
-    assert second.take(call()) > 0
-    assert first.take(call(b"another")) == 0.0
-    second.give_back(asked)
+    assert second.acquire(call()) > 0
+    assert first.acquire(call(b"another")) == 0.0
+    second.release(asked)
     gevent.sleep(0.06)
     assert not second.has(asked)
-    assert third.take(call()) == 0.0
-    assert first.take(call()) > 0
+    assert third.acquire(call()) == 0.0
+    assert first.acquire(call()) > 0
 
 
 def test_requests_of_one_node_ask_once_while_another_node_has_it(fleet):
     _, second, third = fleet.nodes()
-    second.take(call())
-    third.take(call())
+    second.acquire(call())
+    third.acquire(call())
     before = len(fleet.sent)
-    assert [third.take(call()) > 0 for _ in range(20)] == [True] * 20
+    assert [third.acquire(call()) > 0 for _ in range(20)] == [True] * 20
     assert len(fleet.sent) == before
 
 
 def test_those_who_wait_here_are_woken_when_a_copy_ends(fleet):
     node = fleet.permits[NODES[0]]
     asked = call()
-    node.take(asked)
+    node.acquire(asked)
     waiting = gevent.spawn(node.changed.wait, 1.0)
     gevent.sleep(0.01)
-    node.give_back(asked)
+    node.release(asked)
     assert waiting.get() is True
 
 
@@ -100,8 +104,8 @@
 def test_a_question_or_word_that_is_lost_is_repeated(fleet, form):
     _, second, third = fleet.nodes()
     fleet.lose = [form]
-    assert second.take(call()) == 0.0
-    assert third.take(call()) > 0
+    assert second.acquire(call()) == 0.0
+    assert third.acquire(call()) > 0
 
 
 def test_a_return_that_is_lost_holds_nobody_up_for_long(fleet, monkeypatch):
@@ -109,86 +113,86 @@
     _, second, third = fleet.nodes()
     fleet.lose = [TrialOver]
     asked = call()
-    second.take(asked)
-    second.give_back(asked)
-    assert third.take(call()) > 0
+    second.acquire(asked)
+    second.release(asked)
+    assert third.acquire(call()) > 0
     gevent.sleep(0.13)
-    assert third.take(call()) == 0.0
+    assert third.acquire(call()) == 0.0
 
 
 def test_without_its_leader_each_node_has_one_copy_of_its_own(fleet):
     leader, second, third = fleet.nodes()
     asked = call()
-    leader.take(call())
+    leader.acquire(call())
     fleet.lost = {fleet.leader}
     start_ms = elapsed_ms()
-    assert second.take(asked) == 0.0
+    assert second.acquire(asked) == 0.0
     assert elapsed_ms() - start_ms < 100
-    assert second.take(call()) > 0
-    assert third.take(call()) == 0.0
-    second.give_back(asked)
+    assert second.acquire(call()) > 0
+    assert third.acquire(call()) == 0.0
+    second.release(asked)
     before = len(fleet.sent)
-    assert second.take(call()) == 0.0
+    assert second.acquire(call()) == 0.0
     assert fleet.sent[before:] == []  # a leader that says nothing isn't asked for a second
 
 
 def test_a_leader_that_answers_late_is_asked_next_time(fleet):
     """Guards against a copy at each node for a second after a leader was slow once."""
     leader, second, _ = fleet.nodes()
-    leader.take(call())
+    leader.acquire(call())
     fleet.leader_takes_s = 0.1
     asked = call()
-    assert second.take(asked) == 0.0
-    second.give_back(asked)
+    assert second.acquire(asked) == 0.0
+    second.release(asked)
     gevent.sleep(0.1)
     fleet.leader_takes_s = 0.0
-    assert second.take(call()) > 0
+    assert second.acquire(call()) > 0
 
 
 def test_a_node_that_was_suspended_while_it_waited_asks_again(fleet):
     """Guards against a copy at each node where the whole machine stood still."""
     leader, second, _ = fleet.nodes()
-    leader.take(call())
+    leader.acquire(call())
     fleet.leader_takes_s = 0.03
-    fleet.lose = [TrialAsk] * trial_permits.ASKED_TIMES
-    for number in range(trial_permits.ASKED_TIMES):
+    fleet.lose = [TrialAsk] * trial_permits.MAX_TRIES
+    for number in range(trial_permits.MAX_TRIES):
         gevent.spawn_later(0.01 + 0.07 * number, time.sleep, 0.06)
-    assert second.take(call()) > 0
+    assert second.acquire(call()) > 0
 
 
 def test_the_next_leader_is_asked(fleet):
     _, second, third = fleet.nodes()
-    second.take(call())
+    second.acquire(call())
     fleet.leader = NODES[2]
-    assert third.take(call()) == 0.0  # what the one before gave isn't known to it
+    assert third.acquire(call()) == 0.0  # what the one before gave isn't known to it
     gevent.sleep(PERMIT_MS / 1000)
-    assert second.take(call()) == 0.0
-    assert third.take(call()) > 0
+    assert second.acquire(call()) == 0.0
+    assert third.acquire(call()) > 0
 
 
 def test_many_nodes_ask_more_rarely(fleet):
     _, second, third = fleet.nodes()
     third._nodes = lambda: 300
-    second.take(call())
-    assert trial_permits.AGAIN_MS < third.take(call()) <= 300 * trial_permits.AGAIN_MS_PER_NODE
+    second.acquire(call())
+    assert trial_permits.POLL_MS < third.acquire(call()) <= 300 * trial_permits.POLL_MS_PER_NODE
 
 
 def test_a_request_that_needs_longer_gets_its_permit_anew(fleet, monkeypatch):
     _, second, third = fleet.nodes()
     asked = call()
-    second.take(asked)
+    second.acquire(asked)
     gevent.sleep(PERMIT_MS * 0.6 / 1000)
     assert not second.has(asked)
-    assert second.take(asked) == 0.0
+    assert second.acquire(asked) == 0.0
     gevent.sleep(PERMIT_MS * 0.6 / 1000)
-    assert third.take(call()) > 0
-    assert second.kept == 0
+    assert third.acquire(call()) > 0
+    assert second.granted_count == 0
 
 
 def test_what_is_over_is_forgotten(fleet):
     node = fleet.permits[NODES[1]]
     for number in range(50):
-        node.take(call(b"%d" % number))
+        node.acquire(call(b"%d" % number))
     gevent.sleep(PERMIT_MS / 1000 + 0.01)
     node.expire()
     assert node._claims == {}
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize(("status", "headers", "result"), JUDGEMENTS)
 def test_what_an_answer_proves(status, headers, result):
-    assert PlatformDialect().judge(FACTS, "me", WireAnswer(status, headers)) is result
+    assert PlatformDialect().classify_answer(FACTS, "me", WireAnswer(status, headers)) is result
 
 
 def test_request_as_it_goes_to_a_server():
