--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -56,11 +56,11 @@
         """The configuration in force, or ``None`` before the first."""
         return self._table
 
-    def limits(self) -> ClientLimits:
+    def client_limits(self) -> ClientLimits:
         """What callers may send."""
         return self._table.limits if self._table else ClientLimits()
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Take a configuration unless a newer one is in force."""
         if self._table is not None and table.version <= self._table.version:
             return
@@ -89,7 +89,7 @@
         LOG.info("Server record gone.", server=name)
         self.changed.raise_()
 
-    def take_notice(
+    def apply_notice(
         self, server_id: str, notice: ServerNotice, asked_ms: float | None = None
     ) -> None:
         """An answer to this node says something of its server.
@@ -114,7 +114,7 @@
         else:
             LOG.info("Server names a limit.", server=server_id, per_s=f"{per_s:g}", by=by)
 
-    def hear_leaving(self, ages_ms: Mapping[str, float], by: str) -> None:
+    def note_leaving(self, ages_ms: Mapping[str, float], by: str) -> None:
         """Another node tells which servers said that they leave, and how long ago."""
         now_ms = elapsed_ms()
         for server_id, age_ms in ages_ms.items():
@@ -127,7 +127,7 @@
                 )
                 self.changed.raise_()
 
-    def hear_limits(self, told: ToldLimits, by: str) -> None:
+    def note_rate_limits(self, told: ToldLimits, by: str) -> None:
         """Another node tells what servers said of the rate that they take."""
         now_ms = elapsed_ms()
         for server_id, (per_s, age_ms) in told.items():
@@ -135,7 +135,7 @@
                 self._log_limit(server_id, per_s, by)
                 self.changed.raise_()
 
-    def limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
+    def rate_limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
         """Return what some servers said of the rate that they take, as far as is known."""
         limits, now_ms = self.servers.standings.limits, elapsed_ms()
         return {
@@ -144,7 +144,7 @@
             if name in limits
         }
 
-    def own_limits(self) -> ToldLimits:
+    def own_rate_limits(self) -> ToldLimits:
         """Return what answers to this node said lately, for the leader."""
         now_ms = elapsed_ms()
         self._heard_limits = {
@@ -153,15 +153,15 @@
             if now_ms - heard_ms < OWN_LIMIT_MS
         }
         latest = sorted(self._heard_limits, key=self._heard_limits.__getitem__)
-        return self.limits_of(latest[-MOST_LIMITS:])
+        return self.rate_limits_of(latest[-MOST_LIMITS:])
 
-    def next_limits(self) -> ToldLimits:
+    def next_rate_limits(self) -> ToldLimits:
         """Return the words to tell next; all are told in turn, since messages are short."""
         known = sorted(self.servers.standings.limits)
         after = [name for name in known if name > self._told_limit]
         told = [*after, *known][: min(MOST_LIMITS, len(known))]
         self._told_limit = told[-1] if told else ""
-        return self.limits_of(told)
+        return self.rate_limits_of(told)
 
     def leaving_ages_ms(self) -> dict[str, float]:
         """Return the servers that said that they leave and whose records don't, and when."""
@@ -200,7 +200,7 @@
         known = self._table.services.get(service) if self._table else None
         return known.cold_per_s if known else 0.0
 
-    def server_ended(self, server_id: str) -> None:
+    def note_server_replaced(self, server_id: str) -> None:
         """Another server answered at the address: this one has surely ended."""
         if server_id in self.servers.records:
             LOG.warning("Address belongs to another server now.", server=server_id)
@@ -280,7 +280,7 @@
             tokens = frozenset(t for t in tokens if t in moving or t > keymap.token)
         self.granted[service] = tokens
 
-    def known_settled(self, service: str) -> KeyMap:
+    def settled_keymap(self, service: str) -> KeyMap:
         """Return the map known, with the ranges settled that their new holders acknowledged.
 
         A holder acknowledges a grant after all previous ones have released or lapsed.
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -291,7 +291,7 @@
     def _learn(self, upstream: Upstream, result: AttemptResult, took_ms: float) -> None:
         if result is AttemptResult.WRONG_INSTANCE:
             self._quarantine.ended(upstream)
-            self._directory.server_ended(upstream.record.server_id)
+            self._directory.note_server_replaced(upstream.record.server_id)
         turned_away = result is AttemptResult.LOST and upstream.turned_away(took_ms)
         if turned_away or result in {AttemptResult.DECLINED, AttemptResult.TIMED_OUT}:
             upstream.overloaded()
@@ -448,7 +448,7 @@
             upstream.heard_ms = elapsed_ms()
         notice = self._dialect.notice(call.facts.request_id, record.server_id, answer)
         if notice != NOTHING:
-            self._directory.take_notice(record.server_id, notice, sent_ms)
+            self._directory.apply_notice(record.server_id, notice, sent_ms)
         if notice.rest_ms:
             upstream.asked_for_rest()
             self._choice.note_rest(record.server_id)
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -148,7 +148,7 @@
                 self._core.distrust_missing(others_until_ms)
             for keymap in keymaps:
                 self._directory.put_keymap(keymap)
-                known = self._directory.known_settled(keymap.service)
+                known = self._directory.settled_keymap(keymap.service)
                 self._core.inherit(known, renewable_ms, elapsed_ms(), same_lives=False)
             for item in items:
                 if item.name not in self._unreadable and keymap_codec.predates_restore(item):
@@ -321,7 +321,7 @@
     def _control(self, holder: Holder) -> ServerControl:
         control = self._controls.get(holder.server_id)
         if control is None:
-            control = ServerControl(holder, self._dialect, self._directory.take_notice)
+            control = ServerControl(holder, self._dialect, self._directory.apply_notice)
             self._controls[holder.server_id] = control
         return control
 
@@ -368,7 +368,7 @@
         self._execute(self._core.release_ended(action, outcome, handover, elapsed_ms()))
 
     def _forget_server(self, action: ForgetServer) -> None:
-        self._directory.server_ended(action.server_id)
+        self._directory.note_server_replaced(action.server_id)
 
     def _resign(self, _action: Resign) -> None:
         LOG.warning("Most servers cannot be reached from here.")
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -172,13 +172,13 @@
         self._callers = CallerServer(
             settings.callers,
             self._forwarder.handle,
-            self.directory.limits,
+            self.directory.client_limits,
             self._note_rejected,
             settings.max_caller_connections,
             caller_rest_s(settings.grace_s * 1000),
         )
         self._readiness = CallerServer(
-            settings.readiness, self._answer_readiness, self.directory.limits
+            settings.readiness, self._answer_readiness, self.directory.client_limits
         )
 
     # ---- life -------------------------------------------------------------------------
@@ -301,7 +301,7 @@
         for item in items:
             table = self._translation.configuration(item)
             if table is not None:
-                self.directory.take_table(table)
+                self.directory.apply_table(table)
 
     def _change_configuration(self, change: ObjectChange) -> bool:
         if not change.gone:
@@ -437,7 +437,7 @@
             strength=self._elector.offered_strength,
             leaving=self.directory.leaving_ages_ms(),
             resting=self.directory.servers.standings.resting(elapsed_ms()),
-            limits=self.directory.own_limits(),
+            limits=self.directory.own_rate_limits(),
         )
 
     @property
@@ -448,8 +448,8 @@
         return frozenset(service.name for service in services if service.partitioned)
 
     def _take_load(self, report: LoadReport) -> None:
-        self.directory.hear_leaving(report.leaving, "another-node")
-        self.directory.hear_limits(report.limits, "another-node")
+        self.directory.note_leaving(report.leaving, "another-node")
+        self.directory.note_rate_limits(report.limits, "another-node")
         if self._leader is not None:
             self._leader.take_report(report)
         if self._elector.should_hand_over(report.strength):
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -102,8 +102,8 @@
             self._directory.note_promoted(service, revision, promoted)
         for service, tokens in beacon.granted.items():
             self._directory.note_granted(service, tokens)
-        self._directory.hear_leaving(beacon.leaving, "the-leader")
-        self._directory.hear_limits(beacon.limits, "the-leader")
+        self._directory.note_leaving(beacon.leaving, "the-leader")
+        self._directory.note_rate_limits(beacon.limits, "the-leader")
         self._note_keymaps()
         behind = [
             task
@@ -241,7 +241,7 @@
         beacon = publisher.beacon(term, views, elapsed_ms(), self._elector.address)
         granted = {name: sorted(tokens) for name, tokens in self._directory.granted.items()}
         leaving = self._directory.leaving_ages_ms()
-        limits = self._directory.next_limits()
+        limits = self._directory.next_rate_limits()
         promoted = {
             name: (keymap.revision, sorted(tokens))
             for name, tokens in self._directory.promoted.items()
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -322,7 +322,7 @@
             slot.failed,
             slot.unanswered,
             name.regions,
-            self._directory.limits_of([slot.server_id]),
+            self._directory.rate_limits_of([slot.server_id]),
         )
         for keeper in keepers | (held.keepers if held else set()):
             self._send(back, keeper)
@@ -343,7 +343,7 @@
             wish.avoid,
             name.regions,
             wish.barred,
-            self._directory.limits_of(self._limited(name)),
+            self._directory.rate_limits_of(self._limited(name)),
             self._had_others(name, asked),
         )
 
@@ -417,7 +417,7 @@
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
             self._send(SlotWord(ask.number, leaving=True), peer)
             return
-        self._directory.hear_limits(ask.limits, BY_ASKER)
+        self._directory.note_rate_limits(ask.limits, BY_ASKER)
         now_ms = elapsed_ms()
         is_new = name not in self._kept
         kept = self._kept.setdefault(name, _Kept(Group(rates=self._rates)))
@@ -514,7 +514,7 @@
         return self._choice.enforces(name, node, self._members(), elapsed_ms())
 
     def _take_return(self, message: SlotReturn, peer: Address) -> None:
-        self._directory.hear_limits(message.limits, BY_ASKER)
+        self._directory.note_rate_limits(message.limits, BY_ASKER)
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         kept = self._kept.get(name)
         if kept is not None:
--- a/tests/functional/test_ends_seen_later.py
+++ b/tests/functional/test_ends_seen_later.py
@@ -56,7 +56,7 @@
 def test_a_server_that_said_that_it_leaves_did_not_end_of_a_request(bench):
     upstream = bench.add_life()
     leave(bench, upstream)
-    bench.directory.hear_leaving({upstream.server_id: 0.0}, "a-test")
+    bench.directory.note_leaving({upstream.server_id: 0.0}, "a-test")
     bench.pool.sync(bench.directory.servers.records)
     remove(bench, upstream)
     assert bench.quarantine.ends == 0
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -56,7 +56,7 @@
         self.budget = SharedRetryBudget(ratio=0.2, slack=50.0, window_s=10.0)
         self.forwarder = Forwarder(self.directory, self.pool, PlatformDialect(), self.budget)
         services = {PLAIN: Service(PLAIN, False, 100), KEYED: Service(KEYED, True, 100)}
-        self.directory.take_table(RouteTable(1, {b"h.example": ROUTES}, services))
+        self.directory.apply_table(RouteTable(1, {b"h.example": ROUTES}, services))
 
     def add(self, upstream, server_id="", service=PLAIN):
         record = ServerRecord(
@@ -341,7 +341,7 @@
     shares = (ServiceShare(PLAIN, 1.0), ServiceShare("empty", 1.0))
     split = route("split", PLAIN, repeatable=True, shares=shares)
     services = {name: Service(name, False, 100) for name in (PLAIN, "empty")}
-    bench.directory.take_table(RouteTable(2, {b"h.example": (split,)}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": (split,)}, services))
     statuses = [bench.ask(b"/split/").status for _ in range(6)]
     assert sorted(statuses) == [200] * 3 + [503] * 3
     assert len(upstream.ran) == 3
@@ -539,7 +539,7 @@
         name: replace(service, cold_ms=3000.0, cold_per_s=per_s)
         for name, service in bench.directory.table.services.items()
     }
-    bench.directory.take_table(RouteTable(2, {b"h.example": ROUTES}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": ROUTES}, services))
 
 
 def test_a_cold_server_gets_nothing_from_a_node_that_hears_of_no_dispatcher(bench):
@@ -576,7 +576,7 @@
     bench.directory.servers.regions = regions
     routes = tuple(replace(item, regions=frozenset({"home"})) for item in ROUTES)
     services = bench.directory.table.services
-    bench.directory.take_table(RouteTable(2, {b"h.example": routes}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": routes}, services))
 
 
 def add_in(bench, upstream, zone, service=PLAIN):
@@ -641,7 +641,7 @@
     @contextmanager
     def hold(self, wish):
         with super().hold(wish) as slot:
-            self.bench.directory.take_notice("u1", self.notice)
+            self.bench.directory.apply_notice("u1", self.notice)
             yield slot
 
 
@@ -664,7 +664,7 @@
     open_connection = used.connection
 
     def open_and_hear(timeout_s):
-        bench.directory.take_notice("u1", notice)
+        bench.directory.apply_notice("u1", notice)
         return open_connection(timeout_s)
 
     monkeypatch.setattr(used, "connection", open_and_hear)
@@ -691,7 +691,7 @@
 def test_a_single_attempt_that_is_turned_away_is_told_the_rest(bench):
     once = route("one", PLAIN, repeatable=False, max_attempts=1)
     services = {PLAIN: Service(PLAIN, False, 100)}
-    bench.directory.take_table(RouteTable(2, {b"h.example": (once,)}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": (once,)}, services))
     upstream = Upstream("u1")
     upstream.behaviour.rest_s = 1.5
     bench.add(upstream)
@@ -706,7 +706,7 @@
     slots = share(bench, GivenSlots("u1", "u2", "u2"))
     bench.ask(b"/once/", b"POST")
     bench.pool.get("u1").asked_for_rest()
-    bench.directory.take_notice("u1", REST)
+    bench.directory.apply_notice("u1", REST)
     bench.forwarder._choice.note_rest("u1")
     bench.ask(b"/once/", b"POST")
     assert [wish.barred for wish in slots.wishes] == [(), ("u1",)]
@@ -725,7 +725,7 @@
 def test_where_all_leave_a_request_without_a_key_is_refused_at_once(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
-    bench.directory.take_notice("u1", LEAVES)
+    bench.directory.apply_notice("u1", LEAVES)
     started = elapsed_ms()
     assert bench.ask(b"/read/").status == 503
     assert elapsed_ms() - started < 50.0
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -66,7 +66,7 @@
     first, second, _ = in_order(cluster)
     with second.slots.hold(wish()) as slot:
         assert slot.dispatcher == first.name
-        second.directory.take_notice("s0", LIMIT)
+        second.directory.apply_notice("s0", LIMIT)
     gevent.sleep(0.05)
     assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
     assert len(given(second, 1.5)) <= 5
@@ -77,7 +77,7 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in (second, third):
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     with ExitStack() as held:
         cluster.hold_all(held, 1, cluster.nodes.index(third))
         with pytest.raises(TurnedAwayError):
@@ -90,10 +90,10 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     gevent.sleep(0.5)
     with second.slots.hold(wish(wait_ms=1000.0)):
-        second.directory.take_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
+        second.directory.apply_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
     gevent.sleep(0.05)
     assert first.directory.servers.standings.limit_per_s == {}
     assert len(given(third, 0.5)) > 20
@@ -104,7 +104,7 @@
     cluster = start(record(0), record(1))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     lost = iter([True, True])  # both questions of one request
     third.lost = lambda message: type(message).__name__ == "SlotAsk" and next(lost, False)
     servers = given(third, 0.8)
@@ -118,7 +118,7 @@
     cluster = start(record(0))
     name = GroupName("svc", "a", "s0")
     first, _, third = in_order(cluster, name)
-    third.directory.take_notice("s0", LIMIT)
+    third.directory.apply_notice("s0", LIMIT)
     first.lost = lambda message: True
     with third.slots.hold(wish(holder=record(0))) as slot:
         assert slot is None
@@ -133,7 +133,7 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     first.lost = lambda message: True
     given(second, UNREACHABLE_MS / 1000 + 0.3)
     given(third, UNREACHABLE_MS / 1000 + 0.3)
@@ -146,7 +146,7 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     with ExitStack() as held:
         given(third, 0.3)
         waiting = gevent.spawn(hold, third, wish(wait_ms=2000.0))
@@ -169,7 +169,7 @@
     cluster = start(record(0))
     first, _, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", ServerNotice(limit_per_s=10.0))
+        node.directory.apply_notice("s0", ServerNotice(limit_per_s=10.0))
     first.slots._started_ms = elapsed_ms()
     assert len(given(third, 2.0)) <= 2 * 10 * STANDBY_SHARE + 2
 
@@ -180,7 +180,7 @@
     for node in cluster.nodes:
         node.directory.servers.regions = {"a": "home"}
         node.directory.replace_servers([record(0)])
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     ways = [frozenset(), frozenset({"home"}), frozenset({"home", "abroad"})]
     tasks = [gevent.spawn(given, cluster.nodes[0], 3.0, regions=regions) for regions in ways]
     gevent.joinall(tasks)
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -79,7 +79,7 @@
 def directory(cold_per_s):
     made = Directory()
     services = {SERVICE: Service(SERVICE, False, 100, 3000.0, cold_per_s)}
-    made.take_table(RouteTable(1, {}, services))
+    made.apply_table(RouteTable(1, {}, services))
     made.replace_servers([record(number) for number in range(3)])
     return made
 
