--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -59,7 +59,7 @@
         self._looked_ms = -1e12
         self._wake = Signal()
         self._look_due = False  # another task got no answer from the store
-        self._store_away = False
+        self._store_unavailable = False
         self._failures = 0  # calls in a row that got no answer
         self._registered = False
         self._registered_revision = 0
@@ -99,14 +99,14 @@
         return self.member_zones.keys()
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store did not answer this task's last call."""
-        return self._store_away
+        return self._store_unavailable
 
     @property
     def offered_strength(self) -> float:
         """Strength of this machine if it is ready to take the lead from a weaker one, else 0."""
-        ready = not self._store_away and elapsed_ms() >= self._not_before_ms
+        ready = not self._store_unavailable and elapsed_ms() >= self._not_before_ms
         if self._stopped or not ready or not self.state.is_strongest:
             return 0.0
         return self.state.strength
@@ -126,12 +126,12 @@
             pause_s = self._round()
             self._look_due = self._wake.wait(pause_s)
 
-    def look_now(self) -> None:
+    def check_store_now(self) -> None:
         """Ask the store at once: another task of this node got no answer."""
-        if not self._store_away and not self.state.leading:
+        if not self._store_unavailable and not self.state.leading:
             self._wake.raise_()
 
-    def woke(self) -> None:
+    def note_resumed(self) -> None:
         """The machine was suspended: renew the lease, or look who holds it, at once."""
         self._wake.raise_()
 
@@ -139,7 +139,7 @@
         try:
             if self.state.leading:
                 self._renew()
-            elif self._store_away or self._look_due or not self._hears_leader:
+            elif self._store_unavailable or self._look_due or not self._hears_leader:
                 self._look()
         except StoreCallError as error:
             self._looked.set()
@@ -156,13 +156,13 @@
 
     def _note_store(self, error: StoreCallError | None) -> None:
         if error is not None:
-            if not self._store_away:
+            if not self._store_unavailable:
                 LOG.warning("Store does not answer.", cause=error)
-            self._store_away = True
+            self._store_unavailable = True
             self._store_lost()
             return
-        if self._store_away:
-            self._store_away = False
+        if self._store_unavailable:
+            self._store_unavailable = False
             LOG.info("Store answers again.")
             self._store_regained()
 
@@ -176,7 +176,7 @@
             return False
         return self._covered() and elapsed_ms() - self._looked_ms < election.LOOK_COVERED_MS
 
-    def heard(self, lease_revision: int, renewed_ms: float, address: str) -> None:
+    def note_leader(self, lease_revision: int, renewed_ms: float, address: str) -> None:
         """The leader told of its lease: renewed at ``renewed_ms``, elapsed clock of this node."""
         before = self.state
         self.state = election.heard(before, lease_revision, renewed_ms, address)
--- a/ploverhatch/gateway/feeds.py
+++ b/ploverhatch/gateway/feeds.py
@@ -34,7 +34,7 @@
 LOG = PartLogger("feed")
 
 REBASE_MS = 5000.0  # a watch goes on from an older revision no longer: history is dropped
-UNHEARD_MS = 1000.0  # before history is dropped, watches may hear nothing for so long
+STALLED_WATCH_MS = 1000.0  # before history is dropped, watches may hear nothing for so long
 UNKNOWN_CONTENT = msgspec.Raw(msgspec.msgpack.encode(None))
 RELIST_INTERVAL_MS = 500.0  # listings less far apart are followed by a pause
 FIRST_PAUSE_S = 0.1
@@ -46,8 +46,8 @@
 class Pauses:
     """Pauses after a watch has reported, so that more comes with one call."""
 
-    news_s: float = 0.0
-    known_s: float = 0.0
+    after_new_s: float = 0.0
+    after_known_s: float = 0.0
 
 
 def whole_change(change: ObjectChange) -> ToldChange | None:
@@ -66,7 +66,7 @@
     pauses: Pauses = Pauses()
     encode: Callable[[ObjectChange], ToldChange | None] = whole_change
     # Takes a told change; false when it does not join what is known.
-    take_told: Callable[[ToldChange], bool] | None = None
+    apply_relayed: Callable[[ToldChange], bool] | None = None
     repeatable: bool = False  # a change may be taken again by itself
     confirmed: Callable[[float], None] = lambda current_ms: None
     # All objects, where the node keeps them in another form than the store's.
@@ -83,7 +83,7 @@
         """Whether this node tells the others."""
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store is asked elsewhere, with cheaper calls, until it answers again.
 
         Then the feeds are nudged.
@@ -95,19 +95,21 @@
     def covered_until_ms(self, kind: str, cursor: int) -> float:
         """Return until when the store need not be asked for a kind."""
 
-    def read(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+    def publish_changes(
+        self, kind: str, base: int, reached: int, changes: list[ToldChange]
+    ) -> None:
         """All changes of a kind between two revisions were read from the store."""
 
     def await_leader(self) -> None:
         """Wait a little until it is known who leads."""
 
-    def knows_more(self, kind: str, cursor: int) -> bool:
+    def should_ask_leader(self, kind: str, cursor: int) -> bool:
         """Whether the leader is to be asked for a kind."""
 
     def fetch(self, kind: str) -> Snapshot | None:
         """Return all objects of a kind from the leader, or ``None``."""
 
-    def relied_on_until_ms(self, current_ms: float) -> float:
+    def valid_until_ms(self, current_ms: float) -> float:
         """Return until when a view may be relied on that was surely current at a time."""
 
 
@@ -124,7 +126,7 @@
         self._cursor = Cursor()
         self._must_list = True
         self._items: dict[str, SnapshotItem] = {}  # the objects that are known
-        self._relied_until_ms = -1e12  # on what the leader told as a whole
+        self._valid_until_ms = -1e12  # on what the leader told as a whole
         self._current_ms = -1e12  # the view was surely current then
         self._moved_ms = -1e12  # when the cursor moved last
         self._dropped_ms = -1e12  # when history was found dropped last
@@ -158,11 +160,11 @@
 
     # ---- from others ------------------------------------------------------------------
 
-    def nudge(self) -> None:
+    def wake(self) -> None:
         """Look again whether the store has to be asked."""
         self._nudged.raise_()
 
-    def take_told(self, told: Told) -> None:
+    def apply_update(self, told: Told) -> None:
         """Take changes that the leader tells, if they join what is known."""
         if not coverage.follows(self._cursor, told, self._feed.repeatable):
             return
@@ -176,8 +178,8 @@
             return True
         item = VersionedObject(change.name, change.revision, change.spec, change.status)
         self._keep(item, change.gone)
-        if self._feed.take_told is not None:
-            return self._feed.take_told(change)
+        if self._feed.apply_relayed is not None:
+            return self._feed.apply_relayed(change)
         self._feed.apply(ObjectChange(item, change.gone))
         return True
 
@@ -200,7 +202,7 @@
                 self._recovered()
             except HistoryDroppedError:
                 LOG.info("History dropped, listing again.", kind=self.kind)
-                self._current_ms = min(self._current_ms, elapsed_ms() - UNHEARD_MS)
+                self._current_ms = min(self._current_ms, elapsed_ms() - STALLED_WATCH_MS)
                 self._must_list = True
                 if elapsed_ms() - self._dropped_ms < RELIST_INTERVAL_MS:
                     self._nudged.wait(FIRST_PAUSE_S)
@@ -217,28 +219,28 @@
     def _pause(self) -> None:
         """Wait before the store is asked again; a leader less, since it tells the others.
 
-        In an outage the elector asks for all feeds. A nudge then ends the wait only
+        In an outage the elector asks for all feeds. A wake then ends the wait only
         when the store answers, or when the leader's word helps.
         """
         pause_s = self._pause_s / 2 if self._relay.leads else self._pause_s
         self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
-        if self._relay.leads or not self._relay.store_away:
+        if self._relay.leads or not self._relay.store_unavailable:
             self._nudged.wait(pause_s)
             return
         until_ms = elapsed_ms() + OUTAGE_PAUSE_S * 1000
         while self._nudged.wait((until_ms - elapsed_ms()) / 1000):
-            if not self._relay.store_away or self._leader_helps:
+            if not self._relay.store_unavailable or self._leader_helps:
                 return
 
     @property
     def _leader_helps(self) -> bool:
         revision = self._cursor.revision
         covered_ms = self._relay.covered_until_ms(self.kind, revision)
-        return covered_ms > elapsed_ms() or self._relay.knows_more(self.kind, revision)
+        return covered_ms > elapsed_ms() or self._relay.should_ask_leader(self.kind, revision)
 
     def _wait_while_covered(self) -> bool:
         until_ms = self._relay.covered_until_ms(self.kind, self._cursor.revision)
-        left_ms = max(until_ms, self._relied_until_ms) - elapsed_ms()
+        left_ms = max(until_ms, self._valid_until_ms) - elapsed_ms()
         if left_ms <= 0:
             return False
         self._nudged.wait(left_ms / 1000)
@@ -246,7 +248,7 @@
 
     def _ask_leader(self) -> bool:
         """Take the whole kind from the leader; true if it can be relied on."""
-        if not self._relay.knows_more(self.kind, self._cursor.revision):
+        if not self._relay.should_ask_leader(self.kind, self._cursor.revision):
             return False
         sent_ms = elapsed_ms()
         snapshot = self._relay.fetch(self.kind)
@@ -263,8 +265,8 @@
         self._move_to(snapshot.reached)
         self._note_current(current_ms)
         self._must_list = False
-        self._relied_until_ms = self._relay.relied_on_until_ms(current_ms)
-        return elapsed_ms() < self._relied_until_ms
+        self._valid_until_ms = self._relay.valid_until_ms(current_ms)
+        return elapsed_ms() < self._valid_until_ms
 
     def _replace_all(self, items: tuple[VersionedObject, ...]) -> None:
         self._feed.replace_all(items)
@@ -300,7 +302,7 @@
         newer = [ObjectChange(item, gone=False) for item in listing.items if item.revision > base]
         told = [item for change in newer if (item := self._feed.encode(change))]
         told += [ToldChange(name, listing.revision, None, gone=True) for name in gone]
-        self._relay.read(self.kind, base, listing.revision, told)
+        self._relay.publish_changes(self.kind, base, listing.revision, told)
 
     def _keep(self, item: VersionedObject, gone: bool) -> None:
         """Keep an object in the form in which other nodes are told it."""
@@ -333,9 +335,9 @@
             self._keep(change.object, change.gone)
         self._move_to(max(batch.revision, self._cursor.revision))
         told = [item for change in batch.changes if (item := self._feed.encode(change))]
-        self._relay.read(self.kind, base, batch.revision, told)
+        self._relay.publish_changes(self.kind, base, batch.revision, told)
         if not empty:
-            gevent.sleep(self._feed.pauses.news_s if news else self._feed.pauses.known_s)
+            gevent.sleep(self._feed.pauses.after_new_s if news else self._feed.pauses.after_known_s)
 
     def _note_current(self, current_ms: float) -> None:
         self._current_ms = max(self._current_ms, current_ms)
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -69,16 +69,16 @@
         dialect: Dialect,
         lease_max_ms: float,
         publish: Callable[[KeyMap], None],
-        tell_granted: Callable[[str, int], None],
-        tell_promoted: Callable[[str, int, Collection[int]], object],
+        publish_granted: Callable[[str, int], None],
+        publish_promoted: Callable[[str, int, Collection[int]], object],
     ) -> None:
         self._store = store
         self._directory = directory
         self._elector = elector
         self._dialect = dialect
         self._publish = publish
-        self._tell_granted = tell_granted
-        self._tell_promoted = tell_promoted
+        self._publish_granted = publish_granted
+        self._publish_promoted = publish_promoted
         self._hold_ms = min(HOLD_MS, lease_max_ms)
         self._core = LeaderCore(LeaseTiming(self._hold_ms))
         self._controls: dict[str, ServerControl] = {}
@@ -212,7 +212,7 @@
         for service in views:
             tokens = self._core.promoted(service)
             if tokens:
-                self._tell_promoted(service, self._core.keymap(service).revision, tokens)
+                self._publish_promoted(service, self._core.keymap(service).revision, tokens)
         self._execute(actions)
 
     def _forget_gone(self) -> None:
@@ -341,7 +341,7 @@
         outcome = control.grant(call, may_send, action.renewal)
         self._note_break(action.holder)
         if outcome is CallOutcome.DONE and not action.renewal:
-            self._tell_granted(name.service, name.token)
+            self._publish_granted(name.service, name.token)
         if outcome not in {CallOutcome.DONE, CallOutcome.NOT_SENT, CallOutcome.UNPROVEN}:
             LOG.warning(
                 "Grant failed.",
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -63,8 +63,8 @@
 LIFE_BYTES = 6  # of the name of one life of the process
 # A watch that has reported is asked again after a pause: the first one where it
 # told something new, the second one where all was known, as from the leader.
-SERVERS_PAUSES = Pauses(news_s=0.25, known_s=0.25)
-KEYMAPS_PAUSES = Pauses(news_s=0.1, known_s=1.0)
+SERVERS_PAUSES = Pauses(after_new_s=0.25, after_known_s=0.25)
+KEYMAPS_PAUSES = Pauses(after_new_s=0.1, after_known_s=1.0)
 # For moves under way when their leader stops: a release ends with what its server runs.
 MOVES_LIMIT_S = 1.0
 
@@ -162,8 +162,8 @@
             self._peers.publish,
         )
         self._snapshots = SnapshotServer(peer_address, self._relay.snapshot)
-        self._peers.take(Told, self._relay.take_told)
-        self._peers.take(Beacon, self._relay.take_beacon)
+        self._peers.take(Told, self._relay.handle_update)
+        self._peers.take(Beacon, self._relay.handle_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
             for feed in self._followed(keymap_relay)
@@ -360,7 +360,7 @@
 
     def _feed_failed(self) -> None:
         self._store_lost()
-        self._elector.look_now()
+        self._elector.check_store_now()
 
     def _store_regained(self) -> None:
         self._read_again()
@@ -368,12 +368,12 @@
     def _read_again(self) -> None:
         self._store.interrupt()
         for feed in self._feeds:
-            feed.nudge()
+            feed.wake()
 
     def _woke(self) -> None:
         """The machine was suspended: what waited for a time that is over goes on."""
         self._forwarder.end_overdue()
-        self._elector.woke()
+        self._elector.note_resumed()
         self._read_again()
 
     # ---- tasks ------------------------------------------------------------------------
@@ -400,9 +400,9 @@
                     self._elector,
                     self._dialect,
                     self._settings.lease_max_ms,
-                    self._relay.tell_map,
-                    self._relay.tell_granted,
-                    self._relay.tell_promoted,
+                    self._relay.publish_map,
+                    self._relay.publish_granted,
+                    self._relay.publish_promoted,
                 )
                 try:
                     self._leader.run()
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -29,7 +29,7 @@
 OWN_MAPS_MS = 500.0  # until the leader asks itself again whether it still leads
 LEADER_WAIT_S = 0.5  # until it is known at the start who leads
 LONG_WAIT_S = 2.0  # shorter than key maps are trusted, and finds dead connections
-PROOF_WAIT_PART = 0.65  # of how old the leader's view may be
+PROOF_WAIT_FRACTION = 0.65  # of how old the leader's view may be
 OVERTAKEN_S = 0.05  # a beacon may overtake the changes that it speaks of
 MAX_CHANGES = 200_000  # bytes of changes in one message; what is longer is asked for
 
@@ -79,7 +79,7 @@
         """
         if not self._leading or kind == kinds.KEYMAPS:
             return LONG_WAIT_S
-        return self._coverage.limit_ms * PROOF_WAIT_PART / 1000
+        return self._coverage.limit_ms * PROOF_WAIT_FRACTION / 1000
 
     # ---- as any node --------------------------------------------------------------------
 
@@ -91,11 +91,11 @@
             return elapsed_ms() + OWN_MAPS_MS  # nobody else writes them
         return float("-inf")
 
-    def take_beacon(self, beacon: Beacon) -> None:
+    def handle_beacon(self, beacon: Beacon) -> None:
         """Take the leader's claims."""
         now_ms = elapsed_ms()
         self._coverage = coverage.take_beacon(self._coverage, beacon)
-        self._elector.heard(
+        self._elector.note_leader(
             beacon.lease_revision, beacon.sent_ms - beacon.renewed_age_ms, beacon.address
         )
         for service, (revision, promoted) in beacon.promoted.items():
@@ -128,7 +128,7 @@
         """Wait a little until it is known who leads."""
         self._elector.await_leader(LEADER_WAIT_S)
 
-    def knows_more(self, kind: str, cursor: int) -> bool:
+    def should_ask_leader(self, kind: str, cursor: int) -> bool:
         """Whether the leader is to be asked for a kind."""
         if self._term() is not None or not self._leader.may_ask(kind):
             return False
@@ -144,11 +144,11 @@
         return self._leading
 
     @property
-    def store_away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the elector found that the store does not answer, and goes on asking."""
-        return self._elector.store_away
+        return self._elector.store_unavailable
 
-    def relied_on_until_ms(self, current_ms: float) -> float:
+    def valid_until_ms(self, current_ms: float) -> float:
         """Return until when a view may be relied on that was surely current at a time."""
         return current_ms + self._coverage.limit_ms
 
@@ -171,11 +171,11 @@
             self._packed[task.kind] = known
         return known[1]
 
-    def take_told(self, told: Told) -> None:
+    def handle_update(self, told: Told) -> None:
         """Take changes from the leader."""
         task = self._tasks.get(told.kind)
         if task is not None and not self._leading:
-            task.take_told(told)
+            task.apply_update(told)
 
     @property
     def covered(self) -> bool:
@@ -187,7 +187,9 @@
 
     # ---- as the leader ------------------------------------------------------------------
 
-    def read(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+    def publish_changes(
+        self, kind: str, base: int, reached: int, changes: list[ToldChange]
+    ) -> None:
         """Tell what this node read from the store, if it leads."""
         if self._term() is None:
             return
@@ -195,7 +197,7 @@
         if reached > told or changes:
             self._tell(kind, base, reached, changes)
 
-    def tell_map(self, keymap: KeyMap) -> None:
+    def publish_map(self, keymap: KeyMap) -> None:
         """Tell a map that this node stored."""
         change = self._keymaps.change_of(keymap)
         if change is not None:
@@ -208,12 +210,12 @@
         for told in publisher.in_parts(kind, base, reached, sized, MAX_CHANGES):
             self._send(told)
 
-    def tell_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
+    def publish_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
         """Tell soon which standbys were promoted by the map in the store."""
         if self._directory.note_promoted(service, revision, tokens):
             self._beacon_soon()
 
-    def tell_granted(self, service: str, token: int) -> None:
+    def publish_granted(self, service: str, token: int) -> None:
         """Tell soon that a moving range's new holder has it."""
         self._directory.note_granted(service, [token])
         self._beacon_soon()
@@ -284,4 +286,4 @@
 
 def _nudge(tasks: Sequence[FeedTask]) -> None:
     for task in tasks:
-        task.nudge()
+        task.wake()
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -4,9 +4,9 @@
 import pytest
 
 from ploverhatch.common.clock import elapsed_ms
-from ploverhatch.gateway.feeds import UNHEARD_MS
+from ploverhatch.gateway.feeds import STALLED_WATCH_MS
 from ploverhatch.gateway.keymap_relay import KeymapRelay
-from ploverhatch.gateway.relay import PROOF_WAIT_PART
+from ploverhatch.gateway.relay import PROOF_WAIT_FRACTION
 from ploverhatch.sharding.keymap import (
     LAST_KEY,
     Holder,
@@ -59,7 +59,7 @@
         until(lambda number=number: f"new-{number}" in follower.directory.servers.records, 1.0)
     told = [call for call in site.store.calls if "watch" in call[3] and call[1] == "servers"]
     assert watches(site, "servers") - before <= 16  # the leader's own, each 0.5 s at least
-    wait_ms = leader._settings.relay_limit_ms * PROOF_WAIT_PART
+    wait_ms = leader._settings.relay_limit_ms * PROOF_WAIT_FRACTION
     assert max(int(call[3]["wait_ms"]) for call in told[-4:]) == int(wait_ms)
 
 
@@ -135,7 +135,7 @@
 
     monkeypatch.setattr(leader._store, "watch", dropped)
     leader._store.interrupt()
-    until(lambda: elapsed_ms() - task.view.current_ms >= UNHEARD_MS, 3.0)
+    until(lambda: elapsed_ms() - task.view.current_ms >= STALLED_WATCH_MS, 3.0)
 
 
 def test_in_an_outage_one_task_of_a_node_asks_for_all(pair, monkeypatch):
@@ -153,7 +153,7 @@
         monkeypatch.setattr(follower._store, name, away)
     leader._store.interrupt()
     follower._store.interrupt()
-    until(lambda: follower._elector.store_away)
+    until(lambda: follower._elector.store_unavailable)
     gevent.sleep(3.0)
     assert asked.count("config") + asked.count("configuration") <= 3
     assert asked.count("servers") <= 3
--- a/tests/standin/relay.py
+++ b/tests/standin/relay.py
@@ -6,7 +6,7 @@
 
     first_wait_s = 0.0
     leads = False
-    store_away = False
+    store_unavailable = False
 
     def __init__(self):
         self.told = []
@@ -17,17 +17,17 @@
     def watch_wait_s(self, kind):
         return 25.0
 
-    def read(self, kind, base, reached, changes):
+    def publish_changes(self, kind, base, reached, changes):
         self.told.append((kind, base, reached, changes))
 
     def await_leader(self):
         pass
 
-    def knows_more(self, kind, cursor):
+    def should_ask_leader(self, kind, cursor):
         return False
 
     def fetch(self, kind):
         return None
 
-    def relied_on_until_ms(self, current_ms):
+    def valid_until_ms(self, current_ms):
         return current_ms
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -121,11 +121,11 @@
     feed = Feed(KIND, lambda items: None, lambda change: taken.update({change.object.name: change}))
     task = FeedTask(None, feed, None, lambda: None)
     task._cursor = Cursor(0)
-    task.take_told(Told(KIND, 0, 2, [ToldChange("b", 1, "ready"), ToldChange("b", 2, "drains")]))
+    task.apply_update(Told(KIND, 0, 2, [ToldChange("b", 1, "ready"), ToldChange("b", 2, "drains")]))
     again = ToldChange("b", 1, "ready", gone=gone)
-    task.take_told(Told(KIND, 0, 3, [again], part=0, parts=2))
+    task.apply_update(Told(KIND, 0, 3, [again], part=0, parts=2))
     assert taken["b"].object.spec == "drains" and not taken["b"].gone
-    task.take_told(Told(KIND, 0, 3, [ToldChange("b", 2, "drains", gone=True)], part=1, parts=2))
+    task.apply_update(Told(KIND, 0, 3, [ToldChange("b", 2, "drains", gone=True)], part=1, parts=2))
     assert taken["b"].gone
 
 
