--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -178,14 +178,14 @@
         keymap = self._directory.keymaps.get(service)
         return keymap is not None and keymap.revision > odd_revision
 
-    def take_report(self, report: LoadReport) -> None:
+    def add_report(self, report: LoadReport) -> None:
         """Take a node's load report."""
         now_ms = elapsed_ms()
         for service, keys in report.keys.items():
             self._loads.setdefault(service, KeyLoad()).add(now_ms, keys)
         for server_id, times_ms in report.answer_ms.items():
             self._answer_times.add(server_id, times_ms, now_ms)
-        self._rests.add(report.resting, now_ms)
+        self._rests.add(report.backing_off, now_ms)
 
     # ---- rounds -------------------------------------------------------------------------
 
@@ -353,7 +353,7 @@
         self._execute(self._core.grant_ended(action, outcome, elapsed_ms()))
 
     def _note_break(self, holder: Holder) -> None:
-        if self._control(holder).take_break():
+        if self._control(holder).pop_connection_break():
             LOG.info("Server broke a connection.", server=holder.server_id)
             self._core.connection_broke(holder)
 
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -40,7 +40,7 @@
 FIRST_REPORT_S = 0.1  # between looks for a leader to report to for the first time
 MAX_KEYS = 400  # of one report and service
 MAX_DATAGRAM = 8192
-PEER_MEMORY_MS = 3000.0  # a node that reported within that time is told of changes
+PEER_EXPIRY_MS = 3000.0  # a node that reported within that time is told of changes
 MEMBERS_EVERY = 4  # every fourth beacon also goes to nodes that do not report
 
 
@@ -48,7 +48,7 @@
     """Keys of the requests since the last report, and the answer times they saw.
 
     ``leaving`` holds the servers that said that they leave, and how long ago, where their
-    records don't say so; ``resting`` those that asked this node for a rest, and what is left
+    records don't say so; ``backing_off`` those that asked this node for a rest, and what is left
     of it; both in milliseconds. ``limits`` are what servers' answers to this node said of the
     rate that they take.
     """
@@ -58,7 +58,7 @@
     stamp_ms: float = 0.0  # when it was sent, on its sender's clock
     strength: float = 0.0  # of the sender's machine if it is ready to lead, else 0
     leaving: dict[str, float] = {}
-    resting: dict[str, float] = {}
+    backing_off: dict[str, float] = {}
     limits: ToldLimits = {}
 
 
@@ -84,7 +84,7 @@
         address: HostPort,
         collect: Callable[[], LoadReport],
         leader: Callable[[], str],
-        take_report: Callable[[LoadReport], None],
+        handle_report: Callable[[LoadReport], None],
         members: Callable[[], Collection[str]] = frozenset,
     ) -> None:
         self._members = members
@@ -95,9 +95,9 @@
         self._assembly = packing.Assembly()
         self._collect = collect
         self._leader = leader
-        self._take_report = take_report
-        self._takers: dict[type, Callable[..., None]] = {LoadReport: take_report}
-        self._peer_takers: dict[type, Callable[..., None]] = {}  # ... with the sender's address
+        self._handle_report = handle_report
+        self._handlers: dict[type, Callable[..., None]] = {LoadReport: handle_report}
+        self._peer_handlers: dict[type, Callable[..., None]] = {}  # ... with the sender's address
         self._own = f"{address.host}:{address.port}"
         self._peers: dict[Address, _Peer] = {}  # reporters
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -108,18 +108,18 @@
         """Nodes that reported lately."""
         return frozenset(self._peers)
 
-    def take(self, form: type, taker: Callable[..., None]) -> None:
-        """Have messages of a form taken by ``taker``."""
-        self._takers[form] = taker
+    def add_handler(self, form: type, handler: Callable[..., None]) -> None:
+        """Have messages of a form taken by ``handler``."""
+        self._handlers[form] = handler
 
-    def take_from(self, form: type, taker: Callable[..., None]) -> None:
-        """Have messages of a form taken by ``taker``, with their senders' addresses."""
-        self._peer_takers[form] = taker
+    def add_peer_handler(self, form: type, handler: Callable[..., None]) -> None:
+        """Have messages of a form taken by ``handler``, with their senders' addresses."""
+        self._peer_handlers[form] = handler
 
-    def take_slots(self, taker: Callable[[SlotMessage, Address], None]) -> None:
-        """Have messages about slots taken by ``taker``, with their senders' addresses."""
+    def add_slot_handler(self, handler: Callable[[SlotMessage, Address], None]) -> None:
+        """Have messages about slots taken by ``handler``, with their senders' addresses."""
         for form in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
-            self.take_from(form, taker)
+            self.add_peer_handler(form, handler)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
         """Send a message to one node."""
@@ -133,7 +133,7 @@
             report = self._collect()
             leader = self._leader()
             if leader == self._own:
-                self._take_report(report)
+                self._handle_report(report)
             elif leader:
                 report.stamp_ms = elapsed_ms()
                 self._send(msgspec.msgpack.encode(report), HostPort.parse(leader))
@@ -151,7 +151,7 @@
         now_ms = elapsed_ms()
         for address, peer in list(self._peers.items()):
             since_ms = now_ms - peer.heard_ms
-            if since_ms >= PEER_MEMORY_MS:
+            if since_ms >= PEER_EXPIRY_MS:
                 del self._peers[address]
                 continue
             if isinstance(message, Beacon):
@@ -170,7 +170,7 @@
 
     def _call_members(self, beacon: Beacon) -> None:
         now_ms = elapsed_ms()
-        if now_ms - self._beacon_ms > PEER_MEMORY_MS:
+        if now_ms - self._beacon_ms > PEER_EXPIRY_MS:
             self._beacons = 0  # the first one of a term goes to all
         self._beacon_ms = now_ms
         self._beacons += 1
@@ -196,19 +196,19 @@
             except (OSError, ValueError, RecursionError) as error:  # the last: nested deeply
                 LOG.warning("Datagram not read.", cause=error)
                 continue
-            peer_taker = self._peer_takers.get(type(message))
-            if peer_taker is not None:
-                peer_taker(message, peer)
+            peer_handler = self._peer_handlers.get(type(message))
+            if peer_handler is not None:
+                peer_handler(message, peer)
                 continue
             if isinstance(message, LoadReport):
                 self._peers[peer] = _Peer(message.stamp_ms, elapsed_ms())
-            self._take(message)
+            self._handle(message)
 
-    def _take(self, message: Message | None) -> None:
+    def _handle(self, message: Message | None) -> None:
         leader = self._leader()
-        taker = self._takers.get(type(message))
-        if taker is not None:
-            taker(message)
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(message)
         if self._leader() != leader:
             self._leader_changed.raise_()
 
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -60,7 +60,7 @@
 METRICS_PATH = b"/metrics"
 HOUSEKEEPING_S = 0.25
 LEADER_POLL_S = 0.1
-LIFE_BYTES = 6  # of the name of one life of the process
+INCARNATION_BYTES = 6  # of the name of one life of the process
 # A watch that has reported is asked again after a pause: the first one where it
 # told something new, the second one where all was known, as from the leader.
 SERVERS_PAUSES = Pauses(after_new_s=0.25, after_known_s=0.25)
@@ -100,7 +100,7 @@
         self._elector = Elector(
             store,
             settings.node,
-            os.urandom(LIFE_BYTES).hex(),
+            os.urandom(INCARNATION_BYTES).hex(),
             f"{settings.ip}:{settings.peer_port}",
             self._store_lost,
             self._store_regained,
@@ -122,7 +122,7 @@
             self._peers.send,
             self._elector.address,
         )
-        self._peers.take_slots(self._slots.take)
+        self._peers.add_slot_handler(self._slots.take)
         permits = TrialPermits(
             self._other_leader, lambda: self._elector.node_count, self._peers.send
         )
@@ -136,11 +136,11 @@
             lambda: self._standstill.ran_until_ms,
         )
         self._held_requests = HeldRequests(store, self._quarantine, lambda: self.leads)
-        self._peers.take_from(TrialAsk, permits.take_ask)
-        self._peers.take_from(TrialWord, permits.take_word)
-        self._peers.take_from(TrialOver, permits.take_over)
-        self._peers.take_from(CrashesTold, self._quarantine.take_told)
-        self._peers.take_from(CrashesAsk, self._quarantine.take_ask)
+        self._peers.add_peer_handler(TrialAsk, permits.take_ask)
+        self._peers.add_peer_handler(TrialWord, permits.take_word)
+        self._peers.add_peer_handler(TrialOver, permits.take_over)
+        self._peers.add_peer_handler(CrashesTold, self._quarantine.take_told)
+        self._peers.add_peer_handler(CrashesAsk, self._quarantine.take_ask)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
@@ -162,8 +162,8 @@
             self._peers.publish,
         )
         self._snapshots = SnapshotServer(peer_address, self._relay.snapshot)
-        self._peers.take(Told, self._relay.handle_update)
-        self._peers.take(Beacon, self._relay.handle_beacon)
+        self._peers.add_handler(Told, self._relay.handle_update)
+        self._peers.add_handler(Beacon, self._relay.handle_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
             for feed in self._followed(keymap_relay)
@@ -237,7 +237,7 @@
         """Whether this node leads right now."""
         return self._elector.has_authority
 
-    def shut(self) -> None:
+    def abort(self) -> None:
         """End at once, as a kill would, for tests within one process."""
         gevent.killall(self._tasks)
         self._callers.stop()
@@ -436,7 +436,7 @@
             times,
             strength=self._elector.offered_strength,
             leaving=self.directory.leaving_ages_ms(),
-            resting=self.directory.servers.standings.resting(elapsed_ms()),
+            backing_off=self.directory.servers.standings.resting(elapsed_ms()),
             limits=self.directory.own_rate_limits(),
         )
 
@@ -451,7 +451,7 @@
         self.directory.note_leaving(report.leaving, "another-node")
         self.directory.note_rate_limits(report.limits, "another-node")
         if self._leader is not None:
-            self._leader.take_report(report)
+            self._leader.add_report(report)
         if self._elector.should_hand_over(report.strength):
             gevent.spawn(self._elector.hand_over)
 
--- a/ploverhatch/gateway/server_control.py
+++ b/ploverhatch/gateway/server_control.py
@@ -148,7 +148,7 @@
             raise _NoAnswerError(str(error)) from error
         return connection
 
-    def take_break(self) -> bool:
+    def pop_connection_break(self) -> bool:
         """Return whether the server ended a connection since this was asked last.
 
         The next life at the address has the same id, and would take a call for this one.
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -107,7 +107,7 @@
 
     def close(self):
         for gateway in self.gateways:
-            gateway.shut()
+            gateway.abort()
         for upstream in self.upstreams.values():
             upstream.close()
         self.server.close()
@@ -310,7 +310,7 @@
     gevent.spawn(gateway.drain)
     gateway.task.join(timeout=3.0)
     assert gateway.task.ready()
-    gateway.shut()
+    gateway.abort()
     site.store.faults.delay_s = 0.0
     item = PlatformStore(site.server.address).get(kinds.LEASES, kinds.LEADER_LEASE)
     assert keymap_codec.decode_lease(item).released
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -32,8 +32,8 @@
             lambda: self.leader,
             self.reports.append,
         )
-        self.link.take(Told, self.taken.append)
-        self.link.take(Beacon, self.taken.append)
+        self.link.add_handler(Told, self.taken.append)
+        self.link.add_handler(Beacon, self.taken.append)
         self.tasks = [
             gevent.spawn(self.link.report_forever),
             gevent.spawn(self.link.receive_forever),
@@ -107,7 +107,7 @@
     monkeypatch.setattr("ploverhatch.gateway.peer_link.REPORT_S", 60.0)
     leader, node = Node(), Node()
     leader.link._members = lambda: [leader.leader, node.leader]
-    node.link.take(Beacon, lambda beacon: setattr(node, "leader", beacon.address))
+    node.link.add_handler(Beacon, lambda beacon: setattr(node, "leader", beacon.address))
     leader.link.publish(replace(BEACON, address=leader.leader))
     until(lambda: tuple(node.address) in leader.link.peers)  # reports come once a minute
     assert node.leader == leader.leader
@@ -118,7 +118,7 @@
 def test_nodes_that_fell_silent_are_forgotten(pair, monkeypatch):
     leader, follower = pair
     gevent.killall(follower.tasks)
-    monkeypatch.setattr("ploverhatch.gateway.peer_link.PEER_MEMORY_MS", 0.0)
+    monkeypatch.setattr("ploverhatch.gateway.peer_link.PEER_EXPIRY_MS", 0.0)
     gevent.sleep(0.05)
     leader.link.publish(TOLD)
     assert leader.link.peers == frozenset()
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -81,7 +81,7 @@
 def test_without_a_current_leader_a_change_is_known_in_time(pair, fault, monkeypatch):
     site, leader, follower = pair
     if fault == "gone":
-        leader.shut()
+        leader.abort()
     else:
         for name in ("replace", "get", "watch", "list_all"):
             monkeypatch.setattr(leader._store, name, refuse)
@@ -176,7 +176,7 @@
     assert follower.directory.keymaps_trusted
     site.start_upstream("late", "plain")
     until(lambda: "late" in follower.directory.servers.records, 1.0)
-    leader.shut()
+    leader.abort()
     gevent.sleep(1.5 + follower._settings.relay_limit_ms / 1000)
     assert not follower.directory.keymaps_trusted
 
@@ -191,7 +191,7 @@
 
 def test_the_follower_takes_over_when_the_leader_ends(pair):
     site, leader, follower = pair
-    leader.shut()
+    leader.abort()
     until(lambda: follower.leads, 8.0)
 
 
@@ -362,7 +362,7 @@
     monkeypatch.setattr("ploverhatch.sharding.view.VIEW_MS", 1500.0)
     for name in ("create", "replace", "get", "watch", "list_all"):
         monkeypatch.setattr(cut._store, name, refuse)
-    first.shut()
+    first.abort()
     until(lambda: second.leads)
     until(lambda: cut._elector.leader_address == second._elector.address, 3.0)
     until(lambda: cut.directory.keymaps_trusted, 3.0)
--- a/tests/functional/test_server_control.py
+++ b/tests/functional/test_server_control.py
@@ -43,7 +43,7 @@
     control = control_of(RawUpstream(DONE, DONE, DONE))
     assert grant(control) is CallOutcome.DONE
     assert [grant(control, renewal=True) for _ in range(2)] == [CallOutcome.DONE] * 2
-    assert not control.take_break()
+    assert not control.pop_connection_break()
 
 
 def test_nothing_is_renewed_once_the_server_has_ended_a_connection():
@@ -53,8 +53,8 @@
     until_broken(control)
     upstream.answers += [DONE] * 3
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
-    assert control.take_break()
-    assert not control.take_break()
+    assert control.pop_connection_break()
+    assert not control.pop_connection_break()
     assert grant(control, renewal=True) is CallOutcome.DONE
 
 
@@ -64,7 +64,7 @@
     control = control_of(upstream)
     grant(control)
     gevent.sleep(0.6)
-    assert not control.take_break()
+    assert not control.pop_connection_break()
     upstream.answers += [DONE]
     assert grant(control, renewal=True) is CallOutcome.DONE
 
@@ -73,10 +73,10 @@
     upstream = RawUpstream(None)
     control = control_of(upstream)
     assert grant(control) is CallOutcome.NO_ANSWER
-    assert control.take_break()
+    assert control.pop_connection_break()
     upstream.close()
     assert grant(control) is CallOutcome.NO_ANSWER
-    assert control.take_break()
+    assert control.pop_connection_break()
 
 
 def test_a_connection_that_an_answer_closes_is_made_again_at_once():
@@ -84,7 +84,7 @@
     control = control_of(upstream)
     assert grant(control) is CallOutcome.DONE
     assert grant(control, renewal=True) is CallOutcome.DONE
-    assert not control.take_break()
+    assert not control.pop_connection_break()
 
 
 def test_what_an_answer_says_of_its_server_is_heard():
@@ -142,7 +142,7 @@
     gevent.sleep(0.02)
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
     assert later.calls == 0
-    assert control.take_break()
+    assert control.pop_connection_break()
     assert grant(control) is CallOutcome.DONE  # anew, at a higher token
     assert grant(control, renewal=True) is CallOutcome.DONE
 
@@ -177,7 +177,7 @@
         assert grant(control, renewal=True) is CallOutcome.NO_ANSWER
         life.silent = False
         assert grant(control, renewal=True) is CallOutcome.DONE
-        assert not control.take_break()
+        assert not control.pop_connection_break()
     life.end()
     gevent.sleep(0.02)
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -46,7 +46,7 @@
         )
         self.lost = lambda message: False
         self.slots = SharedSlots(zone, self.directory, lambda: cluster.zones, self.send)
-        self.link.take_slots(self.slots.take)
+        self.link.add_slot_handler(self.slots.take)
         self.tasks = [
             gevent.spawn(self.link.receive_forever),
             gevent.spawn(self.slots.expire_forever),
@@ -267,7 +267,7 @@
                 take(asks[0], peer)
                 gevent.spawn_later(0.1, take, message, peer)
 
-    first.link.take_slots(answer_late)
+    first.link.add_slot_handler(answer_late)
     with ExitStack() as held:
         second.slots._choice._passed_ms[first.name] = (
             elapsed_ms() + 9000.0
@@ -314,7 +314,7 @@
 
     take = keeper.slots.take
     asker.lost = is_first_ask
-    keeper.link.take_slots(answer_and_stand_still)
+    keeper.link.add_slot_handler(answer_and_stand_still)
     with asker.slots.hold(wish(holder=record(0))) as slot:
         assert slot is not None
         assert slot.dispatcher == keeper.name
