--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -18,7 +18,7 @@
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.under_way import ProcessEndsError
 from ploverhatch.gateway.answer_record import SentAnswer, unacknowledged_bytes
-from ploverhatch.gateway.departure import CONTINUE, DepartureWatch
+from ploverhatch.gateway.disconnect import CONTINUE, DisconnectWatch
 from ploverhatch.gateway.messages import (
     CallerGoneError,
     CallerReply,
@@ -162,7 +162,7 @@
             LOG.error("Connection failed.", cause=repr(error))
             self._tell_broken(error)
         finally:
-            self.tell_answers()
+            self.record_answers()
             with suppress(OSError):
                 self._socket.close()
 
@@ -179,11 +179,11 @@
     def _tell_broken(self, error: BaseException) -> None:
         """Tell whose answer the end of the connection cost; resting ones may end as they like."""
         if self._request is not None:
-            self.tell_unanswered(repr(error))
+            self.log_unanswered(repr(error))
         elif self._incoming is not None or self._ready:
             LOG.info("Request not read.", whole=len(self._ready), cause=repr(error))
 
-    def tell_unanswered(self, cause: str) -> None:
+    def log_unanswered(self, cause: str) -> None:
         """Tell that the request which is being served, if there is one, gets no whole answer."""
         if self._request is not None:
             name, took_ms = self._request.name, elapsed_ms() - self._request.received_ms
@@ -191,7 +191,7 @@
                 "Request without answer.", request=name, cause=cause, took_ms=round(took_ms)
             )
 
-    def tell_answers(self) -> None:
+    def record_answers(self) -> None:
         """Tell whether the answers of a process that stops were taken."""
         answers, self._answers = self._answers, []
         if answers:
@@ -207,10 +207,10 @@
             caller=self._caller,
         )
         self._served += 1
-        self._server.note_taken(first=self._served == 1)
+        self._server.count_request(first=self._served == 1)
         self._request = request
         try:
-            with DepartureWatch(self._socket, incoming.takes_interim):
+            with DisconnectWatch(self._socket, incoming.takes_interim):
                 reply = self._server.handler(request)
             close = not incoming.keep_alive or self._closes_with_answer()
             self._deliver(reply, incoming.method, close)
--- a/ploverhatch/gateway/caller_server.py
+++ b/ploverhatch/gateway/caller_server.py
@@ -115,14 +115,14 @@
         """Number of requests being served."""
         return sum(connection.busy for connection in self._connections)
 
-    def tell_open(self) -> None:
+    def log_open_requests(self) -> None:
         """Tell what became of the requests whose connections the end of the process closes."""
         for connection in list(self._connections):
-            connection.tell_answers()
-            connection.tell_unanswered("process-ends")
+            connection.record_answers()
+            connection.log_unanswered("process-ends")
         self.answers.flush()
 
-    def note_taken(self, first: bool) -> None:
+    def count_request(self, first: bool) -> None:
         """Count a request, if it came after a planned stop began.
 
         :param first: whether it is the first one of its connection.
--- a/ploverhatch/gateway/departure.py
+++ b/ploverhatch/gateway/disconnect.py
@@ -22,7 +22,7 @@
 _PEEK = stdlib_socket.MSG_PEEK | stdlib_socket.MSG_DONTWAIT
 
 
-class DepartureWatch:
+class DisconnectWatch:
     """Raises :class:`CallerGoneError` into the task when the caller has left.
 
     The callbacks run in the hub while the task waits, and throw into it at once, as
--- a/ploverhatch/gateway/stop_sequence.py
+++ b/ploverhatch/gateway/stop_sequence.py
@@ -75,7 +75,7 @@
             gevent.sleep(POLL_S)
 
     def _tell(self, given_up: int, quiet_ms: float) -> None:
-        self._callers.tell_open()
+        self._callers.log_open_requests()
         counts, answers = self._callers.stop_counts, self._callers.answers
         LOG.info(
             "Stopped.",
--- a/tests/functional/test_caller_server.py
+++ b/tests/functional/test_caller_server.py
@@ -9,7 +9,7 @@
 from gevent import socket
 
 from ploverhatch.gateway.caller_server import CallerServer
-from ploverhatch.gateway.departure import is_reset
+from ploverhatch.gateway.disconnect import is_reset
 from ploverhatch.gateway.messages import CallerGoneError, CallerReply
 from ploverhatch.routing.route_table import ClientLimits
 from ploverhatch.transport.http_connection import HostPort
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -477,16 +477,16 @@
     end that is noted in the last moment of a stop.
     """
     first, second = start_site(site, gateways=2)
-    quarantine, tell_open = first._quarantine, first._callers.tell_open
+    quarantine, log_open_requests = first._quarantine, first._callers.log_open_requests
 
     def note_an_end():
         now_ms = elapsed_ms()
         end = ServerEnd("u9", b"caller", "n", now_ms - 10.0, now_ms)
         quarantine._ledger.note_end(b"a content 16 b.", end)
         quarantine._changed_here(b"a content 16 b.")
-        tell_open()
+        log_open_requests()
 
-    first._callers.tell_open = note_an_end
+    first._callers.log_open_requests = note_an_end
     first.drain()
     assert quarantine._untold == set()  # the process may end now
     until(lambda: second._quarantine.known == 1)
