--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -296,7 +296,7 @@
     def _learn(self, upstream: Upstream, result: AttemptResult, took_ms: float) -> None:
         if result is AttemptResult.WRONG_INSTANCE:
             self._quarantine.ended(upstream)
-            self._directory.server_ended(upstream.record.server_id)
+            self._directory.note_server_replaced(upstream.record.server_id)
         turned_away = result is AttemptResult.LOST and upstream.turned_away(took_ms)
         if turned_away or result in {AttemptResult.DECLINED, AttemptResult.TIMED_OUT}:
             upstream.overloaded()
@@ -453,7 +453,7 @@
             upstream.heard_ms = elapsed_ms()
         notice = self._dialect.notice(call.facts.request_id, record.server_id, answer)
         if notice != NO_NOTICE:
-            self._directory.take_notice(record.server_id, notice, sent_ms)
+            self._directory.apply_notice(record.server_id, notice, sent_ms)
         if notice.backoff_ms:
             upstream.note_backoff()
             self._choice.note_backoff(record.server_id)
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -69,16 +69,16 @@
         dialect: Dialect,
         lease_max_ms: float,
         publish: Callable[[KeyMap], None],
-        tell_granted: Callable[[str, int], None],
-        tell_promoted: Callable[[str, int, Collection[int]], object],
+        publish_granted: Callable[[str, int], None],
+        publish_promoted: Callable[[str, int, Collection[int]], object],
     ) -> None:
         self._store = store
         self._directory = directory
         self._elector = elector
         self._dialect = dialect
         self._publish = publish
-        self._tell_granted = tell_granted
-        self._tell_promoted = tell_promoted
+        self._publish_granted = publish_granted
+        self._publish_promoted = publish_promoted
         self._hold_ms = min(LEASE_MS, lease_max_ms)
         self._core = LeaderCore(LeaseTiming(self._hold_ms))
         self._controls: dict[str, ServerControl] = {}
@@ -152,7 +152,7 @@
                 self._core.invalidate_missing(others_until_ms)
             for keymap in keymaps:
                 self._directory.put_keymap(keymap)
-                known = self._directory.known_settled(keymap.service)
+                known = self._directory.settled_keymap(keymap.service)
                 self._core.inherit(known, renewable_ms, elapsed_ms(), same_incarnations=False)
             for item in items:
                 if item.name not in self._unreadable and keymap_codec.predates_restore(item):
@@ -182,14 +182,14 @@
         keymap = self._directory.keymaps.get(service)
         return keymap is not None and keymap.revision > odd_revision
 
-    def take_report(self, report: LoadReport) -> None:
+    def add_report(self, report: LoadReport) -> None:
         """Take a node's load report."""
         now_ms = elapsed_ms()
         for service, keys in report.keys.items():
             self._loads.setdefault(service, KeyLoad()).add(now_ms, keys)
         for server_id, times_ms in report.answer_ms.items():
             self._answer_times.add(server_id, times_ms, now_ms)
-        self._rests.add(report.resting, now_ms)
+        self._rests.add(report.backing_off, now_ms)
 
     # ---- rounds -------------------------------------------------------------------------
 
@@ -216,7 +216,7 @@
         for service in views:
             tokens = self._core.promoted(service)
             if tokens:
-                self._tell_promoted(service, self._core.keymap(service).revision, tokens)
+                self._publish_promoted(service, self._core.keymap(service).revision, tokens)
         self._execute(actions)
 
     def _forget_gone(self) -> None:
@@ -325,7 +325,7 @@
     def _control(self, holder: Holder) -> ServerControl:
         control = self._controls.get(holder.server_id)
         if control is None:
-            control = ServerControl(holder, self._dialect, self._directory.take_notice)
+            control = ServerControl(holder, self._dialect, self._directory.apply_notice)
             self._controls[holder.server_id] = control
         return control
 
@@ -345,7 +345,7 @@
         outcome = control.grant(call, may_send, action.renewal)
         self._note_break(action.holder)
         if outcome is CallOutcome.DONE and not action.renewal:
-            self._tell_granted(name.service, name.token)
+            self._publish_granted(name.service, name.token)
         if outcome not in {CallOutcome.DONE, CallOutcome.NOT_SENT, CallOutcome.UNPROVEN}:
             LOG.warning(
                 "Grant failed.",
@@ -357,7 +357,7 @@
         self._execute(self._core.grant_ended(action, outcome, elapsed_ms()))
 
     def _note_break(self, holder: Holder) -> None:
-        if self._control(holder).take_break():
+        if self._control(holder).pop_connection_break():
             LOG.info("Server broke a connection.", server=holder.server_id)
             self._core.note_connection_closed(holder)
 
@@ -372,7 +372,7 @@
         self._execute(self._core.release_ended(action, outcome, handover, elapsed_ms()))
 
     def _forget_server(self, action: ForgetServer) -> None:
-        self._directory.server_ended(action.server_id)
+        self._directory.note_server_replaced(action.server_id)
 
     def _resign(self, _action: Resign) -> None:
         LOG.warning("Most servers cannot be reached from here.")
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -4,9 +4,9 @@
 import pytest
 
 from ploverhatch.common.clock import elapsed_ms
-from ploverhatch.gateway.feeds import UNHEARD_MS
+from ploverhatch.gateway.feeds import STALLED_WATCH_MS
 from ploverhatch.gateway.keymap_relay import KeymapRelay
-from ploverhatch.gateway.relay import PROOF_WAIT_PART
+from ploverhatch.gateway.relay import PROOF_WAIT_FRACTION
 from ploverhatch.sharding.keymap import (
     LAST_KEY,
     Holder,
@@ -59,7 +59,7 @@
         until(lambda number=number: f"new-{number}" in follower.directory.servers.records, 1.0)
     told = [call for call in site.store.calls if "watch" in call[3] and call[1] == "servers"]
     assert watches(site, "servers") - before <= 16  # the leader's own, each 0.5 s at least
-    wait_ms = leader._settings.relay_limit_ms * PROOF_WAIT_PART
+    wait_ms = leader._settings.relay_limit_ms * PROOF_WAIT_FRACTION
     assert max(int(call[3]["wait_ms"]) for call in told[-4:]) == int(wait_ms)
 
 
@@ -81,7 +81,7 @@
 def test_without_a_current_leader_a_change_is_known_in_time(pair, fault, monkeypatch):
     site, leader, follower = pair
     if fault == "gone":
-        leader.shut()
+        leader.abort()
     else:
         for name in ("replace", "get", "watch", "list_all"):
             monkeypatch.setattr(leader._store, name, refuse)
@@ -135,7 +135,7 @@
 
     monkeypatch.setattr(leader._store, "watch", dropped)
     leader._store.interrupt()
-    until(lambda: elapsed_ms() - task.view.current_ms >= UNHEARD_MS, 3.0)
+    until(lambda: elapsed_ms() - task.view.current_ms >= STALLED_WATCH_MS, 3.0)
 
 
 def test_in_an_outage_one_task_of_a_node_asks_for_all(pair, monkeypatch):
@@ -176,7 +176,7 @@
     assert follower.directory.keymaps_trusted
     site.start_upstream("late", "plain")
     until(lambda: "late" in follower.directory.servers.records, 1.0)
-    leader.shut()
+    leader.abort()
     gevent.sleep(1.5 + follower._settings.relay_limit_ms / 1000)
     assert not follower.directory.keymaps_trusted
 
@@ -191,7 +191,7 @@
 
 def test_the_follower_takes_over_when_the_leader_ends(pair):
     site, leader, follower = pair
-    leader.shut()
+    leader.abort()
     until(lambda: follower.leads, 8.0)
 
 
@@ -362,7 +362,7 @@
     monkeypatch.setattr("ploverhatch.sharding.view.MAP_TRUST_MS", 1500.0)
     for name in ("create", "replace", "get", "watch", "list_all"):
         monkeypatch.setattr(cut._store, name, refuse)
-    first.shut()
+    first.abort()
     until(lambda: second.leads)
     until(lambda: cut._elector.leader_address == second._elector.address, 3.0)
     until(lambda: cut.directory.keymaps_trusted, 3.0)
