--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -11,7 +11,7 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.messages import CallerRequest
-from ploverhatch.quarantine.record import CrashRecord, ServerEnd
+from ploverhatch.quarantine.record import CrashEvent, CrashRecord
 from tests.functional.test_quarantine import QuarantineBench
 
 ROUNDS = 15
@@ -29,7 +29,7 @@
         self._bench.add_life()
         self._body = b"x" * body_bytes
         for number in range(suspects):
-            end = ServerEnd(f"s{number}", b"c", "n", elapsed_ms() - 30, elapsed_ms())
+            end = CrashEvent(f"s{number}", b"c", "n", elapsed_ms() - 30, elapsed_ms())
             self._bench.quarantine._ledger.merge(b"%d" % number, CrashRecord((end,)))
 
     def ask(self):
--- a/ploverhatch/gateway/call.py
+++ b/ploverhatch/gateway/call.py
@@ -5,7 +5,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.messages import CallerRequest, RequestFacts
 from ploverhatch.gateway.request_log import RequestTrace
-from ploverhatch.quarantine.fingerprint import Fingerprint, fingerprint, hint
+from ploverhatch.quarantine.fingerprint import Fingerprint, fingerprint, short_digest
 from ploverhatch.routing.route_table import Route
 
 
@@ -35,7 +35,7 @@
     def hint(self) -> bytes:
         """What few other requests share; cheap, and made when it is first asked for."""
         if not self._hint:
-            self._hint = hint(self.request.target, self.request.body)
+            self._hint = short_digest(self.request.target, self.request.body)
         return self._hint
 
     @property
--- a/ploverhatch/gateway/held_requests.py
+++ b/ploverhatch/gateway/held_requests.py
@@ -8,7 +8,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.gateway.quarantine import Quarantine
-from ploverhatch.quarantine.messages import ToldRecord
+from ploverhatch.quarantine.messages import CrashRecordEntry
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     ObjectStore,
@@ -62,7 +62,7 @@
         if self._stored is None:
             return
         try:
-            records = msgspec.convert(self._stored.spec, list[ToldRecord])
+            records = msgspec.convert(self._stored.spec, list[CrashRecordEntry])
         except ValueError as error:
             LOG.error("Held requests not understood.", cause=error)
             return
@@ -84,5 +84,5 @@
         self._saved = _names(records)
 
 
-def _names(records: list[ToldRecord]) -> frozenset[tuple[bytes, int]]:
-    return frozenset((record.content, len(record.ends)) for record in records)
+def _names(records: list[CrashRecordEntry]) -> frozenset[tuple[bytes, int]]:
+    return frozenset((record.request_digest, len(record.crashes)) for record in records)
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -26,8 +26,8 @@
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
+    CrashQuery,
+    CrashReport,
     TrialMessage,
 )
 from ploverhatch.relay import packing
@@ -63,7 +63,7 @@
 
 
 SlotMessage = SlotAsk | SlotWord | SlotReturn | HeldAsk | HeldWord
-CrashMessage = CrashesTold | CrashesAsk | TrialMessage
+CrashMessage = CrashReport | CrashQuery | TrialMessage
 Message = LoadReport | Told | Beacon | Fragment | SlotMessage | CrashMessage
 Address = tuple[str, int]
 
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -35,11 +35,11 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import UpstreamPool
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
-    TrialAsk,
-    TrialOver,
-    TrialWord,
+    CrashQuery,
+    CrashReport,
+    TrialFinished,
+    TrialReply,
+    TrialRequest,
 )
 from ploverhatch.relay.messages import Beacon, Told
 from ploverhatch.relay.publisher import Term
@@ -136,11 +136,11 @@
             lambda: self._standstill.ran_until_ms,
         )
         self._held_requests = HeldRequests(store, self._quarantine, lambda: self.leads)
-        self._peers.take_from(TrialAsk, permits.take_ask)
-        self._peers.take_from(TrialWord, permits.take_word)
-        self._peers.take_from(TrialOver, permits.take_over)
-        self._peers.take_from(CrashesTold, self._quarantine.take_told)
-        self._peers.take_from(CrashesAsk, self._quarantine.take_ask)
+        self._peers.take_from(TrialRequest, permits.take_ask)
+        self._peers.take_from(TrialReply, permits.take_word)
+        self._peers.take_from(TrialFinished, permits.take_over)
+        self._peers.take_from(CrashReport, self._quarantine.take_told)
+        self._peers.take_from(CrashQuery, self._quarantine.take_ask)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -24,15 +24,15 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import Upstream
 from ploverhatch.quarantine import messages, saved
-from ploverhatch.quarantine.fingerprint import Fingerprint, shown
+from ploverhatch.quarantine.fingerprint import Fingerprint, format_digest
 from ploverhatch.quarantine.first_copies import FirstCopies
 from ploverhatch.quarantine.ledger import CrashLedger
-from ploverhatch.quarantine.messages import CrashesAsk, CrashesTold, ToldRecord
-from ploverhatch.quarantine.record import ServerEnd
+from ploverhatch.quarantine.messages import CrashQuery, CrashRecordEntry, CrashReport
+from ploverhatch.quarantine.record import CrashEvent
 
 LOG = PartLogger("quarantine")
 
-Send = Callable[[CrashesTold | CrashesAsk, Address], None]
+Send = Callable[[CrashReport | CrashQuery, Address], None]
 
 OPEN_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
 MOST_OPEN = 16  # of one server
@@ -136,7 +136,7 @@
     @property
     def held(self) -> int:
         """How many contents are held for some caller."""
-        return self._ledger.held(elapsed_ms())
+        return self._ledger.quarantined_count(elapsed_ms())
 
     @property
     def known(self) -> int:
@@ -176,7 +176,7 @@
 
     def _await_first(self, call: Call, until_ms: float) -> None:
         """Wait for a moment while another copy of what nobody was answered yet goes ahead."""
-        while (wait_ms := self._first.ask(call.hint, call, elapsed_ms())) > 0:
+        while (wait_ms := self._first.admit(call.hint, call, elapsed_ms())) > 0:
             left_ms = min(wait_ms, until_ms - elapsed_ms())
             if left_ms <= 0:
                 return
@@ -198,11 +198,11 @@
         """
         after_ms = 0.0
         while self._knows(call):
-            hold = self._ledger.hold(call.fingerprint)
+            hold = self._ledger.decide(call.fingerprint)
             left_s = (hold.until_ms - elapsed_ms()) / 1000 if hold else 0.0
             if left_s > 0:
                 raise self._refusal(results.QUARANTINED, call, may_have_run, left_s)
-            if hold is None and not self._ledger.suspects(call.fingerprint.content):
+            if hold is None and not self._ledger.is_suspect(call.fingerprint.request_digest):
                 return 0.0
             if self._permits.has(call):
                 return 0.0
@@ -217,32 +217,32 @@
     def _refusal(
         self, result: Result, call: Call, may_have_run: bool, after_s: float
     ) -> RefusedError:
-        hold = self._ledger.hold(call.fingerprint)
-        record = self._ledger.get(call.fingerprint.content)
-        ends = hold.ends if hold else record.unanswered if record else ()
+        hold = self._ledger.decide(call.fingerprint)
+        record = self._ledger.get(call.fingerprint.request_digest)
+        ends = hold.crashes if hold else record.crashes_since_any_answer if record else ()
         reason = self._reason(ends) if ends else ""
         if may_have_run:
             return RefusedError(results.ANSWER_LOST, reason)
         return RefusedError(result, reason, after_s)
 
-    def _reason(self, ends: Sequence[ServerEnd]) -> str:
+    def _reason(self, ends: Sequence[CrashEvent]) -> str:
         last = ends[-1]
-        age_ms = elapsed_ms() - last.ended_ms
+        age_ms = elapsed_ms() - last.crashed_ms
         return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
     def over(self, call: Call) -> None:
         """A request has ended, so that another copy may go on trial."""
-        if self._first.over(call.hint, call):
+        if self._first.finish(call.hint, call):
             self._permits.changed.raise_()
         self._permits.give_back(call)
 
     def answered(self, call: Call) -> None:
         """A server has answered a request: it has not ended under it."""
-        self._first.answered(call.hint, elapsed_ms())
-        if not self._ledger.may_know(call.hint):
+        self._first.note_answer(call.hint, elapsed_ms())
+        if not self._ledger.may_contain(call.hint):
             return
         if self._ledger.note_answer(call.fingerprint, elapsed_ms()):
-            self._changed_here(call.fingerprint.content)
+            self._changed_here(call.fingerprint.request_digest)
 
     def lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A server broke a request's connection before its answer: look whether it has ended.
@@ -313,27 +313,27 @@
             after_ms=round(ended_ms - copy.sent_ms),
         )
         content, caller = copy.fingerprint
-        end = ServerEnd(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
-        if self._ledger.note_end(content, end):
+        end = CrashEvent(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
+        if self._ledger.note_crash(content, end):
             self._changed_here(content)
 
     # ---- between nodes ------------------------------------------------------------------
 
     def sending(self, call: Call, server_id: str) -> None:
         """Tell of a request that is sent though servers are known to have ended under it."""
-        record = self._ledger.get(call.fingerprint.content) if self._knows(call) else None
-        if record is not None and record.unanswered:
+        record = self._ledger.get(call.fingerprint.request_digest) if self._knows(call) else None
+        if record is not None and record.crashes_since_any_answer:
             LOG.info(
                 "Sent under suspicion.",
                 request=call.trace.request_id,
                 content=call.fingerprint,
                 server=server_id,
-                ends=len(record.unanswered),
+                ends=len(record.crashes_since_any_answer),
             )
 
     def _knows(self, call: Call) -> bool:
         """Whether anything may be known of a request; cheap, as all requests ask."""
-        return self._ledger.may_know(call.hint)
+        return self._ledger.may_contain(call.hint)
 
     def _changed_here(self, content: bytes) -> None:
         self._log_hold(content)
@@ -362,15 +362,15 @@
             for message in told:
                 self._send(message, address)
 
-    def _told(self, contents: Iterable[bytes]) -> list[CrashesTold]:
+    def _told(self, contents: Iterable[bytes]) -> list[CrashReport]:
         now_ms = elapsed_ms()
-        records: list[ToldRecord] = []
+        records: list[CrashRecordEntry] = []
         for content in contents:
             record = self._ledger.get(content)
             if record is not None:
                 records.append(messages.encode(content, record, now_ms))
         starts = range(0, len(records), MOST_TOLD)
-        return [CrashesTold(records[start : start + MOST_TOLD]) for start in starts]
+        return [CrashReport(records[start : start + MOST_TOLD]) for start in starts]
 
     def _affordable(self, members: list[Address], each: int) -> list[Address]:
         """Return the nodes to tell; some of them, where too much was told lately.
@@ -386,54 +386,58 @@
         self._may_send -= len(chosen) * each
         return chosen
 
-    def take_told(self, told: CrashesTold, _peer: Address) -> None:
+    def take_told(self, told: CrashReport, _peer: Address) -> None:
         """Take what another node knows."""
         now_ms = elapsed_ms()
         for record in told.records:
             if not self._merge(record, now_ms):
                 continue
-            self._log_hold(record.content)
+            self._log_hold(record.request_digest)
             self._permits.changed.raise_()
             # Nodes hear of new ones seconds later; these report to the leader by then.
             if self._leads():
-                self._tell_soon(record.content)
-        if told.whole:
+                self._tell_soon(record.request_digest)
+        if told.is_complete:
             self.settle()
 
-    def _merge(self, told: ToldRecord, now_ms: float) -> bool:
+    def _merge(self, told: CrashRecordEntry, now_ms: float) -> bool:
         """Take one record; return whether it told something new."""
-        before = self._ledger.get(told.content)
+        before = self._ledger.get(told.request_digest)
         heard = messages.decode(told, now_ms, self._ran_until_ms())
-        if not self._ledger.merge(told.content, heard):
+        if not self._ledger.merge(told.request_digest, heard):
             return False
-        after = self._ledger.get(told.content)
-        if after is not None and after.unanswered and not (before and before.unanswered):
-            last = after.unanswered[-1]
+        after = self._ledger.get(told.request_digest)
+        if (
+            after is not None
+            and after.crashes_since_any_answer
+            and not (before and before.crashes_since_any_answer)
+        ):
+            last = after.crashes_since_any_answer[-1]
             LOG.info(
                 "Heard of an end under a request.",
-                content=shown(told.content),
+                content=format_digest(told.request_digest),
                 server=last.server_id,
                 witness=last.witness,
-                ended_ms_ago=round(now_ms - last.ended_ms),
+                ended_ms_ago=round(now_ms - last.crashed_ms),
             )
         return True
 
-    def held_records(self) -> list[ToldRecord]:
+    def held_records(self) -> list[CrashRecordEntry]:
         """Return what is held, as it is saved."""
-        return saved.held_records(self._ledger, elapsed_ms())
+        return saved.quarantined_records(self._ledger, elapsed_ms())
 
-    def load(self, records: list[ToldRecord]) -> None:
+    def load(self, records: list[CrashRecordEntry]) -> None:
         """Take what was saved before, and tell the other nodes."""
         for content in saved.load(self._ledger, records, elapsed_ms()):
             self._changed_here(content)
 
-    def take_ask(self, ask: CrashesAsk, peer: Address) -> None:
+    def take_ask(self, ask: CrashQuery, peer: Address) -> None:
         """Tell all that is known to a node that knows something else."""
-        same = self._ledger.is_empty or ask.summary == self._ledger.summary
+        same = self._ledger.is_empty or ask.checksum == self._ledger.checksum
         if same and not ask.just_started:
             return
-        told = self._told(content for content, _ in self._ledger) or [CrashesTold([])]
-        told[-1] = CrashesTold(told[-1].records, whole=True)
+        told = self._told(content for content, _ in self._ledger) or [CrashReport([])]
+        told[-1] = CrashReport(told[-1].records, is_complete=True)
         for address in self._affordable([peer], len(told)):
             for message in told:
                 self._send(message, address)
@@ -449,13 +453,13 @@
             self._forget_logged()
             members = list(self._members())
             if members:
-                self._send(CrashesAsk(self._ledger.summary), random.choice(members))
+                self._send(CrashQuery(self._ledger.checksum), random.choice(members))
 
     def _ask_first(self) -> None:
         self._await_members(MEMBERS_S)
         members = list(self._members())
         for address in random.sample(members, min(FIRST_ASKED, len(members))):
-            self._send(CrashesAsk(self._ledger.summary, just_started=True), address)
+            self._send(CrashQuery(self._ledger.checksum, just_started=True), address)
         if members:
             self._settled.wait(FIRST_ANSWER_S)
         self.settle()
@@ -464,21 +468,22 @@
 
     def _log_hold(self, content: bytes) -> None:
         """Tell when a request is held, for longer than before, or no more."""
-        holds = self._ledger.holds(content)
+        holds = self._ledger.decisions(content)
         if not holds:
             if self._logged.pop(content, None):
-                LOG.info("Request is let through again.", content=shown(content))
+                LOG.info("Request is let through again.", content=format_digest(content))
             return
-        hold = max(holds, key=lambda hold: len(hold.ends))
-        if len(hold.ends) <= self._logged.get(content, 0):
+        hold = max(holds, key=lambda hold: len(hold.crashes))
+        if len(hold.crashes) <= self._logged.get(content, 0):
             return
-        self._logged[content] = len(hold.ends)
+        self._logged[content] = len(hold.crashes)
         now_ms = elapsed_ms()
         LOG.warning(
             "Request is kept from servers.",
-            content=shown(content),
+            content=format_digest(content),
             ends="|".join(
-                f"{end.server_id}@{end.witness}:{now_ms - end.ended_ms:.0f}" for end in hold.ends
+                f"{end.server_id}@{end.witness}:{now_ms - end.crashed_ms:.0f}"
+                for end in hold.crashes
             ),
             for_s=round((hold.until_ms - now_ms) / 1000),
         )
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -18,7 +18,7 @@
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
 from ploverhatch.gateway.call import Call
-from ploverhatch.quarantine.messages import TrialAsk, TrialMessage, TrialOver, TrialWord
+from ploverhatch.quarantine.messages import TrialFinished, TrialMessage, TrialReply, TrialRequest
 from ploverhatch.quarantine.trials import PERMIT_MS, Trials
 
 LOG = PartLogger("quarantine")
@@ -80,7 +80,7 @@
 
     def has(self, call: Call) -> bool:
         """Whether a request has its permit for long enough to be sent."""
-        claim = self._claims.get(call.fingerprint.content)
+        claim = self._claims.get(call.fingerprint.request_digest)
         if claim is None or claim.call is not call or not claim.granted:
             return False
         return claim.until_ms - elapsed_ms() > PERMIT_MS / 2
@@ -90,7 +90,7 @@
 
         One that has the permit already gets it for the whole time again.
         """
-        content = call.fingerprint.content
+        content = call.fingerprint.request_digest
         now_ms = elapsed_ms()
         claim = self._claims.get(content)
         number = next(self._numbers)
@@ -118,9 +118,9 @@
                 self.changed.raise_()
 
     def _end(self, content: bytes, claim: _Claim) -> None:
-        self._kept.end(content, claim.number)
+        self._kept.release(content, claim.number)
         if claim.leader is not None:
-            self._send(TrialOver(content, claim.number), claim.leader)
+            self._send(TrialFinished(content, claim.number), claim.leader)
 
     def expire(self) -> None:
         """Forget what is over."""
@@ -134,15 +134,15 @@
         leader = self._leader()
         if leader is not None and elapsed_ms() >= self._passed_ms:
             claim.leader = leader
-            after_ms = self._ask_node(leader, TrialAsk(content, claim.number))
+            after_ms = self._ask_node(leader, TrialRequest(content, claim.number))
             if after_ms is not None:
                 return after_ms
             LOG.info("Leader says nothing of trials.", node=f"{leader[0]}:{leader[1]}")
             self._passed_ms = elapsed_ms() + PASSED_MS
         claim.leader = None
-        return self._kept.ask(content, claim.number, elapsed_ms())
+        return self._kept.acquire(content, claim.number, elapsed_ms())
 
-    def _ask_node(self, node: Node, ask: TrialAsk) -> float | None:
+    def _ask_node(self, node: Node, ask: TrialRequest) -> float | None:
         word = self._words[ask.number] = AsyncResult()
         try:
             waits = overslept = 0
@@ -163,19 +163,19 @@
             del self._words[ask.number]
         return None
 
-    def take_ask(self, ask: TrialAsk, peer: Node) -> None:
+    def take_ask(self, ask: TrialRequest, peer: Node) -> None:
         """Answer another node, to which this one leads."""
-        after_ms = self._kept.ask(ask.content, (peer, ask.number), elapsed_ms())
-        self._send(TrialWord(ask.number, after_ms), peer)
+        after_ms = self._kept.acquire(ask.request_digest, (peer, ask.number), elapsed_ms())
+        self._send(TrialReply(ask.number, after_ms), peer)
 
-    def take_word(self, word: TrialWord, peer: Node) -> None:
+    def take_word(self, word: TrialReply, peer: Node) -> None:
         """Take the leader's answer; one that comes too late tells that the leader is there."""
         if peer == self._leader():
             self._passed_ms = -math.inf
         waits = self._words.get(word.number)
         if waits is not None:
-            waits.set(word.after_ms)
+            waits.set(word.retry_after_ms)
 
-    def take_over(self, over: TrialOver, peer: Node) -> None:
+    def take_over(self, over: TrialFinished, peer: Node) -> None:
         """Take a permit back."""
-        self._kept.end(over.content, (peer, over.number))
+        self._kept.release(over.request_digest, (peer, over.number))
--- a/ploverhatch/node/crash_guard.py
+++ b/ploverhatch/node/crash_guard.py
@@ -11,9 +11,9 @@
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.results import RefusedError, Result
 from ploverhatch.common.signal import Signal
-from ploverhatch.quarantine.fingerprint import Fingerprint, fingerprint, hint
+from ploverhatch.quarantine.fingerprint import Fingerprint, fingerprint, short_digest
 from ploverhatch.quarantine.ledger import CrashLedger
-from ploverhatch.quarantine.record import ServerEnd
+from ploverhatch.quarantine.record import CrashEvent
 from ploverhatch.quarantine.trials import Trials
 
 LOG = PartLogger("quarantine")
@@ -37,7 +37,7 @@
     @property
     def hint(self) -> bytes:
         """What few other requests share."""
-        return hint(self._target, self._body)
+        return short_digest(self._target, self._body)
 
     @property
     def fingerprint(self) -> Fingerprint:
@@ -77,26 +77,26 @@
 
         :raises RefusedError: when it is held.
         """
-        if not self._ledger.may_know(request.hint):
+        if not self._ledger.may_contain(request.hint):
             return True
-        content, now_ms = request.fingerprint.content, elapsed_ms()
-        hold = self._ledger.hold(request.fingerprint)
+        content, now_ms = request.fingerprint.request_digest, elapsed_ms()
+        hold = self._ledger.decide(request.fingerprint)
         left_s = (hold.until_ms - now_ms) / 1000 if hold else 0.0
         if left_s > 0:
             raise _refusal(results.QUARANTINED, may_have_run, left_s)
-        if hold is None and not self._ledger.suspects(content):
+        if hold is None and not self._ledger.is_suspect(content):
             return True
-        return self._trials.ask(content, request, now_ms) == 0.0
+        return self._trials.acquire(content, request, now_ms) == 0.0
 
     def over(self, request: GuardedRequest) -> None:
         """A request has ended, so that another copy may be sent."""
         if len(self._trials):
-            self._trials.end(request.fingerprint.content, request)
+            self._trials.release(request.fingerprint.request_digest, request)
             self._changed.raise_()
 
     def answered(self, request: GuardedRequest) -> None:
         """A server has answered a request."""
-        if self._ledger.may_know(request.hint):
+        if self._ledger.may_contain(request.hint):
             self._ledger.note_answer(request.fingerprint, elapsed_ms())
             self._changed.raise_()
 
@@ -106,8 +106,10 @@
         self._ledger.expire(now_ms)
         LOG.warning("Server ended under a request.", content=request.fingerprint, server=server)
         # Servers keep their names over lives; the time tells these apart.
-        end = ServerEnd(f"{server}@{now_ms:.0f}", request.fingerprint.caller, "", sent_ms, now_ms)
-        self._ledger.note_end(request.fingerprint.content, end)
+        end = CrashEvent(
+            f"{server}@{now_ms:.0f}", request.fingerprint.caller_digest, "", sent_ms, now_ms
+        )
+        self._ledger.note_crash(request.fingerprint.request_digest, end)
         self._changed.raise_()
 
 
--- a/ploverhatch/quarantine/ledger.py
+++ b/ploverhatch/quarantine/ledger.py
@@ -8,25 +8,27 @@
 from dataclasses import replace
 from zlib import crc32
 
-from ploverhatch.quarantine.fingerprint import HINT_BYTES, Fingerprint
+from ploverhatch.quarantine.fingerprint import SHORT_DIGEST_BYTES, Fingerprint
 from ploverhatch.quarantine.record import (
-    ENDS_TO_HOLD,
+    CRASHES_TO_QUARANTINE,
+    CrashEvent,
     CrashRecord,
-    Hold,
-    ServerEnd,
-    hold_ms,
-    one_after_the_other,
+    QuarantineDecision,
+    quarantine_ms,
+    successive,
 )
 
-MOST_CONTENTS = 512
-CLEARLY_LONGER = 3.0  # times: a request that ends servers does so soon, others are there by chance
+MAX_RECORDS = 512
+MUCH_LONGER_FACTOR = (
+    3.0  # times: a request that ends servers does so soon, others are there by chance
+)
 # Work of so long is under way at many an end that others bring about, each of them once.
-LONG_WORK_MS = 200.0
+LONG_DURATION_MS = 200.0
 # Where others may explain the ends of a request, one more of them speaks against it all the
 # same: each further one costs a server, and few are allowed.
-ENDS_WHERE_UNCLEAR = ENDS_TO_HOLD + 1
-LEAST_SHARED = 2  # ends: what two contents show at a single one is chance
-UNCLEAR_HOLD_MS = 3000.0  # after three ends; four times as long after each further one
+CRASHES_IF_AMBIGUOUS = CRASHES_TO_QUARANTINE + 1
+MIN_SHARED_CRASHES = 2  # ends: what two contents show at a single one is chance
+AMBIGUOUS_QUARANTINE_MS = 3000.0  # after three ends; four times as long after each further one
 
 
 class CrashLedger:
@@ -42,15 +44,15 @@
         """Whether nothing is known, so that no request needs to be looked up."""
         return not self._records
 
-    def may_know(self, hint: bytes) -> bool:
+    def may_contain(self, hint: bytes) -> bool:
         """Whether anything may be known of a request with that hint."""
         return hint in self._hints
 
     @property
-    def summary(self) -> int:
+    def checksum(self) -> int:
         """A number that is the same for nodes that know the same."""
         if self._summary is None:
-            self._summary = sum(map(_summary, self._records.items())) & 0xFFFFFFFF
+            self._summary = sum(map(_record_checksum, self._records.items())) & 0xFFFFFFFF
         return self._summary
 
     def __len__(self) -> int:
@@ -63,7 +65,7 @@
         """Return what is known of a content."""
         return self._records.get(content)
 
-    def hold(self, request: Fingerprint) -> Hold | None:
+    def decide(self, request: Fingerprint) -> QuarantineDecision | None:
         """Return the hold of a request, which may be over; ``None`` when there is none.
 
         A request of the same key as one that ends servers, or one that works for long, may
@@ -74,106 +76,109 @@
         for a short time, after which a trial tells. So is what two ends hold by its many copies,
         where another content was at both.
         """
-        record = self._records.get(request.content)
-        hold = record.hold(request.caller) if record else None
+        record = self._records.get(request.request_digest)
+        hold = record.decide(request.caller_digest) if record else None
         if record is None or hold is None:
             return None
-        if hold.by_copies and record.mean_ms >= LONG_WORK_MS:
+        if hold.by_many_callers and record.mean_duration_ms >= LONG_DURATION_MS:
             return None
-        if any(end.frozen for end in hold.ends):
+        if any(end.frozen for end in hold.crashes):
             # A server may have frozen by itself, and how long a copy was there tells nothing.
-            unclear_ms = UNCLEAR_HOLD_MS * 4.0**hold.over
-            return replace(hold, until_ms=min(hold.until_ms, hold.last.ended_ms + unclear_ms))
-        servers = {end.server_id for end in hold.ends}
-        explained = self._ends_beside(request.content, record, hold)
-        explained |= self._ends_of_earlier_suspects(request.content, hold)
+            unclear_ms = AMBIGUOUS_QUARANTINE_MS * 4.0**hold.excess_crashes
+            return replace(hold, until_ms=min(hold.until_ms, hold.last.crashed_ms + unclear_ms))
+        servers = {end.server_id for end in hold.crashes}
+        explained = self._servers_with_recent_arrivals(request.request_digest, record, hold)
+        explained |= self._servers_of_earlier_suspects(request.request_digest, hold)
         unclear = False
         for content, other in self._records.items():
-            if content == request.content or not other.comes_back:
+            if content == request.request_digest or not other.has_successive_crashes:
                 continue
-            theirs = {end.server_id for end in other.standing}
-            sooner = _came_sooner(other, record)
-            if sooner or (servers < theirs and other.holds_somebody):
+            theirs = {end.server_id for end in other.uncleared_crashes}
+            sooner = _arrived_later(other, record)
+            if sooner or (servers < theirs and other.has_decision):
                 explained |= theirs
-            as_often = servers == theirs and other.holds_somebody
-            unclear = unclear or as_often or (hold.by_copies and servers <= theirs)
-        left = tuple(end for end in hold.ends if end.server_id not in explained)
-        over = hold.over - (len(hold.ends) - len(left))
+            as_often = servers == theirs and other.has_decision
+            unclear = unclear or as_often or (hold.by_many_callers and servers <= theirs)
+        left = tuple(end for end in hold.crashes if end.server_id not in explained)
+        over = hold.excess_crashes - (len(hold.crashes) - len(left))
         if over < 0:
             return None
-        until_ms = left[-1].ended_ms + hold_ms(over)
+        until_ms = left[-1].crashed_ms + quarantine_ms(over)
         if unclear:
-            until_ms = min(until_ms, left[-1].ended_ms + UNCLEAR_HOLD_MS * 4.0**over)
-        return replace(hold, until_ms=until_ms, ends=left, over=over)
+            until_ms = min(until_ms, left[-1].crashed_ms + AMBIGUOUS_QUARANTINE_MS * 4.0**over)
+        return replace(hold, until_ms=until_ms, crashes=left, excess_crashes=over)
 
-    def _ends_beside(self, content: bytes, record: CrashRecord, hold: Hold) -> set[str]:
+    def _servers_with_recent_arrivals(
+        self, content: bytes, record: CrashRecord, hold: QuarantineDecision
+    ) -> set[str]:
         """Return the servers that may have ended under others that had just come, each once.
 
         Only for work of so long that it is there by chance. Requests beside one that ends
         its servers late look the same: after one more end they speak for it no more.
         """
-        if record.mean_ms < LONG_WORK_MS or len(hold.ends) >= ENDS_WHERE_UNCLEAR:
+        if record.mean_duration_ms < LONG_DURATION_MS or len(hold.crashes) >= CRASHES_IF_AMBIGUOUS:
             return set()
-        most_ms = {end.server_id: end.took_ms / CLEARLY_LONGER for end in hold.ends}
+        most_ms = {end.server_id: end.duration_ms / MUCH_LONGER_FACTOR for end in hold.crashes}
         return {
             end.server_id
             for other, known in self._records.items()
             if other != content
-            for end in known.ends
-            if end.took_ms <= most_ms.get(end.server_id, -1.0)
+            for end in known.crashes
+            if end.duration_ms <= most_ms.get(end.server_id, -1.0)
         }
 
-    def _ends_of_earlier_suspects(self, content: bytes, hold: Hold) -> set[str]:
+    def _servers_of_earlier_suspects(self, content: bytes, hold: QuarantineDecision) -> set[str]:
         """Return the servers that ended under others which were held before this one.
 
         Only where something else was under way at the remaining ends too: one that was alone
         at an end is the cause of that one, and so of all. And not from one more end on, as of
         two that end servers both one may be held first.
         """
-        if len(hold.ends) >= ENDS_WHERE_UNCLEAR:
+        if len(hold.crashes) >= CRASHES_IF_AMBIGUOUS:
             return set()
         others = {known: item for known, item in self._records.items() if known != content}
-        suspect_ms = hold.ends[:ENDS_TO_HOLD][-1].ended_ms
+        suspect_ms = hold.crashes[:CRASHES_TO_QUARANTINE][-1].crashed_ms
         earlier = {
             end.server_id
             for other in others.values()
-            if other.holds_somebody and other.suspect_ms < suspect_ms
-            for end in other.standing
+            if other.has_decision and other.threshold_reached_ms < suspect_ms
+            for end in other.uncleared_crashes
         }
-        accompanied = {end.server_id for other in others.values() for end in other.ends}
-        left = {end.server_id for end in hold.ends} - earlier
+        accompanied = {end.server_id for other in others.values() for end in other.crashes}
+        left = {end.server_id for end in hold.crashes} - earlier
         return earlier if left <= accompanied else set()
 
-    def suspects(self, content: bytes) -> bool:
+    def is_suspect(self, content: bytes) -> bool:
         """Whether servers ended under a content since anybody was answered."""
         record = self._records.get(content)
-        return record is not None and bool(record.unanswered)
+        return record is not None and bool(record.crashes_since_any_answer)
 
-    def holds(self, content: bytes) -> list[Hold]:
+    def decisions(self, content: bytes) -> list[QuarantineDecision]:
         """Return the holds of a content, by the callers under whose requests servers ended."""
         record = self._records.get(content)
-        callers = sorted({end.caller for end in record.ends}) if record else []
-        found = [self.hold(Fingerprint(content, caller)) for caller in callers]
+        callers = sorted({end.caller for end in record.crashes}) if record else []
+        found = [self.decide(Fingerprint(content, caller)) for caller in callers]
         return [hold for hold in found if hold is not None]
 
-    def held(self, now_ms: float) -> int:
+    def quarantined_count(self, now_ms: float) -> int:
         """Return how many contents are held for some caller."""
         return sum(
-            any(now_ms < hold.until_ms for hold in self.holds(content)) for content in self._records
+            any(now_ms < hold.until_ms for hold in self.decisions(content))
+            for content in self._records
         )
 
     # ---- changes: each returns whether it told something new ---------------------------------
 
-    def note_end(self, content: bytes, end: ServerEnd) -> bool:
+    def note_crash(self, content: bytes, end: CrashEvent) -> bool:
         """A server has ended under a request."""
         return self.merge(content, CrashRecord((end,)))
 
     def note_answer(self, request: Fingerprint, now_ms: float) -> bool:
         """A server has answered a request whose content is known."""
-        record = self._records.get(request.content)
-        if record is None or not record.tells_of(request.caller):
+        record = self._records.get(request.request_digest)
+        if record is None or not record.is_changed_by_answer(request.caller_digest):
             return False
-        self._put(request.content, record.with_answer(request.caller, now_ms))
+        self._put(request.request_digest, record.with_answer(request.caller_digest, now_ms))
         return True
 
     def merge(self, content: bytes, told: CrashRecord) -> bool:
@@ -193,46 +198,50 @@
 
     def _put(self, content: bytes, record: CrashRecord) -> None:
         if content not in self._records:
-            hint = content[:HINT_BYTES]
+            hint = content[:SHORT_DIGEST_BYTES]
             self._hints[hint] = self._hints.get(hint, 0) + 1
         self._records[content] = record
         self._summary = None
-        if len(self._records) > MOST_CONTENTS:
+        if len(self._records) > MAX_RECORDS:
             self._drop(min(self._records, key=self._weight))
 
     def _drop(self, content: bytes) -> None:
         del self._records[content]
         self._summary = None
-        hint = content[:HINT_BYTES]
+        hint = content[:SHORT_DIGEST_BYTES]
         self._hints[hint] -= 1
         if not self._hints[hint]:
             del self._hints[hint]
 
     def _weight(self, content: bytes) -> tuple[int, float]:
         record = self._records[content]
-        return len(one_after_the_other(record.standing)), record.newest_ms
+        return len(successive(record.uncleared_crashes)), record.newest_ms
 
 
-def _came_sooner(other: CrashRecord, record: CrashRecord) -> bool:
+def _arrived_later(other: CrashRecord, record: CrashRecord) -> bool:
     """Whether another content had been under way for a far shorter time, on average.
 
     Over all ends of each, or over those that they share: one that ends servers waits in a
     queue at times, and one that is there by chance had just come at some of its other ends.
     """
-    if other.mean_ms * CLEARLY_LONGER <= record.mean_ms:
+    if other.mean_duration_ms * MUCH_LONGER_FACTOR <= record.mean_duration_ms:
         return True
-    theirs = {end.server_id: end.took_ms for end in other.standing}
-    shared = [(theirs[e.server_id], e.took_ms) for e in record.standing if e.server_id in theirs]
-    if len(shared) < LEAST_SHARED:
+    theirs = {end.server_id: end.duration_ms for end in other.uncleared_crashes}
+    shared = [
+        (theirs[e.server_id], e.duration_ms)
+        for e in record.uncleared_crashes
+        if e.server_id in theirs
+    ]
+    if len(shared) < MIN_SHARED_CRASHES:
         return False
     others_ms, own_ms = (sum(times) for times in zip(*shared, strict=True))
-    return others_ms * CLEARLY_LONGER <= own_ms
+    return others_ms * MUCH_LONGER_FACTOR <= own_ms
 
 
-def _summary(item: tuple[bytes, CrashRecord]) -> int:
+def _record_checksum(item: tuple[bytes, CrashRecord]) -> int:
     """Return a number for what is known of a content, but for its times, which differ."""
     content, record = item
     servers = sorted(
-        b"%b%b%d" % (end.server_id.encode(), end.caller, end.frozen) for end in record.ends
+        b"%b%b%d" % (end.server_id.encode(), end.caller, end.frozen) for end in record.crashes
     )
     return crc32(b"".join([content, *servers, *sorted(record.answered_ms)]))
--- a/ploverhatch/quarantine/messages.py
+++ b/ploverhatch/quarantine/messages.py
@@ -7,95 +7,95 @@
 
 import msgspec
 
-from ploverhatch.quarantine.record import CrashRecord, ServerEnd
+from ploverhatch.quarantine.record import CrashEvent, CrashRecord
 
 NEVER_MS = -1.0  # an age
 
 
-class ToldEnd(msgspec.Struct, array_like=True, frozen=True):
+class CrashEventEntry(msgspec.Struct, array_like=True, frozen=True):
     """One server's end under a request."""
 
     server: str
     caller: bytes
     witness: str
     sent_age_ms: float
-    ended_age_ms: float
+    crashed_age_ms: float
     frozen: bool = False
 
 
-class ToldRecord(msgspec.Struct, array_like=True, frozen=True):
+class CrashRecordEntry(msgspec.Struct, array_like=True, frozen=True):
     """All that the sender knows of a content."""
 
-    content: bytes
-    ends: list[ToldEnd]
+    request_digest: bytes
+    crashes: list[CrashEventEntry]
     answered_age_ms: dict[bytes, float] = {}
     last_answer_age_ms: float = NEVER_MS
 
 
-class CrashesTold(msgspec.Struct, array_like=True, frozen=True, tag=8):
+class CrashReport(msgspec.Struct, array_like=True, frozen=True, tag=8):
     """Records of some contents; ``whole`` where, with those before, they are all."""
 
-    records: list[ToldRecord]
-    whole: bool = False
+    records: list[CrashRecordEntry]
+    is_complete: bool = False
 
 
-class CrashesAsk(msgspec.Struct, array_like=True, frozen=True, tag=9):
+class CrashQuery(msgspec.Struct, array_like=True, frozen=True, tag=9):
     """Asks a node for its records, unless they come to the same ``summary``.
 
     One that has just started is answered in any case, so that it knows that it knows all.
     """
 
-    summary: int
+    checksum: int
     just_started: bool = False
 
 
-class TrialAsk(msgspec.Struct, array_like=True, frozen=True, tag=10):
+class TrialRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
     """Asks whether a copy of a content under suspicion may be sent now.
 
     ``number`` names the copy at its sender.
     """
 
-    content: bytes
+    request_digest: bytes
     number: int
 
 
-class TrialWord(msgspec.Struct, array_like=True, frozen=True, tag=11):
+class TrialReply(msgspec.Struct, array_like=True, frozen=True, tag=11):
     """The answer: in how many milliseconds to ask again; 0: it may be sent."""
 
     number: int
-    after_ms: float
+    retry_after_ms: float
 
 
-class TrialOver(msgspec.Struct, array_like=True, frozen=True, tag=12):
+class TrialFinished(msgspec.Struct, array_like=True, frozen=True, tag=12):
     """Says that the copy has ended, so that another one may be sent."""
 
-    content: bytes
+    request_digest: bytes
     number: int
 
 
-TrialMessage = TrialAsk | TrialWord | TrialOver
+TrialMessage = TrialRequest | TrialReply | TrialFinished
 
 
-def encode(content: bytes, record: CrashRecord, now_ms: float) -> ToldRecord:
+def encode(content: bytes, record: CrashRecord, now_ms: float) -> CrashRecordEntry:
     """Return a record as it is told now."""
     ends = [
-        ToldEnd(
+        CrashEventEntry(
             end.server_id,
             end.caller,
             end.witness,
             now_ms - end.sent_ms,
-            now_ms - end.ended_ms,
+            now_ms - end.crashed_ms,
             end.frozen,
         )
-        for end in record.ends
+        for end in record.crashes
     ]
     answered = {caller: now_ms - at_ms for caller, at_ms in record.answered_ms.items()}
     never = math.isinf(record.last_answer_ms)
     last = NEVER_MS if never else now_ms - record.last_answer_ms
-    return ToldRecord(content, ends, answered, last)
+    return CrashRecordEntry(content, ends, answered, last)
 
 
-def decode(told: ToldRecord, now_ms: float, came_ms: float | None = None) -> CrashRecord:
+def decode(told: CrashRecordEntry, now_ms: float, came_ms: float | None = None) -> CrashRecord:
     """Return a record that was told just now.
 
     :param came_ms: when it came at the earliest, where this node may have stood still since.
@@ -103,15 +103,15 @@
         later than it was clears nothing, and its other tellings put it right.
     """
     ends = tuple(
-        ServerEnd(
+        CrashEvent(
             end.server,
             end.caller,
             end.witness,
             now_ms - end.sent_age_ms,
-            now_ms - end.ended_age_ms,
+            now_ms - end.crashed_age_ms,
             end.frozen,
         )
-        for end in told.ends
+        for end in told.crashes
     )
     came_ms = now_ms if came_ms is None else came_ms
     answered = {caller: came_ms - age_ms for caller, age_ms in told.answered_age_ms.items()}
--- a/ploverhatch/quarantine/saved.py
+++ b/ploverhatch/quarantine/saved.py
@@ -6,29 +6,29 @@
 
 from ploverhatch.quarantine import messages
 from ploverhatch.quarantine.ledger import CrashLedger
-from ploverhatch.quarantine.messages import ToldRecord
-from ploverhatch.quarantine.record import ENDS_TO_HOLD, CrashRecord
+from ploverhatch.quarantine.messages import CrashRecordEntry
+from ploverhatch.quarantine.record import CRASHES_TO_QUARANTINE, CrashRecord
 
-MOST_SAVED = 64  # contents: 30 KB
+MAX_SAVED_RECORDS = 64  # contents: 30 KB
 
 
-def held_records(ledger: CrashLedger, now_ms: float) -> list[ToldRecord]:
+def quarantined_records(ledger: CrashLedger, now_ms: float) -> list[CrashRecordEntry]:
     """Return the ends from which the holds follow, in the order of their contents."""
     found = []
     for content, _ in ledger:
-        holds = ledger.holds(content)
+        holds = ledger.decisions(content)
         if holds:
             hold = max(holds, key=lambda one: one.until_ms)
-            ends = hold.ends[-(ENDS_TO_HOLD + hold.over) :]
+            ends = hold.crashes[-(CRASHES_TO_QUARANTINE + hold.excess_crashes) :]
             found.append((hold.until_ms, messages.encode(content, CrashRecord(ends), now_ms)))
-    latest = sorted(found, key=lambda item: item[0])[-MOST_SAVED:]
-    return sorted((record for _, record in latest), key=lambda record: record.content)
+    latest = sorted(found, key=lambda item: item[0])[-MAX_SAVED_RECORDS:]
+    return sorted((record for _, record in latest), key=lambda record: record.request_digest)
 
 
-def load(ledger: CrashLedger, records: list[ToldRecord], now_ms: float) -> list[bytes]:
+def load(ledger: CrashLedger, records: list[CrashRecordEntry], now_ms: float) -> list[bytes]:
     """Take saved records; return the contents of which something is new."""
     return [
-        record.content
+        record.request_digest
         for record in records
-        if ledger.merge(record.content, messages.decode(record, now_ms))
+        if ledger.merge(record.request_digest, messages.decode(record, now_ms))
     ]
--- a/ploverhatch/quarantine/trials.py
+++ b/ploverhatch/quarantine/trials.py
@@ -17,7 +17,7 @@
 class Permit:
     """A copy that may be under way."""
 
-    asker: Hashable
+    requester: Hashable
     until_ms: float
 
 
@@ -30,22 +30,22 @@
     def __len__(self) -> int:
         return len(self._permits)
 
-    def ask(self, content: bytes, asker: Hashable, now_ms: float) -> float:
+    def acquire(self, content: bytes, asker: Hashable, now_ms: float) -> float:
         """Return after how many milliseconds to ask again; 0: the copy may be sent.
 
         One that has the permit already gets it for the whole time again.
         """
         self._expire(now_ms)
         held = self._permits.get(content)
-        if held is not None and held.asker != asker:
+        if held is not None and held.requester != asker:
             return held.until_ms - now_ms
         self._permits[content] = Permit(asker, now_ms + PERMIT_MS)
         return 0.0
 
-    def end(self, content: bytes, asker: Hashable) -> None:
+    def release(self, content: bytes, asker: Hashable) -> None:
         """A copy has ended; an end that is told late changes nothing for another one."""
         held = self._permits.get(content)
-        if held is not None and held.asker == asker:
+        if held is not None and held.requester == asker:
             del self._permits[content]
 
     def _expire(self, now_ms: float) -> None:
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -27,7 +27,7 @@
 from ploverhatch.gateway.shared_slots import TurnedAwayError
 from ploverhatch.node.process import Node
 from ploverhatch.platform.store import PlatformStore
-from ploverhatch.quarantine.record import ServerEnd
+from ploverhatch.quarantine.record import CrashEvent
 from ploverhatch.routing.planned_stop import READINESS_MISSES_MS
 from ploverhatch.settings.loader import load_settings
 from ploverhatch.store import kinds
@@ -481,8 +481,8 @@
 
     def note_an_end():
         now_ms = elapsed_ms()
-        end = ServerEnd("u9", b"caller", "n", now_ms - 10.0, now_ms)
-        quarantine._ledger.note_end(b"a content 16 b.", end)
+        end = CrashEvent("u9", b"caller", "n", now_ms - 10.0, now_ms)
+        quarantine._ledger.note_crash(b"a content 16 b.", end)
         quarantine._changed_here(b"a content 16 b.")
         tell_open()
 
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -10,7 +10,7 @@
 from ploverhatch.gateway.quarantine import Quarantine
 from ploverhatch.platform.dialect import PlatformDialect
 from ploverhatch.quarantine import messages, record
-from ploverhatch.quarantine.messages import CrashesAsk, CrashesTold
+from ploverhatch.quarantine.messages import CrashQuery, CrashReport
 from ploverhatch.state.servers import ServerRecord
 from tests.functional.test_forwarder import Bench, field
 from tests.functional.test_gateway import until
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def short_hold(monkeypatch):
-    monkeypatch.setattr(record, "HOLD_MS", 300.0)
+    monkeypatch.setattr(record, "QUARANTINE_MS", 300.0)
 
 
 def test_after_three_ends_it_is_refused_before_it_is_sent(bench):
@@ -166,15 +166,15 @@
     bench.end_servers(3)
     gevent.sleep(0.05)
     told = [message for message, to in bench.sent if to == PEER]
-    assert len(told[-1].records[0].ends) == 3
+    assert len(told[-1].records[0].crashes) == 3
     other = QuarantineBench()
     other.quarantine.take_told(told[-1], PEER)
     upstream = other.add_life()
     assert other.result() == HELD
     assert upstream.arrived == []
-    other.quarantine.take_ask(CrashesAsk(0), PEER)
-    (answer,) = [message for message, _ in other.sent if isinstance(message, CrashesTold)]
-    assert len(answer.records[0].ends) == 3
+    other.quarantine.take_ask(CrashQuery(0), PEER)
+    (answer,) = [message for message, _ in other.sent if isinstance(message, CrashReport)]
+    assert len(answer.records[0].crashes) == 3
     other.sent.clear()
     bench.quarantine.take_told(answer, PEER)
     asks = gevent.spawn(other.quarantine.ask_forever)
@@ -182,7 +182,7 @@
     asks.kill()
     (ask,) = [message for message, _ in other.sent]
     bench.sent.clear()
-    bench.quarantine.take_ask(CrashesAsk(ask.summary), PEER)
+    bench.quarantine.take_ask(CrashQuery(ask.checksum), PEER)
     assert bench.sent == []  # both know the same
     assert ask.just_started
     bench.quarantine.take_ask(ask, PEER)
@@ -202,7 +202,7 @@
     other.end_servers(3)
     other.quarantine.take_ask(bench.sent[0][0], PEER)
     whole = other.sent[-1][0]
-    bench.quarantine.take_told(CrashesTold([]), PEER)  # of another content: not all
+    bench.quarantine.take_told(CrashReport([]), PEER)  # of another content: not all
     gevent.sleep(0.02)
     assert not bench.quarantine.settled
     bench.quarantine.take_told(whole, PEER)
@@ -260,7 +260,7 @@
     assert bench.ask(b"/once/a").status == 200
     gevent.sleep(0.05)
     (last,) = bench.sent[-1][0].records
-    assert messages.decode(last, elapsed_ms()).standing == ()
+    assert messages.decode(last, elapsed_ms()).uncleared_crashes == ()
 
 
 def test_an_answer_that_waited_while_this_node_stood_still_clears_no_end_after_it(bench):
@@ -270,14 +270,16 @@
     in one go, and let the request through by the answer that came first.
     """
     content = b"content"
-    ends = [messages.ToldEnd(f"s{n}", b"c%d" % n, "n", 1030.0 - 150.0 * n, 1000.0 - 150.0 * n)
-            for n in range(record.ENDS_AFTER_ANSWER)]  # fmt: skip
+    ends = [
+        messages.CrashEventEntry(f"s{n}", b"c%d" % n, "n", 1030.0 - 150.0 * n, 1000.0 - 150.0 * n)
+        for n in range(record.CRASHES_AFTER_ANSWER)
+    ]
     for held_up_ms, stays in ((3000.0, True), (0.0, False)):
         node = QuarantineBench()
         node.quarantine._ran_until_ms = lambda held_up=held_up_ms: elapsed_ms() - held_up
-        answer = messages.ToldRecord(content, [], {b"c9": 20.0}, 20.0)
-        node.quarantine.take_told(CrashesTold([messages.ToldRecord(content, ends)]), PEER)
-        node.quarantine.take_told(CrashesTold([answer]), PEER)
+        answer = messages.CrashRecordEntry(content, [], {b"c9": 20.0}, 20.0)
+        node.quarantine.take_told(CrashReport([messages.CrashRecordEntry(content, ends)]), PEER)
+        node.quarantine.take_told(CrashReport([answer]), PEER)
         assert (node.quarantine.held == 1) is stays
 
 
@@ -415,10 +417,10 @@
     members = [("10.0.0.9", number) for number in range(300)]
     bench.quarantine._members = lambda: members
     for number in range(60):
-        told = messages.ToldRecord(
-            b"%d" % number, [messages.ToldEnd(f"s{number}", b"c", "n", 30.0, 0.0)]
+        told = messages.CrashRecordEntry(
+            b"%d" % number, [messages.CrashEventEntry(f"s{number}", b"c", "n", 30.0, 0.0)]
         )
-        bench.quarantine.take_told(CrashesTold([told]), PEER)
+        bench.quarantine.take_told(CrashReport([told]), PEER)
         bench.quarantine._changed_here(b"%d" % number)
         bench.quarantine._tell_untold()
     assert len(bench.sent) <= 2100
--- a/tests/functional/test_requests_that_freeze_servers.py
+++ b/tests/functional/test_requests_that_freeze_servers.py
@@ -93,5 +93,5 @@
     other = QuarantineBench()
     other.quarantine.take_told(told, ("10.0.0.3", 7000))
     assert other.result(headers=()) == HELD
-    ends = messages.decode(told.records[0], elapsed_ms()).ends
+    ends = messages.decode(told.records[0], elapsed_ms()).crashes
     assert [end.frozen for end in ends] == [True] * 3
--- a/tests/functional/test_trial_permits.py
+++ b/tests/functional/test_trial_permits.py
@@ -9,7 +9,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway import trial_permits
 from ploverhatch.gateway.trial_permits import TrialPermits
-from ploverhatch.quarantine.messages import TrialAsk, TrialOver, TrialWord
+from ploverhatch.quarantine.messages import TrialFinished, TrialReply, TrialRequest
 from ploverhatch.quarantine.trials import PERMIT_MS
 
 CONTENT = b"content"
@@ -17,7 +17,7 @@
 
 
 def call(content=CONTENT):
-    return SimpleNamespace(fingerprint=SimpleNamespace(content=content))
+    return SimpleNamespace(fingerprint=SimpleNamespace(request_digest=content))
 
 
 class Fleet:
@@ -47,7 +47,7 @@
             gevent.spawn_later(takes_s, self._deliver, sender, message, to)
 
     def _deliver(self, sender, message, to):
-        takers = {TrialAsk: "take_ask", TrialWord: "take_word", TrialOver: "take_over"}
+        takers = {TrialRequest: "take_ask", TrialReply: "take_word", TrialFinished: "take_over"}
         getattr(self.permits[to], takers[type(message)])(message, sender)
 
     def nodes(self):
@@ -96,7 +96,7 @@
     assert waiting.get() is True
 
 
-@pytest.mark.parametrize("form", [TrialAsk, TrialWord])
+@pytest.mark.parametrize("form", [TrialRequest, TrialReply])
 def test_a_question_or_word_that_is_lost_is_repeated(fleet, form):
     _, second, third = fleet.nodes()
     fleet.lose = [form]
@@ -107,7 +107,7 @@
 def test_a_return_that_is_lost_holds_nobody_up_for_long(fleet, monkeypatch):
     monkeypatch.setattr("ploverhatch.quarantine.trials.PERMIT_MS", 120.0)
     _, second, third = fleet.nodes()
-    fleet.lose = [TrialOver]
+    fleet.lose = [TrialFinished]
     asked = call()
     second.take(asked)
     second.give_back(asked)
@@ -150,7 +150,7 @@
     leader, second, _ = fleet.nodes()
     leader.take(call())
     fleet.leader_takes_s = 0.03
-    fleet.lose = [TrialAsk] * trial_permits.ASKED_TIMES
+    fleet.lose = [TrialRequest] * trial_permits.ASKED_TIMES
     for number in range(trial_permits.ASKED_TIMES):
         gevent.spawn_later(0.01 + 0.07 * number, time.sleep, 0.06)
     assert second.take(call()) > 0
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -8,22 +8,27 @@
 from hypothesis import strategies as st
 
 from ploverhatch.quarantine import messages, record, saved
-from ploverhatch.quarantine.fingerprint import HINT_BYTES, Fingerprint, fingerprint, hint
+from ploverhatch.quarantine.fingerprint import (
+    SHORT_DIGEST_BYTES,
+    Fingerprint,
+    fingerprint,
+    short_digest,
+)
 from ploverhatch.quarantine.ledger import (
-    ENDS_WHERE_UNCLEAR,
-    MOST_CONTENTS,
-    UNCLEAR_HOLD_MS,
+    AMBIGUOUS_QUARANTINE_MS,
+    CRASHES_IF_AMBIGUOUS,
+    MAX_RECORDS,
     CrashLedger,
 )
 from ploverhatch.quarantine.record import (
-    ENDS_AFTER_ANSWER,
-    ENDS_TO_HOLD,
-    HOLD_MS,
-    MOST_DOUBLINGS,
-    MOST_ENDS,
-    REMEMBER_MS,
+    CRASHES_AFTER_ANSWER,
+    CRASHES_TO_QUARANTINE,
+    MAX_CRASHES,
+    MAX_DOUBLINGS,
+    QUARANTINE_MS,
+    RETENTION_MS,
+    CrashEvent,
     CrashRecord,
-    ServerEnd,
 )
 
 CONTENT = b"content"
@@ -33,13 +38,13 @@
 
 
 def end(number, at_ms, caller=CALLER, took_ms=WORK_MS):
-    return ServerEnd(f"s{number}", caller, "node-1", at_ms - took_ms, at_ms)
+    return CrashEvent(f"s{number}", caller, "node-1", at_ms - took_ms, at_ms)
 
 
 def ledger_of(*ends):
     made = CrashLedger()
     for item in ends:
-        made.note_end(CONTENT, item)
+        made.note_crash(CONTENT, item)
     return made
 
 
@@ -48,24 +53,24 @@
 
 
 def test_two_ends_hold_nothing_and_three_do():
-    assert ledger_of(*row(2)).hold(REQUEST) is None
-    hold = ledger_of(*row(3)).hold(REQUEST)
-    assert hold.until_ms == 1800.0 + HOLD_MS
-    assert [item.server_id for item in hold.ends] == ["s0", "s1", "s2"]
+    assert ledger_of(*row(2)).decide(REQUEST) is None
+    hold = ledger_of(*row(3)).decide(REQUEST)
+    assert hold.until_ms == 1800.0 + QUARANTINE_MS
+    assert [item.server_id for item in hold.crashes] == ["s0", "s1", "s2"]
 
 
 def test_servers_that_go_down_together_count_once():
     """A rack takes down all that was under way there; nobody knows which request did it."""
     copies = [end(n, 1000.0 + n, took_ms=200.0) for n in range(8)]
-    assert ledger_of(*copies).hold(REQUEST) is None
+    assert ledger_of(*copies).decide(REQUEST) is None
 
 
 def test_many_copies_at_one_server_hide_no_end_before_it():
     """Found on a day of our own: many callers asked for the same at once."""
     callers = [b"caller %d" % n for n in range(9)]
     ends = [end(n, 1000.0 + 400.0 * n, caller) for n in range(3) for caller in callers]
-    hold = ledger_of(*ends).hold(Fingerprint(CONTENT, b"another"))
-    assert [item.server_id for item in hold.ends] == ["s0", "s1", "s2"]
+    hold = ledger_of(*ends).decide(Fingerprint(CONTENT, b"another"))
+    assert [item.server_id for item in hold.crashes] == ["s0", "s1", "s2"]
 
 
 @pytest.mark.parametrize("held_by", [(3, 3), (1, 2), (1, 1, 1), (2, 4, 4)])
@@ -85,12 +90,14 @@
     14 of 152 do, whose requests had been looked at already, and none lets it through.
     """
     ledger = ledger_of(*copies(*held_by))
-    assert ledger.hold(Fingerprint(CONTENT, b"another"))
-    last_ms = max(end.ended_ms for _, known in ledger for end in known.ends)
-    for number in range(3 * MOST_ENDS):
-        late = ServerEnd(f"beside {number}", b"other %d" % number, "n", last_ms - 20.0, last_ms + 9)
-        ledger.note_end(CONTENT, late)
-        assert ledger.hold(Fingerprint(CONTENT, b"another"))
+    assert ledger.decide(Fingerprint(CONTENT, b"another"))
+    last_ms = max(end.crashed_ms for _, known in ledger for end in known.crashes)
+    for number in range(3 * MAX_CRASHES):
+        late = CrashEvent(
+            f"beside {number}", b"other %d" % number, "n", last_ms - 20.0, last_ms + 9
+        )
+        ledger.note_crash(CONTENT, late)
+        assert ledger.decide(Fingerprint(CONTENT, b"another"))
 
 
 @given(st.lists(st.tuples(st.integers(1, 5), st.integers(1, 9), st.floats(1.0, 900.0)), max_size=7))
@@ -101,8 +108,8 @@
         now_ms += pause_ms
         for number in range(servers * callers):
             server, caller = f"s{wave}-{number % servers}", b"c%d" % (number // servers)
-            ledger.note_end(CONTENT, ServerEnd(server, caller, "n", now_ms, now_ms + WORK_MS))
-            holds = ledger.hold(Fingerprint(CONTENT, b"another")) is not None
+            ledger.note_crash(CONTENT, CrashEvent(server, caller, "n", now_ms, now_ms + WORK_MS))
+            holds = ledger.decide(Fingerprint(CONTENT, b"another")) is not None
             assert holds or not held
             held = holds
         now_ms += WORK_MS
@@ -119,7 +126,7 @@
     popular requests (405 ends under requests) nothing is held.
     """
     ends = [end(n, 1000.0 + 3400.0 * n, b"caller %d" % c) for n in range(2) for c in range(3)]
-    assert ledger_of(*ends).hold(Fingerprint(CONTENT, b"another"))
+    assert ledger_of(*ends).decide(Fingerprint(CONTENT, b"another"))
 
 
 def copies(*counts, every_ms=3400.0, took_ms=WORK_MS):
@@ -133,19 +140,19 @@
 
 @pytest.mark.parametrize("counts", [(1, 2), (2, 1), (3, 3), (1, 7)])
 def test_copies_of_three_callers_at_two_ends_hold_it_for_all(counts):
-    hold = ledger_of(*copies(*counts)).hold(Fingerprint(CONTENT, b"another"))
-    assert hold.by_copies
-    assert [item.server_id for item in hold.ends] == ["s0", "s1"]
-    assert hold.until_ms == 4400.0 + HOLD_MS
+    hold = ledger_of(*copies(*counts)).decide(Fingerprint(CONTENT, b"another"))
+    assert hold.by_many_callers
+    assert [item.server_id for item in hold.crashes] == ["s0", "s1"]
+    assert hold.until_ms == 4400.0 + QUARANTINE_MS
 
 
 @pytest.mark.parametrize("counts", [(8,), (1, 1)])
 def test_copies_at_one_end_and_few_copies_hold_nothing(counts):
-    assert ledger_of(*copies(*counts)).hold(Fingerprint(CONTENT, b"another")) is None
+    assert ledger_of(*copies(*counts)).decide(Fingerprint(CONTENT, b"another")) is None
 
 
 def test_copies_at_servers_that_end_together_hold_nothing():
-    assert ledger_of(*copies(4, 4, 4, every_ms=1.0)).hold(REQUEST) is None
+    assert ledger_of(*copies(4, 4, 4, every_ms=1.0)).decide(REQUEST) is None
 
 
 def test_copies_of_what_was_answered_since_the_first_end_hold_nothing():
@@ -153,83 +160,83 @@
     ledger = ledger_of(first)
     ledger.note_answer(Fingerprint(CONTENT, first.caller), 2000.0)
     for item in others:
-        ledger.note_end(CONTENT, item)
-    assert ledger.hold(Fingerprint(CONTENT, b"another")) is None
+        ledger.note_crash(CONTENT, item)
+    assert ledger.decide(Fingerprint(CONTENT, b"another")) is None
 
 
 def test_copies_of_long_work_hold_nothing():
     """It is under way wherever a server ends."""
-    assert ledger_of(*copies(4, 4, took_ms=900.0)).hold(REQUEST) is None
+    assert ledger_of(*copies(4, 4, took_ms=900.0)).decide(REQUEST) is None
 
 
 def test_copies_beside_another_content_are_held_for_a_short_time():
     """One that ends its servers may be alone each time, and the popular one beside it."""
     ledger = ledger_of(*copies(3, 3))
     for number in range(2):
-        ledger.note_end(b"other", end(number, 1000.0 + 3400.0 * number, b"alone"))
-    assert ledger.hold(REQUEST).until_ms == 4400.0 + UNCLEAR_HOLD_MS
-    ledger.note_end(b"other", end(2, 7800.0, b"alone"))
-    assert ledger.hold(REQUEST) is None  # the other one is the cause of both
-    assert ledger.hold(Fingerprint(b"other", b"alone"))
+        ledger.note_crash(b"other", end(number, 1000.0 + 3400.0 * number, b"alone"))
+    assert ledger.decide(REQUEST).until_ms == 4400.0 + AMBIGUOUS_QUARANTINE_MS
+    ledger.note_crash(b"other", end(2, 7800.0, b"alone"))
+    assert ledger.decide(REQUEST) is None  # the other one is the cause of both
+    assert ledger.decide(Fingerprint(b"other", b"alone"))
 
 
 def test_an_answer_shows_that_a_request_ends_no_servers():
     ledger = ledger_of(*row(2))
     assert ledger.note_answer(REQUEST, 1500.0)
-    ledger.note_end(CONTENT, end(7, 1800.0))
-    assert ledger.hold(REQUEST) is None
+    ledger.note_crash(CONTENT, end(7, 1800.0))
+    assert ledger.decide(REQUEST) is None
 
 
 def test_a_request_that_was_answered_before_is_held_after_more_ends():
     """It is sent often, or works for long, where servers go down every few seconds."""
     ledger = ledger_of(*row(1))
     ledger.note_answer(REQUEST, 1500.0)
-    for number in range(ENDS_AFTER_ANSWER):
-        assert ledger.hold(REQUEST) is None
-        ledger.note_end(CONTENT, end(10 + number, 3000.0 + 400.0 * number))
-    assert ledger.hold(REQUEST)
+    for number in range(CRASHES_AFTER_ANSWER):
+        assert ledger.decide(REQUEST) is None
+        ledger.note_crash(CONTENT, end(10 + number, 3000.0 + 400.0 * number))
+    assert ledger.decide(REQUEST)
 
 
 def test_a_held_request_whose_answer_comes_late_is_let_through():
     ledger = ledger_of(*row(3))
     ledger.note_answer(REQUEST, 2000.0)
-    assert ledger.hold(REQUEST) is None
+    assert ledger.decide(REQUEST) is None
 
 
 def test_only_the_caller_is_held_under_whose_requests_servers_ended():
     ledger = ledger_of(*row(5))
-    assert ledger.hold(REQUEST)
-    assert ledger.hold(Fingerprint(CONTENT, OTHER)) is None
-    assert ledger.hold(Fingerprint(b"another", CALLER)) is None
+    assert ledger.decide(REQUEST)
+    assert ledger.decide(Fingerprint(CONTENT, OTHER)) is None
+    assert ledger.decide(Fingerprint(b"another", CALLER)) is None
 
 
 def test_a_content_that_ends_servers_whoever_asks_is_held_for_all():
     ledger = ledger_of(*row(2), end(5, 2500.0, OTHER))
-    assert ledger.hold(Fingerprint(CONTENT, b"third"))
+    assert ledger.decide(Fingerprint(CONTENT, b"third"))
 
 
 def test_a_content_that_is_answered_to_some_is_held_for_the_others_only():
     ledger = ledger_of(*row(2), end(5, 2500.0, OTHER))
     ledger.note_answer(Fingerprint(CONTENT, b"third"), 2600.0)
-    assert ledger.hold(Fingerprint(CONTENT, b"third")) is None
-    ledger.note_end(CONTENT, end(6, 3000.0))
-    assert ledger.hold(REQUEST)
-    assert ledger.hold(Fingerprint(CONTENT, OTHER)) is None
+    assert ledger.decide(Fingerprint(CONTENT, b"third")) is None
+    ledger.note_crash(CONTENT, end(6, 3000.0))
+    assert ledger.decide(REQUEST)
+    assert ledger.decide(Fingerprint(CONTENT, OTHER)) is None
 
 
 def at_ends(ledger, content, numbers):
     for number in numbers:
-        ledger.note_end(content, end(number, 1000.0 + 400.0 * number))
+        ledger.note_crash(content, end(number, 1000.0 + 400.0 * number))
 
 
 def test_a_request_that_was_there_by_another_ones_doing_is_not_held():
     ledger = CrashLedger()
     at_ends(ledger, CONTENT, [0, 1, 2, 3])
     at_ends(ledger, b"beside", [1, 2, 3])
-    assert ledger.hold(REQUEST)
-    assert ledger.hold(Fingerprint(b"beside", CALLER)) is None
+    assert ledger.decide(REQUEST)
+    assert ledger.decide(Fingerprint(b"beside", CALLER)) is None
     at_ends(ledger, b"beside", [4])  # the other one was not there
-    assert ledger.hold(Fingerprint(b"beside", CALLER))
+    assert ledger.decide(Fingerprint(b"beside", CALLER))
 
 
 def test_a_request_that_works_for_long_is_not_held_for_what_others_did():
@@ -238,28 +245,28 @@
     at_ends(ledger, CONTENT, [0, 3, 6])
     at_ends(ledger, b"another cause", [10, 13, 16])
     for number in (0, 3, 10, 16):
-        ledger.note_end(b"long", end(number, 1000.0 + 400.0 * number, took_ms=900.0))
-    assert ledger.hold(REQUEST)
-    assert ledger.hold(Fingerprint(b"another cause", CALLER))
-    assert ledger.hold(Fingerprint(b"long", CALLER)) is None
+        ledger.note_crash(b"long", end(number, 1000.0 + 400.0 * number, took_ms=900.0))
+    assert ledger.decide(REQUEST)
+    assert ledger.decide(Fingerprint(b"another cause", CALLER))
+    assert ledger.decide(Fingerprint(b"long", CALLER)) is None
     at_ends(ledger, b"long", [30, 40, 50])  # none of the others was there
-    assert ledger.hold(Fingerprint(b"long", CALLER))
+    assert ledger.decide(Fingerprint(b"long", CALLER))
 
 
 def test_nor_before_it_is_clear_which_others_did_it():
     ledger = CrashLedger()
     at_ends(ledger, CONTENT, [0, 3])
     for number in (0, 3, 10):
-        ledger.note_end(b"long", end(number, 1000.0 + 400.0 * number, took_ms=900.0))
-    assert ledger.hold(Fingerprint(b"long", CALLER)) is None
+        ledger.note_crash(b"long", end(number, 1000.0 + 400.0 * number, took_ms=900.0))
+    assert ledger.decide(Fingerprint(b"long", CALLER)) is None
 
 
 def test_nor_where_each_end_was_the_doing_of_another_one():
     ledger = CrashLedger()
     for number, cause in ((0, b"one"), (5, b"two"), (10, b"three")):
         at_ends(ledger, cause, [number])
-        ledger.note_end(b"long", end(number, 1000.0 + 400.0 * number, took_ms=900.0))
-    assert ledger.hold(Fingerprint(b"long", CALLER)) is None
+        ledger.note_crash(b"long", end(number, 1000.0 + 400.0 * number, took_ms=900.0))
+    assert ledger.decide(Fingerprint(b"long", CALLER)) is None
 
 
 def test_nor_where_one_that_waited_in_a_queue_ended_most_of_its_servers():
@@ -267,13 +274,13 @@
     ledger = CrashLedger()
     for number, cause_ms, long_ms in ((6, 77.0, 52.0), (7, 31.0, 323.0)):
         at_ms = 1000.0 + 2900.0 * (number - 6)
-        ledger.note_end(CONTENT, end(number, at_ms, took_ms=cause_ms))
-        ledger.note_end(b"long", end(number, at_ms, took_ms=long_ms))
-    ledger.note_end(CONTENT, end(8, 5000.0, took_ms=357.0))
-    ledger.note_end(b"long", end(10, 6800.0, took_ms=401.0))
-    ledger.note_end(b"another", end(10, 6800.0, took_ms=33.0))
-    assert ledger.hold(REQUEST)
-    assert ledger.hold(Fingerprint(b"long", CALLER)) is None
+        ledger.note_crash(CONTENT, end(number, at_ms, took_ms=cause_ms))
+        ledger.note_crash(b"long", end(number, at_ms, took_ms=long_ms))
+    ledger.note_crash(CONTENT, end(8, 5000.0, took_ms=357.0))
+    ledger.note_crash(b"long", end(10, 6800.0, took_ms=401.0))
+    ledger.note_crash(b"another", end(10, 6800.0, took_ms=33.0))
+    assert ledger.decide(REQUEST)
+    assert ledger.decide(Fingerprint(b"long", CALLER)) is None
 
 
 def test_nor_for_ends_of_one_that_was_held_before():
@@ -281,36 +288,36 @@
     ledger = CrashLedger()
     for number, cause_ms, long_ms in ((6, 452.0, 405.0), (7, 33.0, 49.0)):
         at_ms = 1000.0 + 2650.0 * (number - 6)
-        ledger.note_end(CONTENT, end(number, at_ms, took_ms=cause_ms))
-        ledger.note_end(b"long", end(number, at_ms, took_ms=long_ms))
-    ledger.note_end(CONTENT, end(8, 4200.0, took_ms=61.0))
-    ledger.note_end(b"long", end(10, 6800.0, took_ms=509.0))
-    ledger.note_end(b"another", end(10, 6800.0, took_ms=501.0))
-    assert ledger.hold(REQUEST)
-    assert ledger.hold(Fingerprint(b"long", CALLER)) is None
+        ledger.note_crash(CONTENT, end(number, at_ms, took_ms=cause_ms))
+        ledger.note_crash(b"long", end(number, at_ms, took_ms=long_ms))
+    ledger.note_crash(CONTENT, end(8, 4200.0, took_ms=61.0))
+    ledger.note_crash(b"long", end(10, 6800.0, took_ms=509.0))
+    ledger.note_crash(b"another", end(10, 6800.0, took_ms=501.0))
+    assert ledger.decide(REQUEST)
+    assert ledger.decide(Fingerprint(b"long", CALLER)) is None
     for number in (11,):
         at_ends(ledger, b"beside", [5 * number])
-        ledger.note_end(b"long", end(5 * number, 1000.0 + 2000.0 * number, took_ms=509.0))
-    assert ledger.hold(Fingerprint(b"long", CALLER))
+        ledger.note_crash(b"long", end(5 * number, 1000.0 + 2000.0 * number, took_ms=509.0))
+    assert ledger.decide(Fingerprint(b"long", CALLER))
 
 
 def test_one_that_ends_its_servers_late_is_held_whatever_came_beside_it():
     """After three ends nobody can tell; three sends more are allowed at most."""
     ledger = CrashLedger()
-    for number in range(ENDS_WHERE_UNCLEAR):
-        assert ledger.hold(Fingerprint(b"late", CALLER)) is None
+    for number in range(CRASHES_IF_AMBIGUOUS):
+        assert ledger.decide(Fingerprint(b"late", CALLER)) is None
         at_ends(ledger, b"beside %d" % number, [5 * number])
-        ledger.note_end(b"late", end(5 * number, 1000.0 + 2000.0 * number, took_ms=900.0))
-    assert ledger.hold(Fingerprint(b"late", CALLER))
+        ledger.note_crash(b"late", end(5 * number, 1000.0 + 2000.0 * number, took_ms=900.0))
+    assert ledger.decide(Fingerprint(b"late", CALLER))
 
 
 def test_a_short_request_is_held_whatever_came_beside_it():
     ledger = CrashLedger()
-    for number in range(ENDS_TO_HOLD):
+    for number in range(CRASHES_TO_QUARANTINE):
         beside = end(number, 1000.0 + 400.0 * number, took_ms=WORK_MS / 10)
-        ledger.note_end(b"beside %d" % number, beside)
-    at_ends(ledger, CONTENT, range(ENDS_TO_HOLD))
-    assert ledger.hold(REQUEST)
+        ledger.note_crash(b"beside %d" % number, beside)
+    at_ends(ledger, CONTENT, range(CRASHES_TO_QUARANTINE))
+    assert ledger.decide(REQUEST)
 
 
 def test_of_two_that_were_at_the_same_ends_a_trial_tells_the_cause():
@@ -319,12 +326,12 @@
     at_ends(ledger, CONTENT, [0, 1, 2])
     at_ends(ledger, b"beside", [0, 1, 2])
     for request in (REQUEST, beside):
-        hold = ledger.hold(request)
-        assert hold.until_ms - hold.last.ended_ms == UNCLEAR_HOLD_MS
+        hold = ledger.decide(request)
+        assert hold.until_ms - hold.last.crashed_ms == AMBIGUOUS_QUARANTINE_MS
     at_ends(ledger, CONTENT, [12])
-    assert ledger.hold(beside) is None
-    hold = ledger.hold(REQUEST)
-    assert hold.until_ms - hold.last.ended_ms == 2 * HOLD_MS
+    assert ledger.decide(beside) is None
+    hold = ledger.decide(REQUEST)
+    assert hold.until_ms - hold.last.crashed_ms == 2 * QUARANTINE_MS
 
 
 def test_an_answer_to_one_of_two_shows_that_it_was_the_other():
@@ -333,20 +340,20 @@
     at_ends(ledger, CONTENT, [0, 1, 2])
     at_ends(ledger, b"beside", [0, 1, 2])
     ledger.note_answer(beside, 6000.0)
-    assert ledger.hold(beside) is None
-    hold = ledger.hold(REQUEST)
-    assert hold.until_ms - hold.last.ended_ms == HOLD_MS
+    assert ledger.decide(beside) is None
+    hold = ledger.decide(REQUEST)
+    assert hold.until_ms - hold.last.crashed_ms == QUARANTINE_MS
 
 
 def test_two_that_always_come_together_are_tried_ever_more_rarely():
     ledger, now_ms, tries = CrashLedger(), 0.0, []
     while now_ms < 300_000.0:
         now_ms += 400.0
-        hold = ledger.hold(REQUEST)
+        hold = ledger.decide(REQUEST)
         if hold is None or now_ms >= hold.until_ms:
             tries.append(now_ms)
             for content in (CONTENT, b"beside"):
-                ledger.note_end(content, end(len(tries), now_ms + WORK_MS))
+                ledger.note_crash(content, end(len(tries), now_ms + WORK_MS))
     late = [at_ms for at_ms in tries if at_ms > tries[2] + 3000.0]
     assert len(late) <= 4
     assert len([at_ms for at_ms in late if at_ms < 60_000.0]) <= 2
@@ -354,39 +361,39 @@
 
 def test_each_end_after_the_third_doubles_the_time_up_to_a_bound():
     for more in range(7):
-        ends = row(ENDS_TO_HOLD + more)
-        hold = ledger_of(*ends).hold(REQUEST)
-        assert hold.until_ms - hold.last.ended_ms == HOLD_MS * 2 ** min(more, MOST_DOUBLINGS)
+        ends = row(CRASHES_TO_QUARANTINE + more)
+        hold = ledger_of(*ends).decide(REQUEST)
+        assert hold.until_ms - hold.last.crashed_ms == QUARANTINE_MS * 2 ** min(more, MAX_DOUBLINGS)
 
 
 def test_all_is_forgotten_in_the_end():
     ledger = ledger_of(*row(9))
     (item,) = [known for _, known in ledger]
-    assert item.expires_ms <= item.newest_ms + HOLD_MS * 2**MOST_DOUBLINGS + REMEMBER_MS
+    assert item.expires_ms <= item.newest_ms + QUARANTINE_MS * 2**MAX_DOUBLINGS + RETENTION_MS
     ledger.expire(item.expires_ms - 1)
-    assert ledger.hold(REQUEST)
+    assert ledger.decide(REQUEST)
     ledger.expire(item.expires_ms)
     assert ledger.is_empty
-    assert ledger.summary == 0
+    assert ledger.checksum == 0
 
 
 def test_many_contents_are_bounded_and_what_ended_most_stays():
     ledger = ledger_of(*row(3))
-    for number in range(MOST_CONTENTS * 3):
-        ledger.note_end(b"%d" % number, end(number, 2000.0 + number))
-    assert len(ledger) == MOST_CONTENTS
-    assert ledger.hold(REQUEST)
-    assert ledger.get(b"%d" % (MOST_CONTENTS * 3 - 1))
+    for number in range(MAX_RECORDS * 3):
+        ledger.note_crash(b"%d" % number, end(number, 2000.0 + number))
+    assert len(ledger) == MAX_RECORDS
+    assert ledger.decide(REQUEST)
+    assert ledger.get(b"%d" % (MAX_RECORDS * 3 - 1))
 
 
 def test_a_telling_of_all_is_bounded():
     ledger = ledger_of(*row(30))
     (item,) = [known for _, known in ledger]
-    assert len(item.ends) == MOST_ENDS
+    assert len(item.crashes) == MAX_CRASHES
 
 
 ENDS = st.builds(
-    lambda server, caller, sent, took: ServerEnd(f"s{server}", caller, "n", sent, sent + took),
+    lambda server, caller, sent, took: CrashEvent(f"s{server}", caller, "n", sent, sent + took),
     st.integers(0, 5),
     st.sampled_from([CALLER, OTHER]),
     st.integers(0, 5000).map(float),
@@ -397,7 +404,7 @@
 
 
 def record_of(event):
-    if isinstance(event, ServerEnd):
+    if isinstance(event, CrashEvent):
         return CrashRecord((event,))
     caller, at_ms = event
     return CrashRecord((), {caller: at_ms}, at_ms)
@@ -424,16 +431,16 @@
 def test_nobody_is_held_without_three_servers_that_ended_one_after_the_other(events):
     known = merged(map(record_of, events))
     for caller in (CALLER, OTHER, b"third"):
-        hold = known.hold(caller)
+        hold = known.decide(caller)
         if hold is None:
             continue
-        assert len(hold.ends) >= ENDS_TO_HOLD
-        for before, after in zip(hold.ends, hold.ends[1:], strict=False):
-            assert after.sent_ms >= before.ended_ms
-        answered = [event[1] for event in events if not isinstance(event, ServerEnd)
+        assert len(hold.crashes) >= CRASHES_TO_QUARANTINE
+        for before, after in zip(hold.crashes, hold.crashes[1:], strict=False):
+            assert after.sent_ms >= before.crashed_ms
+        answered = [event[1] for event in events if not isinstance(event, CrashEvent)
                     and event[0] == caller]  # fmt: skip
-        own = {item.caller for item in hold.ends} == {caller}
-        assert not own or all(item.ended_ms > max(answered, default=-1) for item in hold.ends)
+        own = {item.caller for item in hold.crashes} == {caller}
+        assert not own or all(item.crashed_ms > max(answered, default=-1) for item in hold.crashes)
 
 
 @given(EVENTS, st.floats(0, 1e6), st.floats(-1e6, 1e6))
@@ -444,7 +451,7 @@
     told = messages.encode(CONTENT, known, now_ms)
     heard = messages.decode(told, now_ms + offset_ms)
     for caller in (CALLER, OTHER, b"third"):
-        before, after = known.hold(caller), heard.hold(caller)
+        before, after = known.decide(caller), heard.decide(caller)
         assert (before is None) == (after is None)
         if before is not None:
             assert after.until_ms - offset_ms == pytest.approx(before.until_ms, abs=1e-3)
@@ -455,18 +462,18 @@
     ends = row(3)
     known, late = CrashRecord(), CrashLedger()
     for item in ends:
-        known = known.with_end(item)
-        told = messages.encode(CONTENT, known, item.ended_ms)
+        known = known.with_crash(item)
+        told = messages.encode(CONTENT, known, item.crashed_ms)
         late.merge(CONTENT, messages.decode(told, 9000.0))
-    assert late.hold(REQUEST)
+    assert late.decide(REQUEST)
 
 
 def test_nodes_that_know_the_same_have_the_same_summary():
     first, second = ledger_of(*row(3)), CrashLedger()
-    assert first.summary != second.summary
+    assert first.checksum != second.checksum
     for content, known in first:
         second.merge(content, messages.decode(messages.encode(content, known, 2000.0), 777_000.0))
-    assert first.summary == second.summary
+    assert first.checksum == second.checksum
 
 
 @pytest.mark.parametrize("part", range(5))
@@ -475,8 +482,8 @@
     changed = [value + b"x" if n == part else value for n, value in enumerate(parts)]
     same = fingerprint(b"hint", parts, [b"a"])
     assert same == fingerprint(b"hint", list(parts), [b"a"])
-    assert same.content != fingerprint(b"hint", changed, [b"a"]).content
-    assert same.caller != fingerprint(b"hint", parts, [b"b"]).caller
+    assert same.request_digest != fingerprint(b"hint", changed, [b"a"]).request_digest
+    assert same.caller_digest != fingerprint(b"hint", parts, [b"b"]).caller_digest
 
 
 def test_parts_that_run_together_are_told_apart():
@@ -484,17 +491,17 @@
 
 
 def test_contents_that_share_a_hint_are_found_by_it_until_the_last_is_forgotten():
-    mark = hint(b"/a?b", b"body")
-    assert mark == hint(b"/a?b", b"othe")
-    assert len({mark, hint(b"/a?c", b"body"), hint(b"/a?b", b"longer")}) == 3
-    assert len(mark) == HINT_BYTES
+    mark = short_digest(b"/a?b", b"body")
+    assert mark == short_digest(b"/a?b", b"othe")
+    assert len({mark, short_digest(b"/a?c", b"body"), short_digest(b"/a?b", b"longer")}) == 3
+    assert len(mark) == SHORT_DIGEST_BYTES
     ledger = CrashLedger()
-    ledger.note_end(mark + b"first", end(1, 0.0))
-    ledger.note_end(mark + b"second", end(2, 500.0))
-    ledger.expire(REMEMBER_MS)
-    assert ledger.may_know(mark)
-    ledger.expire(REMEMBER_MS + 500.0)
-    assert not ledger.may_know(mark)
+    ledger.note_crash(mark + b"first", end(1, 0.0))
+    ledger.note_crash(mark + b"second", end(2, 500.0))
+    ledger.expire(RETENTION_MS)
+    assert ledger.may_contain(mark)
+    ledger.expire(RETENTION_MS + 500.0)
+    assert not ledger.may_contain(mark)
     assert ledger.is_empty
 
 
@@ -522,9 +529,9 @@
                 self.ledgers[to].merge(content, messages.decode(told, now_ms + 1.0))
 
     def ended(self, number, content, item):
-        self.ledgers[number].note_end(content, item)
+        self.ledgers[number].note_crash(content, item)
         for to in range(len(self.ledgers)):
-            self.tell(number, to, [content], item.ended_ms)
+            self.tell(number, to, [content], item.crashed_ms)
 
     def ask_round(self, now_ms):
         """Each node asks another one, as nodes do once a second."""
@@ -532,7 +539,7 @@
             other = self.chance.randrange(len(self.ledgers))
             known = self.ledgers[other]
             both_up = self.up(number, now_ms) and self.up(other, now_ms)
-            if both_up and known.summary != ledger.summary:
+            if both_up and known.checksum != ledger.checksum:
                 self.tell(other, number, [content for content, _ in known], now_ms)
 
     def lead(self, now_ms):
@@ -546,7 +553,7 @@
                 for to in range(len(self.ledgers)):
                     self.tell(leader, to, [content], now_ms)
             self.loaded = ledger
-        self.store = saved.held_records(ledger, now_ms)
+        self.store = saved.quarantined_records(ledger, now_ms)
 
     def restart(self, number, now_ms, down_ms):
         self.ledgers[number] = CrashLedger()
@@ -579,14 +586,14 @@
         number = chance.randrange(8)
         if not fleet.up(number, now_ms):
             continue
-        hold = fleet.ledgers[number].hold(REQUEST)
+        hold = fleet.ledgers[number].decide(REQUEST)
         if hold is not None and now_ms < hold.until_ms:
             continue
         server += 1
         in_touch = now_ms - fleet.down_until[number] > CONTACT_MS
         late += in_touch and now_ms > third_ms + CONTACT_MS
         fleet.ended(number, CONTENT, end(server, now_ms + WORK_MS))
-        if server == ENDS_TO_HOLD:
+        if server == CRASHES_TO_QUARANTINE:
             third_ms = now_ms + WORK_MS
     return late
 
@@ -597,7 +604,7 @@
 
 
 def test_without_the_hold_they_would(monkeypatch):
-    monkeypatch.setattr(record, "ENDS_TO_HOLD", 10**6)
+    monkeypatch.setattr(record, "CRASHES_TO_QUARANTINE", 10**6)
     assert min(late_sends(seed) for seed in range(20)) > 3
 
 
--- a/tests/unit/test_trials.py
+++ b/tests/unit/test_trials.py
@@ -10,34 +10,34 @@
 
 def test_one_copy_at_a_time_until_it_ends():
     trials = Trials()
-    assert trials.ask(CONTENT, "a", 0.0) == 0.0
-    assert trials.ask(CONTENT, "b", 100.0) == PERMIT_MS - 100.0
-    assert trials.ask(b"another", "b", 100.0) == 0.0
-    trials.end(CONTENT, "a")
-    assert trials.ask(CONTENT, "b", 101.0) == 0.0
+    assert trials.acquire(CONTENT, "a", 0.0) == 0.0
+    assert trials.acquire(CONTENT, "b", 100.0) == PERMIT_MS - 100.0
+    assert trials.acquire(b"another", "b", 100.0) == 0.0
+    trials.release(CONTENT, "a")
+    assert trials.acquire(CONTENT, "b", 101.0) == 0.0
 
 
 def test_a_permit_whose_node_died_is_over_by_itself():
     trials = Trials()
-    trials.ask(CONTENT, "a", 0.0)
-    assert trials.ask(CONTENT, "b", PERMIT_MS - 1.0) > 0
-    assert trials.ask(CONTENT, "b", PERMIT_MS) == 0.0
-    trials.ask(b"another", "b", 3 * PERMIT_MS)
+    trials.acquire(CONTENT, "a", 0.0)
+    assert trials.acquire(CONTENT, "b", PERMIT_MS - 1.0) > 0
+    assert trials.acquire(CONTENT, "b", PERMIT_MS) == 0.0
+    trials.acquire(b"another", "b", 3 * PERMIT_MS)
     assert len(trials) == 1
 
 
 def test_a_question_that_is_repeated_is_answered_the_same():
     trials = Trials()
-    assert trials.ask(CONTENT, "a", 0.0) == trials.ask(CONTENT, "a", 20.0) == 0.0
-    assert trials.ask(CONTENT, "b", 30.0) == PERMIT_MS - 10.0  # its time begins anew
+    assert trials.acquire(CONTENT, "a", 0.0) == trials.acquire(CONTENT, "a", 20.0) == 0.0
+    assert trials.acquire(CONTENT, "b", 30.0) == PERMIT_MS - 10.0  # its time begins anew
 
 
 def test_an_end_that_is_told_late_takes_nobody_elses_permit():
     trials = Trials()
-    trials.ask(CONTENT, "a", 0.0)
-    trials.ask(CONTENT, "b", PERMIT_MS)
-    trials.end(CONTENT, "a")
-    assert trials.ask(CONTENT, "c", PERMIT_MS + 1.0) > 0
+    trials.acquire(CONTENT, "a", 0.0)
+    trials.acquire(CONTENT, "b", PERMIT_MS)
+    trials.release(CONTENT, "a")
+    assert trials.acquire(CONTENT, "c", PERMIT_MS + 1.0) > 0
 
 
 EVENTS = st.lists(
@@ -57,11 +57,11 @@
     for kind, asker, content, after_ms in events:
         now_ms += after_ms
         if kind == "end":
-            trials.end(content, asker)
+            trials.release(content, asker)
             if held.get(content, ("", 0.0))[0] == asker:
                 del held[content]
             continue
-        wait_ms = trials.ask(content, asker, now_ms)
+        wait_ms = trials.acquire(content, asker, now_ms)
         other, until_ms = held.get(content, (asker, 0.0))
         assert (wait_ms > 0) == (other != asker and now_ms < until_ms)
         if wait_ms == 0:
