--- a/ploverhatch/admission/dispatcher.py
+++ b/ploverhatch/admission/dispatcher.py
@@ -20,23 +20,27 @@
 from ploverhatch.admission.request_rate import NO_BOUND, RequestRate, ServerBounds
 from ploverhatch.state.servers import ServerRecord
 
-QUEUED_AT_SERVER_PART = 0.5  # of the slots: hides the way of a returned slot to the next request
-DEFAULT_WORK_MS = 150.0  # of a server that has answered nothing yet
-WORK_WEIGHT = 0.15  # of a new answer time
+QUEUED_AT_SERVER_FRACTION = (
+    0.5  # of the slots: hides the way of a returned slot to the next request
+)
+DEFAULT_SERVICE_MS = 150.0  # of a server that has answered nothing yet
+SERVICE_TIME_WEIGHT = 0.15  # of a new answer time
 FAILING_MS = 1000.0  # a server that failed is given to nobody for so long, while others are there
-SILENT_AFTER = 2  # requests in a row that got no answer: the server gets one at a time
+UNRESPONSIVE_AFTER_REQUESTS = (
+    2  # requests in a row that got no answer: the server gets one at a time
+)
 # Times a server's work: so long without one answer while all its slots are in use, it is
 # taken to be silent before the requests themselves run out of time. Work varies: all of
 # three requests take four times the mean in 4 of 10,000 draws (work of a spread of 0.8, at
 # a pace that is three times slower for a fifth of the time).
-SILENT_FACTOR = 4.0
+UNRESPONSIVE_FACTOR = 4.0
 COLD_FACTOR = 2.0  # a server that has just started works about so much slower
 OTHER_ZONE_FACTOR = 1.6  # bytes between zones cost money: a server there has to be faster by it
-LEAST_AFTER_MS = 50.0  # what a request that is turned away is told at least
-WAITING_PER_SLOT = 32  # places in the queue
+MIN_RETRY_AFTER_MS = 50.0  # what a request that is turned away is told at least
+QUEUE_PLACES_PER_SLOT = 32  # places in the queue
 
 
-class Asker(NamedTuple):
+class Requester(NamedTuple):
     """A request: the address of its node and its number there."""
 
     node: tuple[str, int]
@@ -44,50 +48,50 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class SlotRequest:
     """What a request asks for; times are elapsed milliseconds of this node."""
 
-    asker: Asker
+    requester: Requester
     priority: int
-    useful_ms: float  # a slot that is given by then lets the answer be in time
-    until_ms: float  # a slot is of no use later
-    hold_ms: float
+    useful_until_ms: float  # a slot that is given by then lets the answer be in time
+    expires_ms: float  # a slot is of no use later
+    lease_ms: float
     avoid: str = ""
     zone: str = ""  # of the node that asks
-    barred: frozenset[str] = frozenset()  # servers that the node may not use
+    excluded: frozenset[str] = frozenset()  # servers that the node may not use
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class SlotGranted:
     """A slot of a server."""
 
-    asker: Asker
+    requester: Requester
     server_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Queued:
+class SlotQueued:
     """A place in the queue."""
 
-    asker: Asker
+    requester: Requester
 
 
 @dataclass(frozen=True, slots=True)
-class TurnedAway:
+class SlotRejected:
     """No slot can be expected in time, but perhaps after a while."""
 
-    asker: Asker
-    after_ms: float
+    requester: Requester
+    retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class NoKnownServer:
     """This node knows no server of the group: the request's node decides by itself."""
 
-    asker: Asker
+    requester: Requester
 
 
-Answer = Given | Queued | TurnedAway | Unknown
+SlotResult = SlotGranted | SlotQueued | SlotRejected | NoKnownServer
 
 
 @dataclass(slots=True)
@@ -99,52 +103,52 @@
     zone: str
     rate: RequestRate
     bounds: ServerBounds
-    work_ms: float = 0.0  # 0: unknown
+    service_ms: float = 0.0  # 0: unknown
     failing_until_ms: float = 0.0
     in_use: int = 0
     unanswered: int = 0  # requests in a row that got no answer
-    heard_ms: float = -math.inf  # last answer, or the first request after an idle time
+    last_answer_ms: float = -math.inf  # last answer, or the first request after an idle time
 
     @property
-    def room(self) -> int:
+    def capacity(self) -> int:
         """Most slots given at once."""
-        return self.slots + math.floor(self.slots * QUEUED_AT_SERVER_PART)
+        return self.slots + math.floor(self.slots * QUEUED_AT_SERVER_FRACTION)
 
     def per_s(self, now_ms: float) -> float:
         """Return how many requests a second it may be given now."""
         return self.bounds.per_s(self.server_id, now_ms)
 
-    def heard(self, unanswered: bool, said_something: bool, now_ms: float) -> None:
+    def note_end(self, unanswered: bool, said_something: bool, now_ms: float) -> None:
         """A request ended there; one that tells nothing of the server changes nothing."""
         if unanswered:
             self.unanswered += 1
         elif said_something:
             self.unanswered = 0
-            self.heard_ms = now_ms
+            self.last_answer_ms = now_ms
 
-    def is_silent(self, now_ms: float) -> bool:
+    def is_unresponsive(self, now_ms: float) -> bool:
         """Whether it seems to answer nobody: one request at a time then shows if it does."""
-        if self.unanswered >= SILENT_AFTER:
+        if self.unanswered >= UNRESPONSIVE_AFTER_REQUESTS:
             return True
-        full = self.work_ms > 0 and self.in_use >= self.slots
-        return full and now_ms - self.heard_ms > SILENT_FACTOR * self.work_ms
+        full = self.service_ms > 0 and self.in_use >= self.slots
+        return full and now_ms - self.last_answer_ms > UNRESPONSIVE_FACTOR * self.service_ms
 
-    def may_get(self, now_ms: float) -> bool:
+    def accepts_request(self, now_ms: float) -> bool:
         """Whether a request may be given to it now."""
-        room = 1 if self.is_silent(now_ms) else self.room
+        room = 1 if self.is_unresponsive(now_ms) else self.capacity
         if self.in_use >= room:
             return False
-        self.rate.bind(self.per_s(now_ms), now_ms)
+        self.rate.set_rate(self.per_s(now_ms), now_ms)
         return self.rate.per_s == NO_BOUND or self.rate.has_token(now_ms)
 
-    def given(self, now_ms: float) -> None:
+    def note_grant(self, now_ms: float) -> None:
         """A request is given to it."""
         if not self.in_use:
-            self.heard_ms = now_ms
+            self.last_answer_ms = now_ms
         self.in_use += 1
-        self.rate.bind(self.per_s(now_ms), now_ms)
+        self.rate.set_rate(self.per_s(now_ms), now_ms)
         if self.rate.per_s < NO_BOUND:
-            self.rate.take(now_ms)
+            self.rate.take_token(now_ms)
 
 
 @dataclass(frozen=True, slots=True)
@@ -161,8 +165,10 @@
     """State of one group at its dispatcher."""
 
     _servers: dict[str, _Server] = field(default_factory=dict)
-    _leases: dict[Asker, _Lease] = field(default_factory=dict)
-    _waiting: list[Wish] = field(default_factory=list)  # in the order in which slots are given
+    _leases: dict[Requester, _Lease] = field(default_factory=dict)
+    _waiting: list[SlotRequest] = field(
+        default_factory=list
+    )  # in the order in which slots are given
     # Until when the slots that other dispatchers gave are asked for; none is given before.
     _learning_until_ms: float = -math.inf
     # By server; shared with other groups that this node keeps of the same servers.
@@ -199,48 +205,53 @@
 
     # ---- events -------------------------------------------------------------------------
 
-    def ask(self, wish: Wish, now_ms: float) -> list[Answer]:
+    def request_slot(self, wish: SlotRequest, now_ms: float) -> list[SlotResult]:
         """A request asks for a slot; an answer that was lost is repeated."""
         answers = self.expire(now_ms)
-        if self._servers.keys() <= wish.barred:
-            return [*answers, Unknown(wish.asker)]
-        held = self._leases.get(wish.asker)
+        if self._servers.keys() <= wish.excluded:
+            return [*answers, NoKnownServer(wish.requester)]
+        held = self._leases.get(wish.requester)
         if held is not None:
-            return [*answers, Given(wish.asker, held.server_id)]
-        if any(other.asker == wish.asker for other in self._waiting):
-            return [*answers, Queued(wish.asker)]
+            return [*answers, SlotGranted(wish.requester, held.server_id)]
+        if any(other.requester == wish.requester for other in self._waiting):
+            return [*answers, SlotQueued(wish.requester)]
         ahead = sum(other.priority <= wish.priority for other in self._waiting)
         # One that waits for servers that it may not use yet keeps nobody from the others.
-        rivals = [other for other in self._waiting[:ahead] if not other.barred]
-        server_id = None if rivals else self._choose(wish, now_ms)
+        rivals = [other for other in self._waiting[:ahead] if not other.excluded]
+        server_id = None if rivals else self._choose_server(wish, now_ms)
         if server_id is not None:
-            return [*answers, self._give(wish, server_id, now_ms)]
+            return [*answers, self._grant(wish, server_id, now_ms)]
         wait_ms = self._expected_wait_ms(ahead, now_ms)
         if now_ms < self._learning_until_ms:
             wait_ms = 0.0  # how many slots are in use is told before
-        if wait_ms > wish.until_ms - now_ms or len(self._waiting) >= self._capacity:
-            return [*answers, TurnedAway(wish.asker, max(wait_ms, LEAST_AFTER_MS))]
+        if wait_ms > wish.expires_ms - now_ms or len(self._waiting) >= self._capacity:
+            return [*answers, SlotRejected(wish.requester, max(wait_ms, MIN_RETRY_AFTER_MS))]
         self._waiting.insert(ahead, wish)
-        return [*answers, Queued(wish.asker)]
-
-    def give_back(
-        self, asker: Asker, took_ms: float, failed: bool, now_ms: float, unanswered: bool = False
-    ) -> list[Answer]:
+        return [*answers, SlotQueued(wish.requester)]
+
+    def release(
+        self,
+        asker: Requester,
+        took_ms: float,
+        failed: bool,
+        now_ms: float,
+        unanswered: bool = False,
+    ) -> list[SlotResult]:
         """A request needs its slot, or its place in the queue, no more.
 
         :param unanswered: whether the server gave no answer at all.
         """
-        self._waiting = [wish for wish in self._waiting if wish.asker != asker]
+        self._waiting = [wish for wish in self._waiting if wish.requester != asker]
         lease = self._leases.pop(asker, None)
         server = self._servers.get(lease.server_id) if lease else None
         if server is not None:
             server.in_use -= 1
-            server.heard(unanswered, took_ms > 0 or failed, now_ms)
+            server.note_end(unanswered, took_ms > 0 or failed, now_ms)
             if failed:
                 server.failing_until_ms = now_ms + FAILING_MS
             elif took_ms > 0 and lease is not None and not lease.queued:
-                before_ms = server.work_ms or took_ms
-                server.work_ms = before_ms + WORK_WEIGHT * (took_ms - before_ms)
+                before_ms = server.service_ms or took_ms
+                server.service_ms = before_ms + SERVICE_TIME_WEIGHT * (took_ms - before_ms)
         return self.expire(now_ms)
 
     @property
@@ -248,11 +259,11 @@
         """Whether nothing is given until other dispatchers' slots are known."""
         return self._learning_until_ms > -math.inf
 
-    def learn(self, until_ms: float) -> None:
+    def start_learning(self, until_ms: float) -> None:
         """Give nothing until the slots are known that other dispatchers gave, or a time."""
         self._learning_until_ms = until_ms
 
-    def adopt(self, asker: Asker, server_id: str, left_ms: float, now_ms: float) -> None:
+    def adopt(self, asker: Requester, server_id: str, left_ms: float, now_ms: float) -> None:
         """Count a slot that another dispatcher gave."""
         server = self._servers.get(server_id)
         if server is None or asker in self._leases:
@@ -261,88 +272,88 @@
         self._leases[asker] = _Lease(server_id, now_ms + left_ms, queued)
         server.in_use += 1
 
-    def learned(self, now_ms: float) -> list[Answer]:
+    def finish_learning(self, now_ms: float) -> list[SlotResult]:
         """Give what is free, and turn away those who waited and can't be in time."""
         self._learning_until_ms = -math.inf
         answers = self.expire(now_ms)
         hopeless = [
             wish
             for ahead, wish in enumerate(self._waiting)
-            if self._expected_wait_ms(ahead, now_ms) > wish.until_ms - now_ms
+            if self._expected_wait_ms(ahead, now_ms) > wish.expires_ms - now_ms
         ]
-        return answers + self._turn_away(hopeless, now_ms)
+        return answers + self._reject(hopeless, now_ms)
 
-    def bind(self, bounds: ServerBounds) -> None:
+    def set_bounds(self, bounds: ServerBounds) -> None:
         """Take what bounds the servers from now on."""
         for server in self._servers.values():
             server.bounds = bounds
 
-    def gives_nothing(self, now_ms: float) -> bool:
+    def grants_nothing(self, now_ms: float) -> bool:
         """Whether no server may be given a request, however long one waits here."""
         return all(server.per_s(now_ms) <= 0 for server in self._servers.values())
 
-    def dismiss(self) -> list[Asker]:
+    def clear_queue(self) -> list[Requester]:
         """Empty the queue, since another node keeps it from now on; return who waited."""
-        askers = [wish.asker for wish in self._waiting]
+        askers = [wish.requester for wish in self._waiting]
         self._waiting = []
         return askers
 
-    def expire(self, now_ms: float) -> list[Answer]:
+    def expire(self, now_ms: float) -> list[SlotResult]:
         """Take back slots whose time is over, and give what is free to those who wait."""
         if -math.inf < self._learning_until_ms <= now_ms:
-            return self.learned(now_ms)
+            return self.finish_learning(now_ms)
         for asker in [asker for asker, held in self._leases.items() if held.until_ms <= now_ms]:
             server = self._servers.get(self._leases.pop(asker).server_id)
             if server is not None:
                 server.in_use -= 1
-        hopeless = self._nobody_answers(now_ms)
-        over = [wish for wish in self._waiting if hopeless or wish.until_ms <= now_ms]
-        answers = self._turn_away(over, now_ms)
-        answers += self._give_free(now_ms)
-        if any(wish.useful_ms > now_ms for wish in self._waiting):
-            late = [wish for wish in self._waiting if wish.useful_ms <= now_ms]
-            answers += self._turn_away(late, now_ms)
+        hopeless = self._all_are_unresponsive(now_ms)
+        over = [wish for wish in self._waiting if hopeless or wish.expires_ms <= now_ms]
+        answers = self._reject(over, now_ms)
+        answers += self._grant_free_slots(now_ms)
+        if any(wish.useful_until_ms > now_ms for wish in self._waiting):
+            late = [wish for wish in self._waiting if wish.useful_until_ms <= now_ms]
+            answers += self._reject(late, now_ms)
         return answers
 
-    def _give_free(self, now_ms: float) -> list[Answer]:
+    def _grant_free_slots(self, now_ms: float) -> list[SlotResult]:
         """Give free slots in order; one that may not use what is free holds nobody up."""
-        answers: list[Answer] = []
+        answers: list[SlotResult] = []
         if now_ms < self._learning_until_ms:
             return answers
-        self._waiting.sort(key=lambda wish: (wish.priority, wish.useful_ms <= now_ms))
+        self._waiting.sort(key=lambda wish: (wish.priority, wish.useful_until_ms <= now_ms))
         for wish in list(self._waiting):
-            server_id = self._choose(wish, now_ms)
+            server_id = self._choose_server(wish, now_ms)
             if server_id is not None:
                 self._waiting.remove(wish)
-                answers.append(self._give(wish, server_id, now_ms))
-            elif not wish.barred:
+                answers.append(self._grant(wish, server_id, now_ms))
+            elif not wish.excluded:
                 break
         return answers
 
-    def _turn_away(self, wishes: list[Wish], now_ms: float) -> list[Answer]:
-        gone = {wish.asker for wish in wishes}
-        self._waiting = [wish for wish in self._waiting if wish.asker not in gone]
-        after_ms = max(self._expected_wait_ms(len(self._waiting), now_ms), LEAST_AFTER_MS)
-        return [TurnedAway(wish.asker, after_ms) for wish in wishes]
+    def _reject(self, wishes: list[SlotRequest], now_ms: float) -> list[SlotResult]:
+        gone = {wish.requester for wish in wishes}
+        self._waiting = [wish for wish in self._waiting if wish.requester not in gone]
+        after_ms = max(self._expected_wait_ms(len(self._waiting), now_ms), MIN_RETRY_AFTER_MS)
+        return [SlotRejected(wish.requester, after_ms) for wish in wishes]
 
     # ---- decisions ----------------------------------------------------------------------
 
-    def _give(self, wish: Wish, server_id: str, now_ms: float) -> Given:
+    def _grant(self, wish: SlotRequest, server_id: str, now_ms: float) -> SlotGranted:
         server = self._servers[server_id]
         queued = server.in_use >= server.slots
-        self._leases[wish.asker] = _Lease(server_id, now_ms + wish.hold_ms, queued)
-        server.given(now_ms)
-        return Given(wish.asker, server_id)
+        self._leases[wish.requester] = _Lease(server_id, now_ms + wish.lease_ms, queued)
+        server.note_grant(now_ms)
+        return SlotGranted(wish.requester, server_id)
 
-    def _choose(self, wish: Wish, now_ms: float) -> str | None:
+    def _choose_server(self, wish: SlotRequest, now_ms: float) -> str | None:
         """Return the server that will answer first, of those with room."""
         if now_ms < self._learning_until_ms:
             return None
-        usual_ms = self._usual_ms
+        usual_ms = self._mean_service_ms
         free = [
             (server_id, server)
             for server_id, server in self._servers.items()
-            if server_id not in wish.barred and server.may_get(now_ms)
+            if server_id not in wish.excluded and server.accepts_request(now_ms)
         ]
         sound = [
             item for item in free if item[1].failing_until_ms <= now_ms and item[0] != wish.avoid
@@ -355,35 +366,37 @@
         return best[0] if best else None
 
     @property
-    def _usual_ms(self) -> float:
-        known = [server.work_ms for server in self._servers.values() if server.work_ms]
-        return sum(known) / len(known) if known else DEFAULT_WORK_MS
+    def _mean_service_ms(self) -> float:
+        known = [server.service_ms for server in self._servers.values() if server.service_ms]
+        return sum(known) / len(known) if known else DEFAULT_SERVICE_MS
 
     @property
     def _capacity(self) -> int:
-        return WAITING_PER_SLOT * sum(server.slots for server in self._servers.values())
+        return QUEUE_PLACES_PER_SLOT * sum(server.slots for server in self._servers.values())
 
-    def _nobody_answers(self, now_ms: float) -> bool:
+    def _all_are_unresponsive(self, now_ms: float) -> bool:
         """Whether all servers are silent: those who wait are told so rather than kept."""
-        return all(server.is_silent(now_ms) and server.in_use for server in self._servers.values())
+        return all(
+            server.is_unresponsive(now_ms) and server.in_use for server in self._servers.values()
+        )
 
     def _expected_wait_ms(self, ahead: int, now_ms: float) -> float:
         """Return how long a request waits that has so many before it."""
-        usual_ms = self._usual_ms
+        usual_ms = self._mean_service_ms
         per_ms = sum(_per_ms(server, usual_ms, now_ms) for server in self._servers.values())
         return (ahead + 1) / per_ms if per_ms else math.inf
 
 
 def _per_ms(server: _Server, usual_ms: float, now_ms: float) -> float:
     """Return how many requests a server runs in a millisecond."""
-    if server.is_silent(now_ms):
+    if server.is_unresponsive(now_ms):
         return 0.0
-    return min(server.per_s(now_ms) / 1000, server.slots / (server.work_ms or usual_ms))
+    return min(server.per_s(now_ms) / 1000, server.slots / (server.service_ms or usual_ms))
 
 
 def _expected_ms(server: _Server, zone: str, usual_ms: float, now_ms: float) -> float:
     """Return how long a request would take there, with a preference for its own zone."""
-    work_ms = server.work_ms or usual_ms
+    work_ms = server.service_ms or usual_ms
     cold = COLD_FACTOR if server.bounds.is_cold(server.server_id, now_ms) else 1.0
     far = OTHER_ZONE_FACTOR if server.zone != zone else 1.0
     return work_ms * cold * far * max(1.0, (server.in_use + 1) / server.slots)
--- a/ploverhatch/admission/dispatcher_choice.py
+++ b/ploverhatch/admission/dispatcher_choice.py
@@ -13,8 +13,8 @@
 from ploverhatch.admission import groups
 from ploverhatch.admission.groups import GroupName
 
-PASSED_MS = 1000.0  # how long a node that did not answer keeps no queue, as seen from here
-# A node that has not answered for so long is unreachable: it was asked twice, PASSED_MS apart.
+SKIPPED_MS = 1000.0  # how long a node that did not answer keeps no queue, as seen from here
+# A node that has not answered for so long is unreachable: it was asked twice, SKIPPED_MS apart.
 # Until then no other node enforces rate limits in its place.
 UNREACHABLE_MS = 1000.0
 
@@ -23,49 +23,51 @@
 class DispatcherChoice:
     """What one node knows of the others as dispatchers."""
 
-    _passed_ms: dict[str, float] = field(default_factory=dict)  # until when
-    _silent_since_ms: dict[str, float] = field(default_factory=dict)
+    _skipped_until_ms: dict[str, float] = field(default_factory=dict)  # until when
+    _unresponsive_since_ms: dict[str, float] = field(default_factory=dict)
 
-    def passed(self, now_ms: float) -> Collection[str]:
+    def skipped(self, now_ms: float) -> Collection[str]:
         """Return the nodes that are not asked now."""
-        self._passed_ms = {node: end for node, end in self._passed_ms.items() if end > now_ms}
-        return self._passed_ms.keys()
+        self._skipped_until_ms = {
+            node: end for node, end in self._skipped_until_ms.items() if end > now_ms
+        }
+        return self._skipped_until_ms.keys()
 
-    def asked(self, name: GroupName, members: Mapping[str, str], now_ms: float) -> str:
+    def choose(self, name: GroupName, members: Mapping[str, str], now_ms: float) -> str:
         """Return the node to ask for a slot of a group; empty where there is none.
 
         :param members: zones of all nodes by address.
         """
-        return groups.dispatcher(name, members, self.passed(now_ms))
+        return groups.dispatcher_of(name, members, self.skipped(now_ms))
 
-    def enforces(
+    def enforces_limits(
         self, name: GroupName, node: str, members: Mapping[str, str], now_ms: float
     ) -> bool:
         """Whether a node enforces the rate limits of a group: the first of the reachable ones."""
         unreachable = {
             other
-            for other, since_ms in self._silent_since_ms.items()
+            for other, since_ms in self._unresponsive_since_ms.items()
             if now_ms - since_ms >= UNREACHABLE_MS and other != node
         }
-        return groups.dispatcher(name, members, unreachable) == node
+        return groups.dispatcher_of(name, members, unreachable) == node
 
-    def answered(self, node: str) -> None:
+    def note_answer(self, node: str) -> None:
         """A node gave an answer."""
-        self._silent_since_ms.pop(node, None)
+        self._unresponsive_since_ms.pop(node, None)
 
-    def returned(self, node: str) -> None:
+    def note_return(self, node: str) -> None:
         """A node keeps its queues again."""
-        self._passed_ms.pop(node, None)
-        self._silent_since_ms.pop(node, None)
+        self._skipped_until_ms.pop(node, None)
+        self._unresponsive_since_ms.pop(node, None)
 
-    def not_answered(self, node: str, now_ms: float) -> bool:
+    def note_no_answer(self, node: str, now_ms: float) -> bool:
         """A node gave no answer in time; true if it is passed over from now on."""
-        is_news = node not in self.passed(now_ms)
-        self._passed_ms[node] = now_ms + PASSED_MS
-        self._silent_since_ms.setdefault(node, now_ms)
+        is_news = node not in self.skipped(now_ms)
+        self._skipped_until_ms[node] = now_ms + SKIPPED_MS
+        self._unresponsive_since_ms.setdefault(node, now_ms)
         return is_news
 
-    def stops(self, node: str, now_ms: float) -> None:
+    def note_stopping(self, node: str, now_ms: float) -> None:
         """A node said that it is about to stop."""
-        self._passed_ms[node] = now_ms + PASSED_MS
-        self._silent_since_ms[node] = -math.inf
+        self._skipped_until_ms[node] = now_ms + SKIPPED_MS
+        self._unresponsive_since_ms[node] = -math.inf
--- a/ploverhatch/admission/groups.py
+++ b/ploverhatch/admission/groups.py
@@ -14,7 +14,7 @@
 
 from ploverhatch.state.servers import ServerRecord
 
-MOST_SERVERS = 48  # of a group of a whole service: more are divided by zone
+MAX_GROUP_SERVERS = 48  # of a group of a whole service: more are divided by zone
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     :param regions: whose servers may be used; all where none is named.
     """
     usable = [record for record in records if not record.leaving and record.lies_in(regions)]
-    divided = len(usable) > MOST_SERVERS
+    divided = len(usable) > MAX_GROUP_SERVERS
     allowed = tuple(sorted(regions))
     names = [GroupName(item.service, item.zone if divided else "", "", allowed) for item in usable]
     return dict(Counter(names))
@@ -59,7 +59,7 @@
     ]
 
 
-def dispatcher(name: GroupName, nodes: Mapping[str, str], passed: Collection[str]) -> str:
+def dispatcher_of(name: GroupName, nodes: Mapping[str, str], passed: Collection[str]) -> str:
     """Return the address of the node that keeps a group's queue; empty without any.
 
     :param nodes: zones by address.
--- a/ploverhatch/admission/messages.py
+++ b/ploverhatch/admission/messages.py
@@ -4,10 +4,10 @@
 
 # By server: requests a second that it takes from all nodes together, infinite where it names
 # no limit any more, and how many milliseconds ago it said so.
-ToldLimits = dict[str, tuple[float, float]]
+ReportedLimits = dict[str, tuple[float, float]]
 
 
-class SlotAsk(msgspec.Struct, array_like=True, frozen=True, tag=5):
+class SlotRequestMessage(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """Ask for a slot of one of a group's servers.
 
     ``number`` names the request at its sender. An answer is in time if the slot is
@@ -32,15 +32,15 @@
     priority: int
     useful_ms: float
     wait_ms: float
-    hold_ms: float
+    lease_ms: float
     avoid: str = ""
     regions: tuple[str, ...] = ()
-    barred: tuple[str, ...] = ()
-    limits: ToldLimits = {}
-    elsewhere: bool = False
+    excluded: tuple[str, ...] = ()
+    limits: ReportedLimits = {}
+    served_elsewhere: bool = False
 
 
-class SlotWord(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class SlotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """The answer: a server's slot, a place in the queue, or neither.
 
     ``server`` is the server whose slot is given. ``after_ms`` says to one that is
@@ -51,11 +51,11 @@
     number: int
     server: str = ""
     queued: bool = False
-    after_ms: float = 0.0
+    retry_after_ms: float = 0.0
     leaving: bool = False
 
 
-class SlotReturn(msgspec.Struct, array_like=True, frozen=True, tag=7):
+class SlotRelease(msgspec.Struct, array_like=True, frozen=True, tag=7):
     """Give a slot back, or a place in the queue.
 
     ``took_ms`` is how long the server worked, 0 where that says nothing of it;
@@ -68,14 +68,14 @@
     service: str
     group_zone: str
     holder: str
-    took_ms: float = 0.0
+    service_ms: float = 0.0
     failed: bool = False
     unanswered: bool = False
     regions: tuple[str, ...] = ()
-    limits: ToldLimits = {}
+    limits: ReportedLimits = {}
 
 
-class HeldAsk(msgspec.Struct, array_like=True, frozen=True, tag=13):
+class HeldSlotsRequest(msgspec.Struct, array_like=True, frozen=True, tag=13):
     """Asks a node which slots of a group it holds, whoever gave them."""
 
     service: str
@@ -84,7 +84,7 @@
     regions: tuple[str, ...] = ()
 
 
-class HeldWord(msgspec.Struct, array_like=True, frozen=True, tag=14):
+class HeldSlotsReply(msgspec.Struct, array_like=True, frozen=True, tag=14):
     """The answer: of each slot its request's number, its server and the milliseconds left."""
 
     service: str
--- a/ploverhatch/admission/request_rate.py
+++ b/ploverhatch/admission/request_rate.py
@@ -18,7 +18,7 @@
 
 from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
-MOST_SAVED = 1.0  # requests that may be given at once: the rate holds in each second
+MAX_SAVED_REQUESTS = 1.0  # requests that may be given at once: the rate holds in each second
 # Queued requests are served at a fixed tick: a smaller burst would cap rates at one a tick.
 SAVED_S = 0.02
 NO_BOUND = math.inf
@@ -59,9 +59,9 @@
 
     per_s: float
     filled_ms: float
-    _tokens: float = MOST_SAVED
+    _tokens: float = MAX_SAVED_REQUESTS
 
-    def bind(self, per_s: float, now_ms: float) -> None:
+    def set_rate(self, per_s: float, now_ms: float) -> None:
         """Take the rate that binds from now on; nothing is saved while none does."""
         if per_s == self.per_s:
             return
@@ -75,12 +75,12 @@
         self._fill(now_ms)
         return self._tokens >= 1.0
 
-    def take(self, now_ms: float) -> None:
+    def take_token(self, now_ms: float) -> None:
         """A request is given now."""
         self._fill(now_ms)
         self._tokens -= 1.0
 
     def _fill(self, now_ms: float) -> None:
         earned = (now_ms - self.filled_ms) * self.per_s / 1000
-        self._tokens = min(max(MOST_SAVED, self.per_s * SAVED_S), self._tokens + earned)
+        self._tokens = min(max(MAX_SAVED_REQUESTS, self.per_s * SAVED_S), self._tokens + earned)
         self.filled_ms = now_ms
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -16,7 +16,14 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ploverhatch.admission.dispatcher import Answer, Asker, Given, Group, TurnedAway, Wish
+from ploverhatch.admission.dispatcher import (
+    Group,
+    Requester,
+    SlotGranted,
+    SlotRejected,
+    SlotRequest,
+    SlotResult,
+)
 from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, MOVE_PART, USEFUL_PART, WAIT_PART
 from ploverhatch.sharding import reading
 from ploverhatch.sharding.keymap import KEY_COUNT, KeyMap
@@ -256,8 +263,8 @@
         scenario = self.scenario
         server = self._servers[item.holder.server_id]
         start_ms = request.arrived_ms
-        wish = Wish(
-            Asker(NODE, request.number),
+        wish = SlotRequest(
+            Requester(NODE, request.number),
             1,
             start_ms + scenario.objective_ms * USEFUL_PART,
             start_ms + scenario.deadline_ms * WAIT_PART,
@@ -265,15 +272,15 @@
             zone="zone",
         )
         self._asked[request.number] = request
-        self._take(server, server.group.ask(wish, self.now_ms))
+        self._take(server, server.group.request_slot(wish, self.now_ms))
 
-    def _take(self, server: _Server, answers: list[Answer]) -> None:
+    def _take(self, server: _Server, answers: list[SlotResult]) -> None:
         for answer in answers:
-            if isinstance(answer, Given):
-                request = self._asked.pop(answer.asker.number)
+            if isinstance(answer, SlotGranted):
+                request = self._asked.pop(answer.requester.number)
                 self._later(CALL_MS / 2, partial(self._reach, request, server))
-            elif isinstance(answer, TurnedAway):
-                request = self._asked.pop(answer.asker.number)
+            elif isinstance(answer, SlotRejected):
+                request = self._asked.pop(answer.requester.number)
                 self.tally.turned_away += 1
                 self.tally.ended(request.arrived_ms - WARM_UP_MS, 0.0)
 
@@ -361,8 +368,8 @@
     def _give_back(
         self, request: _Request, server: _Server, took_ms: float, unanswered: bool = False
     ) -> None:
-        asker = Asker(NODE, request.number)
-        answers = server.group.give_back(asker, took_ms, unanswered, self.now_ms, unanswered)
+        asker = Requester(NODE, request.number)
+        answers = server.group.release(asker, took_ms, unanswered, self.now_ms, unanswered)
         self._take(server, answers)
 
     # ---- the leader ---------------------------------------------------------------------
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -15,7 +15,14 @@
 from typing_extensions import override
 
 from ploverhatch.admission import groups
-from ploverhatch.admission.dispatcher import Answer, Asker, Given, Group, TurnedAway, Wish
+from ploverhatch.admission.dispatcher import (
+    Group,
+    Requester,
+    SlotGranted,
+    SlotRejected,
+    SlotRequest,
+    SlotResult,
+)
 from ploverhatch.admission.groups import GroupName
 from ploverhatch.experiment.slots_world import SERVICE, Request, World
 from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, USEFUL_PART, WAIT_PART
@@ -139,7 +146,7 @@
         self._groups = {name: Group() for name in self._sizes}
         for name, group in self._groups.items():
             group.set_members(groups.members_of(name, records), 0.0)
-        self._waiting: dict[int, tuple[Request, GroupName, Wish, list[GroupName]]] = {}
+        self._waiting: dict[int, tuple[Request, GroupName, SlotRequest, list[GroupName]]] = {}
         world.later(EXPIRE_EVERY_MS, self._expire)
 
     def _expire(self) -> None:
@@ -156,32 +163,34 @@
         if others:
             weights = [self._sizes[name] for name in others]
             near.append(world.rng.choices(others, weights)[0])
-        wish = Wish(
-            Asker((SERVICE, 0), request.number),
+        wish = SlotRequest(
+            Requester((SERVICE, 0), request.number),
             priority=0,
-            useful_ms=request.arrived_ms + scenario.objective_ms * USEFUL_PART,
-            until_ms=request.arrived_ms + scenario.deadline_ms * WAIT_PART,
-            hold_ms=scenario.deadline_ms + HOLD_MARGIN_MS,
+            useful_until_ms=request.arrived_ms + scenario.objective_ms * USEFUL_PART,
+            expires_ms=request.arrived_ms + scenario.deadline_ms * WAIT_PART,
+            lease_ms=scenario.deadline_ms + HOLD_MARGIN_MS,
             zone=zone,
         )
         self._ask(request, wish, near)
 
-    def _ask(self, request: Request, wish: Wish, names: list[GroupName]) -> None:
+    def _ask(self, request: Request, wish: SlotRequest, names: list[GroupName]) -> None:
         name, rest = names[0], names[1:]
         part = NEAR_PART if rest else 1.0
         now_ms = self._world.now_ms
-        until_ms = now_ms + (wish.until_ms - now_ms) * part
-        asked = replace(wish, until_ms=until_ms, useful_ms=min(wish.useful_ms, until_ms))
+        until_ms = now_ms + (wish.expires_ms - now_ms) * part
+        asked = replace(
+            wish, expires_ms=until_ms, useful_until_ms=min(wish.useful_until_ms, until_ms)
+        )
         self._waiting[request.number] = (request, name, wish, rest)
         self._world.later(
             self._world.scenario.hop_ms,
-            lambda: self._answer(self._groups[name].ask(asked, self._world.now_ms)),
+            lambda: self._answer(self._groups[name].request_slot(asked, self._world.now_ms)),
         )
 
-    def _answer(self, answers: list[Answer]) -> None:
+    def _answer(self, answers: list[SlotResult]) -> None:
         for answer in answers:
-            if isinstance(answer, Given | TurnedAway):
-                entry = self._waiting.pop(answer.asker.number)
+            if isinstance(answer, SlotGranted | SlotRejected):
+                entry = self._waiting.pop(answer.requester.number)
                 self._world.later(
                     self._world.scenario.hop_ms,
                     partial(self._told, answer, *entry),
@@ -189,14 +198,14 @@
 
     def _told(
         self,
-        answer: Given | TurnedAway,
+        answer: SlotGranted | SlotRejected,
         request: Request,
         name: GroupName,
-        wish: Wish,
+        wish: SlotRequest,
         rest: list[GroupName],
     ) -> None:
         world = self._world
-        if isinstance(answer, TurnedAway):
+        if isinstance(answer, SlotRejected):
             if rest:
                 self._ask(request, wish, rest)
             else:
@@ -206,11 +215,11 @@
 
         def ended(ended: Request, took_ms: float) -> None:
             work_ms = 0.0 if took_ms == math.inf else world.now_ms - sent_ms
-            asker = Asker((SERVICE, 0), ended.number)
+            asker = Requester((SERVICE, 0), ended.number)
             world.later(
                 world.scenario.hop_ms,
                 lambda: self._answer(
-                    self._groups[name].give_back(asker, work_ms, took_ms == math.inf, world.now_ms)
+                    self._groups[name].release(asker, work_ms, took_ms == math.inf, world.now_ms)
                 ),
             )
 
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import replace
 
-from ploverhatch.admission.messages import ToldLimits
+from ploverhatch.admission.messages import ReportedLimits
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
@@ -127,7 +127,7 @@
                 )
                 self.changed.raise_()
 
-    def hear_limits(self, told: ToldLimits, by: str) -> None:
+    def hear_limits(self, told: ReportedLimits, by: str) -> None:
         """Another node tells what servers said of the rate that they take."""
         now_ms = elapsed_ms()
         for server_id, (per_s, age_ms) in told.items():
@@ -135,7 +135,7 @@
                 self._log_limit(server_id, per_s, by)
                 self.changed.raise_()
 
-    def limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
+    def limits_of(self, server_ids: Iterable[str]) -> ReportedLimits:
         """Return what some servers said of the rate that they take, as far as is known."""
         limits, now_ms = self.servers.standings.limits, elapsed_ms()
         return {
@@ -144,7 +144,7 @@
             if name in limits
         }
 
-    def own_limits(self) -> ToldLimits:
+    def own_limits(self) -> ReportedLimits:
         """Return what answers to this node said lately, for the leader."""
         now_ms = elapsed_ms()
         self._heard_limits = {
@@ -155,7 +155,7 @@
         latest = sorted(self._heard_limits, key=self._heard_limits.__getitem__)
         return self.limits_of(latest[-MOST_LIMITS:])
 
-    def next_limits(self) -> ToldLimits:
+    def next_limits(self) -> ReportedLimits:
         """Return the words to tell next; all are told in turn, since messages are short."""
         known = sorted(self.servers.standings.limits)
         after = [name for name in known if name > self._told_limit]
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -15,12 +15,12 @@
 from msgspec.structs import replace
 
 from ploverhatch.admission.messages import (
-    HeldAsk,
-    HeldWord,
-    SlotAsk,
-    SlotReturn,
-    SlotWord,
-    ToldLimits,
+    HeldSlotsReply,
+    HeldSlotsRequest,
+    ReportedLimits,
+    SlotRelease,
+    SlotReply,
+    SlotRequestMessage,
 )
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
@@ -59,10 +59,10 @@
     strength: float = 0.0  # of the sender's machine if it is ready to lead, else 0
     leaving: dict[str, float] = {}
     resting: dict[str, float] = {}
-    limits: ToldLimits = {}
+    limits: ReportedLimits = {}
 
 
-SlotMessage = SlotAsk | SlotWord | SlotReturn | HeldAsk | HeldWord
+SlotMessage = SlotRequestMessage | SlotReply | SlotRelease | HeldSlotsRequest | HeldSlotsReply
 CrashMessage = CrashReport | CrashQuery | TrialMessage
 Message = LoadReport | Told | Beacon | Fragment | SlotMessage | CrashMessage
 Address = tuple[str, int]
@@ -118,7 +118,7 @@
 
     def take_slots(self, taker: Callable[[SlotMessage, Address], None]) -> None:
         """Have messages about slots taken by ``taker``, with their senders' addresses."""
-        for form in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
+        for form in (SlotRequestMessage, SlotReply, SlotRelease, HeldSlotsRequest, HeldSlotsReply):
             self.take_from(form, taker)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -17,17 +17,23 @@
 
 from ploverhatch.admission import groups
 from ploverhatch.admission.dispatcher import (
-    Answer,
-    Asker,
-    Given,
     Group,
-    Queued,
-    TurnedAway,
-    Wish,
+    Requester,
+    SlotGranted,
+    SlotQueued,
+    SlotRejected,
+    SlotRequest,
+    SlotResult,
 )
 from ploverhatch.admission.dispatcher_choice import UNREACHABLE_MS, DispatcherChoice
 from ploverhatch.admission.groups import GroupName
-from ploverhatch.admission.messages import HeldAsk, HeldWord, SlotAsk, SlotReturn, SlotWord
+from ploverhatch.admission.messages import (
+    HeldSlotsReply,
+    HeldSlotsRequest,
+    SlotRelease,
+    SlotReply,
+    SlotRequestMessage,
+)
 from ploverhatch.admission.request_rate import RequestRate, ServerBounds
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
@@ -128,10 +134,10 @@
 
     def __init__(self) -> None:
         self.asked: Address = ("", 0)  # the node whose word is waited for
-        self.word: SlotWord | None = None
+        self.word: SlotReply | None = None
         self._changed = Event()
 
-    def take(self, word: SlotWord) -> None:
+    def take(self, word: SlotReply) -> None:
         """Take a word; a repeated place in the queue tells nothing new."""
         if self.word is None or not word.queued:
             self.word = word
@@ -192,11 +198,11 @@
         self._kept: dict[GroupName, _Kept] = {}
         self._rates: dict[str, RequestRate] = {}  # by server, of all queues that are kept
         self._handlers: dict[type, Callable[..., None]] = {
-            SlotAsk: self._take_ask,
-            SlotWord: self._take_word,
-            SlotReturn: self._take_return,
-            HeldAsk: self._take_held_ask,
-            HeldWord: self._take_held_word,
+            SlotRequestMessage: self._take_ask,
+            SlotReply: self._take_word,
+            SlotRelease: self._take_return,
+            HeldSlotsRequest: self._take_held_ask,
+            HeldSlotsReply: self._take_held_word,
         }
         self.leaving = False  # this node is about to stop: others keep the queues
 
@@ -259,8 +265,8 @@
             if word is not None and word.server:
                 slot.server_id, slot.dispatcher = word.server, asked[-1]
                 self._note_given(number, name, slot, wish.hold_ms)
-            elif word is not None and word.after_ms > 0:
-                raise TurnedAwayError(word.after_ms, asked[-1])
+            elif word is not None and word.retry_after_ms > 0:
+                raise TurnedAwayError(word.retry_after_ms, asked[-1])
             yield slot if slot.server_id else None
         finally:
             del self._pending[number]
@@ -268,7 +274,7 @@
 
     def _await_word(
         self, number: int, name: GroupName, wish: SlotWish, wait_ms: float, asked: list[str]
-    ) -> SlotWord | None:
+    ) -> SlotReply | None:
         """Return a dispatcher's last word, asking the next one where one stops or is silent.
 
         :param asked: takes the nodes that may have given a slot; the last one gave the word.
@@ -276,7 +282,7 @@
         pending, start_ms, silent = self._pending[number], elapsed_ms(), 0
         for _ in range(ASKED_NODES):
             spent_ms = elapsed_ms() - start_ms
-            node = self._choice.asked(name, self._members(), elapsed_ms())
+            node = self._choice.choose(name, self._members(), elapsed_ms())
             if not node or (silent and (spent_ms >= wait_ms or self._is_in_doubt(name, node))):
                 return None
             left = wish.after(spent_ms)
@@ -293,7 +299,7 @@
             if silent >= SILENT_NODES:
                 return None
             if word is not None:
-                self._choice.stops(node, elapsed_ms())
+                self._choice.note_stopping(node, elapsed_ms())
                 pending.word = None
         return None
 
@@ -313,7 +319,7 @@
         """Return a slot, or a place in the queue, to all dispatchers that may count it."""
         held = self._held.pop(number, None)
         keepers: set[Address] = {HostPort.parse(node) for node in asked}
-        back = SlotReturn(
+        back = SlotRelease(
             number,
             name.service,
             name.zone,
@@ -329,8 +335,8 @@
 
     def _ask_for(
         self, number: int, name: GroupName, wish: SlotWish, wait_ms: float, asked: str
-    ) -> SlotAsk:
-        return SlotAsk(
+    ) -> SlotRequestMessage:
+        return SlotRequestMessage(
             number,
             name.service,
             name.zone,
@@ -352,7 +358,7 @@
         node, at_ms = self._served_by.get(name, ("", 0.0))
         if node and elapsed_ms() - at_ms < ELSEWHERE_MS:
             return node != asked
-        return asked != groups.dispatcher(name, self._members(), ())
+        return asked != groups.dispatcher_of(name, self._members(), ())
 
     def _limited(self, name: GroupName) -> list[str]:
         """Return the servers of a group that named a limit."""
@@ -374,25 +380,25 @@
             raise TurnedAwayError(UNREACHABLE_MS)
         return replace(wish, barred=tuple(sorted({*wish.barred, *limited})))
 
-    def _ask(self, ask: SlotAsk, pending: _Pending, node: str) -> SlotWord | None:
+    def _ask(self, ask: SlotRequestMessage, pending: _Pending, node: str) -> SlotReply | None:
         """Return a dispatcher's answer; ``None`` when there is none in time."""
         address = pending.asked = HostPort.parse(node)
         for _ in range(ASKED_TIMES):
             self._send(ask, address)
             if pending.wait(ANSWER_S):
                 return pending.word
-        if self._choice.not_answered(node, elapsed_ms()):
+        if self._choice.note_no_answer(node, elapsed_ms()):
             LOG.info(
                 "Dispatcher does not answer.", node=node, service=ask.service, zone=ask.group_zone
             )
         return None
 
-    def _await_turn(self, pending: _Pending, word: SlotWord, wait_ms: float) -> SlotWord:
+    def _await_turn(self, pending: _Pending, word: SlotReply, wait_ms: float) -> SlotReply:
         """Wait for the slot of a request that has a place in the queue."""
         if pending.word is word:
             pending.wait(wait_ms / 1000 + LATE_S)
         if pending.word is None or pending.word is word:
-            return SlotWord(word.number, after_ms=wait_ms)
+            return SlotReply(word.number, retry_after_ms=wait_ms)
         return pending.word
 
     # ---- messages -----------------------------------------------------------------------
@@ -401,9 +407,9 @@
         """Take a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
-    def _take_word(self, word: SlotWord, peer: Address) -> None:
+    def _take_word(self, word: SlotReply, peer: Address) -> None:
         if not word.leaving:
-            self._choice.answered(f"{peer[0]}:{peer[1]}")
+            self._choice.note_answer(f"{peer[0]}:{peer[1]}")
         pending = self._pending.get(word.number)
         if pending is None:
             return  # the request is over, and gave everything back
@@ -411,18 +417,18 @@
             return  # a repeated answer of a node that was passed over
         pending.take(word)
 
-    def _take_ask(self, ask: SlotAsk, peer: Address) -> None:
+    def _take_ask(self, ask: SlotRequestMessage, peer: Address) -> None:
         name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
         ceded_ms = self._ceded_ms.get(name, -1e12)
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
-            self._send(SlotWord(ask.number, leaving=True), peer)
+            self._send(SlotReply(ask.number, leaving=True), peer)
             return
         self._directory.hear_limits(ask.limits, BY_ASKER)
         now_ms = elapsed_ms()
         is_new = name not in self._kept
         kept = self._kept.setdefault(name, _Kept(Group(rates=self._rates)))
         kept.used_ms = now_ms
-        if is_new or (ask.elsewhere and now_ms - kept.asked_ms >= RELEARN_MS):
+        if is_new or (ask.served_elsewhere and now_ms - kept.asked_ms >= RELEARN_MS):
             self._learn_held(name, kept, now_ms)
         if now_ms - kept.refreshed_ms > REFRESH_MS:
             servers = self._directory.servers
@@ -430,17 +436,17 @@
             records = groups.members_of(name, servers.of_service(ask.service))
             kept.group.set_members(records, now_ms, bounds)
             kept.refreshed_ms = now_ms
-        wish = Wish(
-            Asker(peer, ask.number),
+        wish = SlotRequest(
+            Requester(peer, ask.number),
             ask.priority,
             now_ms + ask.useful_ms,
             now_ms + ask.wait_ms,
-            ask.hold_ms,
+            ask.lease_ms,
             ask.avoid,
             ask.zone,
-            frozenset(ask.barred),
+            frozenset(ask.excluded),
         )
-        self._answer(kept.group.ask(wish, now_ms))
+        self._answer(kept.group.request_slot(wish, now_ms))
 
     def _learn_held(self, name: GroupName, kept: _Kept, now_ms: float) -> None:
         """Ask all nodes which slots they hold: another dispatcher may have given them."""
@@ -448,12 +454,12 @@
         kept.awaited = {HostPort.parse(member) for member in self._members()}
         if not kept.awaited:
             return
-        kept.group.learn(now_ms + LONGEST_LEARN_MS)
-        ask = HeldAsk(name.service, name.zone, name.holder, name.regions)
+        kept.group.start_learning(now_ms + LONGEST_LEARN_MS)
+        ask = HeldSlotsRequest(name.service, name.zone, name.holder, name.regions)
         for address in kept.awaited:
             self._send(ask, address)
 
-    def _take_held_ask(self, ask: HeldAsk, peer: Address) -> None:
+    def _take_held_ask(self, ask: HeldSlotsRequest, peer: Address) -> None:
         name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
         now_ms = elapsed_ms()
         self._make_way(name, f"{peer[0]}:{peer[1]}", now_ms)
@@ -462,7 +468,9 @@
             if held.name == name:
                 held.keepers.add(peer)
                 told.append((number, held.server_id, held.until_ms - now_ms))
-        word = HeldWord(ask.service, ask.group_zone, ask.holder, ask.regions, told[:MOST_HELD])
+        word = HeldSlotsReply(
+            ask.service, ask.group_zone, ask.holder, ask.regions, told[:MOST_HELD]
+        )
         self._send(word, peer)
 
     def _make_way(self, name: GroupName, keeper: str, now_ms: float) -> None:
@@ -470,27 +478,27 @@
 
         Else both would give the same slots, each to the nodes that have it for the dispatcher.
         """
-        self._choice.returned(keeper)
+        self._choice.note_return(keeper)
         members = self._members()
         both = {node: members[node] for node in (keeper, self._own) if node in members}
-        if len(both) < 2 or groups.dispatcher(name, both, ()) != keeper:
+        if len(both) < 2 or groups.dispatcher_of(name, both, ()) != keeper:
             return
         self._ceded_ms[name] = now_ms
         kept = self._kept.pop(name, None)
         if kept is not None:
             self._dismiss(kept)
 
-    def _take_held_word(self, word: HeldWord, peer: Address) -> None:
+    def _take_held_word(self, word: HeldSlotsReply, peer: Address) -> None:
         name = GroupName(word.service, word.group_zone, word.holder, word.regions)
         kept = self._kept.get(name)
         if kept is None or peer not in kept.awaited:
             return
         now_ms = elapsed_ms()
         for number, server_id, left_ms in word.held:
-            kept.group.adopt(Asker(peer, number), server_id, left_ms, now_ms)
+            kept.group.adopt(Requester(peer, number), server_id, left_ms, now_ms)
         kept.awaited.discard(peer)
         if not kept.awaited:
-            self._answer(kept.group.learned(now_ms))
+            self._answer(kept.group.finish_learning(now_ms))
 
     def _bounds(self, name: GroupName) -> ServerBounds:
         """Return what bounds the servers of a group whose queue this node keeps.
@@ -511,20 +519,20 @@
         )
 
     def _enforces_limits(self, name: GroupName, node: str) -> bool:
-        return self._choice.enforces(name, node, self._members(), elapsed_ms())
+        return self._choice.enforces_limits(name, node, self._members(), elapsed_ms())
 
-    def _take_return(self, message: SlotReturn, peer: Address) -> None:
+    def _take_return(self, message: SlotRelease, peer: Address) -> None:
         self._directory.hear_limits(message.limits, BY_ASKER)
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         kept = self._kept.get(name)
         if kept is not None:
-            asker = Asker(peer, message.number)
-            took_ms, failed, silent = message.took_ms, message.failed, message.unanswered
-            self._answer(kept.group.give_back(asker, took_ms, failed, elapsed_ms(), silent))
+            asker = Requester(peer, message.number)
+            took_ms, failed, silent = message.service_ms, message.failed, message.unanswered
+            self._answer(kept.group.release(asker, took_ms, failed, elapsed_ms(), silent))
 
-    def _answer(self, answers: list[Answer]) -> None:
+    def _answer(self, answers: list[SlotResult]) -> None:
         for answer in answers:
-            self._send(_word(answer), answer.asker.node)
+            self._send(_word(answer), answer.requester.node)
 
     def dismiss_waiting(self) -> None:
         """Send those who wait here to the nodes that keep the queues from now on.
@@ -535,8 +543,8 @@
             self._dismiss(kept)
 
     def _dismiss(self, kept: _Kept) -> None:
-        for asker in kept.group.dismiss():
-            self._send(SlotWord(asker.number, leaving=True), asker.node)
+        for asker in kept.group.clear_queue():
+            self._send(SlotReply(asker.number, leaving=True), asker.node)
 
     def _forget_old(self, now_ms: float) -> None:
         ceded, served_by = self._ceded_ms, self._served_by
@@ -558,10 +566,10 @@
             now_ms = elapsed_ms()
             self._forget_old(now_ms)
             for name, kept in list(self._kept.items()):
-                if self.leaving or (kept.group.waiting and kept.group.gives_nothing(now_ms)):
+                if self.leaving or (kept.group.waiting and kept.group.grants_nothing(now_ms)):
                     self._dismiss(kept)
                 if kept.group.is_learning and now_ms - kept.asked_ms >= LEARN_MS:
-                    self._answer(kept.group.learned(now_ms))
+                    self._answer(kept.group.finish_learning(now_ms))
                 if kept.group.waiting:
                     self._answer(kept.group.expire(now_ms))
                 elif now_ms - kept.used_ms > FORGET_MS:
@@ -569,10 +577,12 @@
                     self._forget_rates()
 
 
-def _word(answer: Answer) -> SlotWord:
-    number = answer.asker.number
-    if isinstance(answer, Given):
-        return SlotWord(number, answer.server_id)
-    if isinstance(answer, Queued):
-        return SlotWord(number, queued=True)
-    return SlotWord(number, after_ms=answer.after_ms if isinstance(answer, TurnedAway) else 0.0)
+def _word(answer: SlotResult) -> SlotReply:
+    number = answer.requester.number
+    if isinstance(answer, SlotGranted):
+        return SlotReply(number, answer.server_id)
+    if isinstance(answer, SlotQueued):
+        return SlotReply(number, queued=True)
+    return SlotReply(
+        number, retry_after_ms=answer.retry_after_ms if isinstance(answer, SlotRejected) else 0.0
+    )
--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -64,7 +64,7 @@
 def keeper_of(site):
     """Return the gateway that keeps the queue of the service that anyone may serve."""
     zones = {f"127.0.0.1:{gateway.internal[0]}": "z1" for gateway in site.gateways}
-    address = groups.dispatcher(GroupName(PLAIN, ""), zones, ())
+    address = groups.dispatcher_of(GroupName(PLAIN, ""), zones, ())
     return next(g for g in site.gateways if f"127.0.0.1:{g.internal[0]}" == address)
 
 
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -44,7 +44,7 @@
     """Return the nodes in the order in which they keep a group's queue."""
     names = []
     for _ in cluster.nodes:
-        names.append(groups.dispatcher(name, cluster.zones, set(names)))
+        names.append(groups.dispatcher_of(name, cluster.zones, set(names)))
     return [next(node for node in cluster.nodes if node.name == name) for name in names]
 
 
@@ -106,9 +106,11 @@
     for node in cluster.nodes:
         node.directory.take_notice("s0", LIMIT)
     lost = iter([True, True])  # both questions of one request
-    third.lost = lambda message: type(message).__name__ == "SlotAsk" and next(lost, False)
+    third.lost = lambda message: (
+        type(message).__name__ == "SlotRequestMessage" and next(lost, False)
+    )
     servers = given(third, 0.8)
-    assert first.name in third.slots._choice.passed(elapsed_ms())
+    assert first.name in third.slots._choice.skipped(elapsed_ms())
     assert set(servers) == {"s1"}  # the second one in rank gives what is not limited
     gevent.sleep(0.5)
     assert "s0" in given(third, 1.0)
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -115,7 +115,7 @@
 
 
 def test_servers_of_the_own_zone_come_first_and_others_when_they_are_full(start, monkeypatch):
-    monkeypatch.setattr(groups, "MOST_SERVERS", 1)
+    monkeypatch.setattr(groups, "MAX_GROUP_SERVERS", 1)
     cluster = start([record(0, "a"), record(1, "b")])
     with ExitStack() as held:
         given = cluster.hold_all(held, 6)
@@ -164,7 +164,7 @@
 
 
 def test_the_time_spent_in_the_own_zone_is_not_spent_again(start, monkeypatch):
-    monkeypatch.setattr(groups, "MOST_SERVERS", 1)
+    monkeypatch.setattr(groups, "MAX_GROUP_SERVERS", 1)
     cluster = start([record(0, "a"), record(1, "b")])
     with ExitStack() as held:
         cluster.hold_all(held, 6)
@@ -190,7 +190,7 @@
 
 def test_a_slot_whose_return_is_lost_comes_free(start):
     cluster = start([record(0)])
-    cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotReturn"
+    cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotRelease"
     for _ in range(3):
         with cluster.nodes[0].slots.hold(wish(holder=record(0), hold_ms=150.0)) as slot:
             assert slot is not None
@@ -203,7 +203,7 @@
     nodes = cluster.nodes
     keeper = keeper_of(cluster, HOLDER)
     asker = next(node for node in nodes if node is not keeper)
-    keeper.lost = lambda message: type(message).__name__ == "SlotWord"
+    keeper.lost = lambda message: type(message).__name__ == "SlotReply"
     with asker.slots.hold(wish(holder=record(0))) as slot:
         assert slot is not None
         assert slot.dispatcher != keeper.name
@@ -213,7 +213,7 @@
 
 
 def keeper_of(cluster, name):
-    address = groups.dispatcher(name, cluster.zones, ())
+    address = groups.dispatcher_of(name, cluster.zones, ())
     return next(node for node in cluster.nodes if node.name == address)
 
 
@@ -233,7 +233,7 @@
     """Return the nodes in the order in which they keep the queue of the holder."""
     names = []
     for _ in cluster.nodes:
-        names.append(groups.dispatcher(HOLDER, cluster.zones, set(names)))
+        names.append(groups.dispatcher_of(HOLDER, cluster.zones, set(names)))
     return [next(node for node in cluster.nodes if node.name == name) for name in names]
 
 
@@ -261,7 +261,7 @@
 
     def answer_late(message, peer):
         """Answer the first ask when the second one comes, and that one when it is too late."""
-        if type(message).__name__ == "SlotAsk":
+        if type(message).__name__ == "SlotRequestMessage":
             asks.append(message)
             if len(asks) == 2:
                 take(asks[0], peer)
@@ -269,9 +269,8 @@
 
     first.link.take_slots(answer_late)
     with ExitStack() as held:
-        second.slots._choice._passed_ms[first.name] = (
-            elapsed_ms() + 9000.0
-        )  # not asked by those who hold
+        # The requests that hold slots don't ask it.
+        second.slots._choice._skipped_until_ms[first.name] = elapsed_ms() + 9000.0
         for _ in range(3):
             held.enter_context(second.slots.hold(wish(holder=record(0), hold_ms=9000.0)))
         assert second.slots.in_use == 3
@@ -305,11 +304,11 @@
 
     def is_first_ask(message):
         asks.append(type(message).__name__)
-        return asks == ["SlotAsk"]
+        return asks == ["SlotRequestMessage"]
 
     def answer_and_stand_still(message, peer):
         take(message, peer)
-        if type(message).__name__ == "SlotAsk":
+        if type(message).__name__ == "SlotRequestMessage":
             time.sleep(3 * ANSWER_S)  # the whole process
 
     take = keeper.slots.take
--- a/tests/unit/test_cold_servers.py
+++ b/tests/unit/test_cold_servers.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ploverhatch.admission.dispatcher import Asker, Given, Group, Queued, Wish
+from ploverhatch.admission.dispatcher import Group, Requester, SlotGranted, SlotQueued, SlotRequest
 from ploverhatch.admission.request_rate import RequestRate, ServerBounds
 from ploverhatch.state.servers import ServerRecord, ServerSet
 
@@ -19,8 +19,8 @@
 
 
 def wish(number, now_ms, wait_ms=400.0):
-    return Wish(
-        Asker(NODE, number), 1, now_ms + wait_ms, now_ms + wait_ms, 1000.0, avoid="", zone="a"
+    return SlotRequest(
+        Requester(NODE, number), 1, now_ms + wait_ms, now_ms + wait_ms, 1000.0, avoid="", zone="a"
     )
 
 
@@ -42,10 +42,10 @@
     now_ms, number = start_ms, int(start_ms) * 1000
     while now_ms < start_ms + span_ms:
         number += 1
-        answers = made.ask(wish(number, now_ms), now_ms) + made.expire(now_ms)
-        for answer in (item for item in answers if isinstance(item, Given)):
+        answers = made.request_slot(wish(number, now_ms), now_ms) + made.expire(now_ms)
+        for answer in (item for item in answers if isinstance(item, SlotGranted)):
             given_ms.setdefault(answer.server_id, []).append(now_ms)
-            made.give_back(answer.asker, 0.0, False, now_ms)
+            made.release(answer.requester, 0.0, False, now_ms)
         now_ms += step_ms
     return given_ms
 
@@ -93,18 +93,18 @@
 
 def test_without_a_bound_a_cold_server_is_merely_the_last_choice():
     made = group([record(0), record(1)], {"s0": 1e9}, per_s=0.0)
-    answers = [made.ask(wish(number, 0.0), 0.0)[0] for number in range(7)]
+    answers = [made.request_slot(wish(number, 0.0), 0.0)[0] for number in range(7)]
     assert [answer.server_id for answer in answers[:2]] == ["s1", "s1"]
     assert {answer.server_id for answer in answers} == {"s0", "s1"}
 
 
 def test_a_request_waits_for_the_next_token_of_a_cold_server():
     made = group([record(0)], {"s0": 1e9})
-    assert isinstance(made.ask(wish(1, 0.0), 0.0)[0], Given)
-    assert isinstance(made.ask(wish(2, 0.0), 0.0)[0], Queued)
+    assert isinstance(made.request_slot(wish(1, 0.0), 0.0)[0], SlotGranted)
+    assert isinstance(made.request_slot(wish(2, 0.0), 0.0)[0], SlotQueued)
     assert made.expire(100.0) == []
     (answer,) = made.expire(150.0)
-    assert isinstance(answer, Given)
+    assert isinstance(answer, SlotGranted)
 
 
 @settings(max_examples=200, derandomize=True, database=None, deadline=None)
@@ -118,7 +118,7 @@
     for gap in gaps:
         now_ms += gap
         if rate.has_token(now_ms):
-            rate.take(now_ms)
+            rate.take_token(now_ms)
             taken.append(now_ms)
     assert most_in_a_second(taken) <= per_s + 1 + 1e-6
 
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -11,14 +11,14 @@
 from ploverhatch.admission import groups
 from ploverhatch.admission.dispatcher import (
     FAILING_MS,
-    SILENT_FACTOR,
-    Asker,
-    Given,
+    UNRESPONSIVE_FACTOR,
     Group,
-    Queued,
-    TurnedAway,
-    Unknown,
-    Wish,
+    NoKnownServer,
+    Requester,
+    SlotGranted,
+    SlotQueued,
+    SlotRejected,
+    SlotRequest,
 )
 from ploverhatch.admission.groups import GroupName
 from ploverhatch.admission.request_rate import ServerBounds
@@ -35,7 +35,7 @@
 
 def wish(number, priority=1, until_ms=500.0, hold_ms=1000.0, avoid="", useful_ms=None):
     useful_ms = until_ms if useful_ms is None else useful_ms
-    return Wish(Asker(NODE, number), priority, useful_ms, until_ms, hold_ms, avoid)
+    return SlotRequest(Requester(NODE, number), priority, useful_ms, until_ms, hold_ms, avoid)
 
 
 def group(*records):
@@ -48,164 +48,168 @@
 def full_group():
     made = group(record(0, slots=2))
     for number in range(3):
-        assert isinstance(made.ask(wish(number), 0.0)[0], Given)
+        assert isinstance(made.request_slot(wish(number), 0.0)[0], SlotGranted)
     return made
 
 
 def given_to(answers):
-    return [answer.asker.number for answer in answers if isinstance(answer, Given)]
+    return [answer.requester.number for answer in answers if isinstance(answer, SlotGranted)]
 
 
 def test_a_server_gets_no_more_than_it_has_room_for():
     made = group()
-    answers = [made.ask(wish(number), 0.0)[0] for number in range(ROOM + 1)]
-    assert all(isinstance(answer, Given) for answer in answers[:ROOM])
-    assert isinstance(answers[ROOM], Queued)
+    answers = [made.request_slot(wish(number), 0.0)[0] for number in range(ROOM + 1)]
+    assert all(isinstance(answer, SlotGranted) for answer in answers[:ROOM])
+    assert isinstance(answers[ROOM], SlotQueued)
 
 
 def test_idle_servers_come_first():
     made = group(record(0), record(1))
-    given = Counter(made.ask(wish(number), 0.0)[0].server_id for number in range(2 * SLOTS))
+    given = Counter(
+        made.request_slot(wish(number), 0.0)[0].server_id for number in range(2 * SLOTS)
+    )
     assert given == {"s0": SLOTS, "s1": SLOTS}
 
 
 def test_the_fast_server_comes_first():
     made = group(record(0), record(1))
     for number, took_ms in ((1, 400.0), (2, 50.0)):
-        made.ask(wish(number, avoid="s1" if number == 1 else "s0"), 0.0)
-        made.give_back(Asker(NODE, number), took_ms, False, 1.0)
-    given = [made.ask(wish(number), 2.0)[0].server_id for number in range(10, 10 + SLOTS)]
+        made.request_slot(wish(number, avoid="s1" if number == 1 else "s0"), 0.0)
+        made.release(Requester(NODE, number), took_ms, False, 1.0)
+    given = [made.request_slot(wish(number), 2.0)[0].server_id for number in range(10, 10 + SLOTS)]
     assert given == ["s1"] * SLOTS
 
 
 def test_a_cold_server_comes_later():
     made = group(record(0, warmup_ms=3000.0), record(1))
-    assert made.ask(wish(1), 10.0)[0].server_id == "s1"
+    assert made.request_slot(wish(1), 10.0)[0].server_id == "s1"
 
 
 def test_a_server_that_failed_is_left_alone_for_a_while():
     made = group(record(0), record(1))
-    failed = made.ask(wish(1), 0.0)[0].server_id
-    made.give_back(Asker(NODE, 1), 0.0, True, 1.0)
-    assert made.ask(wish(2, avoid=""), 2.0)[0].server_id != failed
-    assert made.ask(wish(3, avoid=""), FAILING_MS * 2)[0].server_id in {"s0", "s1"}
+    failed = made.request_slot(wish(1), 0.0)[0].server_id
+    made.release(Requester(NODE, 1), 0.0, True, 1.0)
+    assert made.request_slot(wish(2, avoid=""), 2.0)[0].server_id != failed
+    assert made.request_slot(wish(3, avoid=""), FAILING_MS * 2)[0].server_id in {"s0", "s1"}
 
 
 def test_the_last_server_is_tried_though_it_failed():
     made = group(record(0))
-    made.ask(wish(1), 0.0)
-    made.give_back(Asker(NODE, 1), 0.0, True, 1.0)
-    assert isinstance(made.ask(wish(2), 2.0)[0], Given)
+    made.request_slot(wish(1), 0.0)
+    made.release(Requester(NODE, 1), 0.0, True, 1.0)
+    assert isinstance(made.request_slot(wish(2), 2.0)[0], SlotGranted)
 
 
 def test_the_more_urgent_goes_first():
     made = full_group()
     for number, priority in ((10, 2), (11, 0), (12, 2), (13, 0)):
-        assert isinstance(made.ask(wish(number, priority, until_ms=5000.0), 0.0)[0], Queued)
+        assert isinstance(
+            made.request_slot(wish(number, priority, until_ms=5000.0), 0.0)[0], SlotQueued
+        )
     order = []
     for number in range(3):
-        order += given_to(made.give_back(Asker(NODE, number), 100.0, False, 1.0))
-    order += given_to(made.give_back(Asker(NODE, 11), 100.0, False, 1.0))
+        order += given_to(made.release(Requester(NODE, number), 100.0, False, 1.0))
+    order += given_to(made.release(Requester(NODE, 11), 100.0, False, 1.0))
     assert order == [11, 13, 10, 12]
 
 
 def test_one_that_cannot_be_in_time_is_told_at_once():
     made = full_group()
-    (answer,) = made.ask(wish(10, until_ms=20.0), 0.0)
-    assert isinstance(answer, TurnedAway)
-    assert answer.after_ms >= 50.0
+    (answer,) = made.request_slot(wish(10, until_ms=20.0), 0.0)
+    assert isinstance(answer, SlotRejected)
+    assert answer.retry_after_ms >= 50.0
     assert made.waiting == 0
 
 
 def test_one_that_was_not_in_time_is_told():
     made = full_group()
-    made.ask(wish(10, until_ms=200.0), 0.0)
+    made.request_slot(wish(10, until_ms=200.0), 0.0)
     (answer,) = made.expire(200.0)
-    assert answer.asker.number == 10
-    assert isinstance(answer, TurnedAway)
+    assert answer.requester.number == 10
+    assert isinstance(answer, SlotRejected)
 
 
 def test_one_that_can_be_in_time_goes_before_one_that_cannot():
     made = full_group()
-    made.ask(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    made.ask(wish(11, until_ms=900.0, useful_ms=700.0), 50.0)
-    assert given_to(made.give_back(Asker(NODE, 0), 10.0, False, 150.0)) == [11]
+    made.request_slot(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    made.request_slot(wish(11, until_ms=900.0, useful_ms=700.0), 50.0)
+    assert given_to(made.release(Requester(NODE, 0), 10.0, False, 150.0)) == [11]
 
 
 def test_one_that_will_be_late_waits_on_while_nobody_else_does():
     made = full_group()
-    made.ask(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    made.request_slot(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
     assert made.expire(300.0) == []
-    assert given_to(made.give_back(Asker(NODE, 0), 10.0, False, 400.0)) == [10]
+    assert given_to(made.release(Requester(NODE, 0), 10.0, False, 400.0)) == [10]
 
 
 def test_one_that_will_be_late_is_told_while_others_can_be_in_time():
     made = full_group()
-    made.ask(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    made.ask(wish(11, until_ms=900.0, useful_ms=700.0), 50.0)
+    made.request_slot(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    made.request_slot(wish(11, until_ms=900.0, useful_ms=700.0), 50.0)
     (answer,) = made.expire(150.0)
-    assert isinstance(answer, TurnedAway)
-    assert answer.asker.number == 10
+    assert isinstance(answer, SlotRejected)
+    assert answer.requester.number == 10
 
 
 def test_work_is_learned_from_requests_that_did_not_queue_at_the_server():
     made = group(record(0, slots=2))
     for number in range(3):
-        made.ask(wish(number), 0.0)
-    made.give_back(Asker(NODE, 2), 400.0, False, 400.0)  # queued behind the others
-    assert made._servers["s0"].work_ms == 0.0
-    made.give_back(Asker(NODE, 1), 200.0, False, 400.0)
-    assert made._servers["s0"].work_ms == 200.0
+        made.request_slot(wish(number), 0.0)
+    made.release(Requester(NODE, 2), 400.0, False, 400.0)  # queued behind the others
+    assert made._servers["s0"].service_ms == 0.0
+    made.release(Requester(NODE, 1), 200.0, False, 400.0)
+    assert made._servers["s0"].service_ms == 200.0
 
 
 def test_a_slot_that_nobody_gives_back_comes_free():
     made = full_group()
-    made.ask(wish(10, until_ms=2000.0), 0.0)
+    made.request_slot(wish(10, until_ms=2000.0), 0.0)
     assert given_to(made.expire(999.0)) == []
     assert given_to(made.expire(1000.0)) == [10]
 
 
 def test_a_repeated_question_is_answered_the_same():
     made = full_group()
-    assert given_to(made.ask(wish(0), 1.0)) == [0]
-    made.ask(wish(10), 1.0)
-    assert isinstance(made.ask(wish(10), 2.0)[0], Queued)
+    assert given_to(made.request_slot(wish(0), 1.0)) == [0]
+    made.request_slot(wish(10), 1.0)
+    assert isinstance(made.request_slot(wish(10), 2.0)[0], SlotQueued)
     assert (made.in_use, made.waiting) == (3, 1)
 
 
 def test_a_place_in_the_queue_is_given_back():
     made = full_group()
-    made.ask(wish(10), 0.0)
-    made.give_back(Asker(NODE, 10), 0.0, False, 1.0)
-    assert given_to(made.give_back(Asker(NODE, 0), 10.0, False, 2.0)) == []
+    made.request_slot(wish(10), 0.0)
+    made.release(Requester(NODE, 10), 0.0, False, 1.0)
+    assert given_to(made.release(Requester(NODE, 0), 10.0, False, 2.0)) == []
 
 
 def test_a_node_that_knows_no_server_says_so():
-    assert isinstance(Group().ask(wish(1), 0.0)[0], Unknown)
+    assert isinstance(Group().request_slot(wish(1), 0.0)[0], NoKnownServer)
 
 
 def test_a_server_that_leaves_gets_nothing_more():
     made = group(record(0), record(1))
     made.set_members([record(1)], 0.0)
-    assert {made.ask(wish(number), 0.0)[0].server_id for number in range(3)} == {"s1"}
+    assert {made.request_slot(wish(number), 0.0)[0].server_id for number in range(3)} == {"s1"}
 
 
 def test_slots_in_use_are_known_of_a_server_that_comes_back():
     made = full_group()
     made.set_members([], 1.0)
     made.set_members([record(0, slots=2)], 2.0)
-    assert isinstance(made.ask(wish(10), 3.0)[0], Queued)
+    assert isinstance(made.request_slot(wish(10), 3.0)[0], SlotQueued)
 
 
 def test_the_own_zone_comes_first_unless_it_is_much_slower():
     made = group(record(0, zone="a"), record(1, zone="b"))
     far = replace(wish(1), zone="b")
-    assert made.ask(far, 0.0)[0].server_id == "s1"
-    near = made.ask(replace(wish(2), zone="a"), 0.0)[0]
+    assert made.request_slot(far, 0.0)[0].server_id == "s1"
+    near = made.request_slot(replace(wish(2), zone="a"), 0.0)[0]
     assert near.server_id == "s0"
-    made.give_back(Asker(NODE, 1), 100.0, False, 1.0)
-    made.give_back(Asker(NODE, 2), 300.0, False, 1.0)
-    assert made.ask(replace(wish(3), zone="a"), 2.0)[0].server_id == "s1"
+    made.release(Requester(NODE, 1), 100.0, False, 1.0)
+    made.release(Requester(NODE, 2), 300.0, False, 1.0)
+    assert made.request_slot(replace(wish(3), zone="a"), 2.0)[0].server_id == "s1"
 
 
 @pytest.mark.parametrize("holder, expected", [("s1", ["s1"]), ("none", [])])
@@ -226,10 +230,10 @@
 
 
 def test_a_service_is_one_group_until_it_is_large():
-    few = [record(number, zone="ab"[number % 2]) for number in range(groups.MOST_SERVERS)]
-    assert groups.groups_of(few) == {GroupName("svc"): groups.MOST_SERVERS}
+    few = [record(number, zone="ab"[number % 2]) for number in range(groups.MAX_GROUP_SERVERS)]
+    assert groups.groups_of(few) == {GroupName("svc"): groups.MAX_GROUP_SERVERS}
     many = [*few, record(99, zone="b")]
-    half = groups.MOST_SERVERS // 2
+    half = groups.MAX_GROUP_SERVERS // 2
     assert groups.groups_of(many) == {GroupName("svc", "a"): half, GroupName("svc", "b"): half + 1}
     assert groups.groups_of([record(0, draining=True)]) == {}
 
@@ -237,7 +241,7 @@
 def test_nodes_of_the_zone_keep_its_queues():
     nodes = {f"10.0.0.{number}:1": "ab"[number % 2] for number in range(20)}
     names = [GroupName("svc", "a", f"s{number}") for number in range(100)]
-    chosen = {groups.dispatcher(name, nodes, ()) for name in names}
+    chosen = {groups.dispatcher_of(name, nodes, ()) for name in names}
     assert len(chosen) > 5
     assert {nodes[address] for address in chosen} == {"a"}
 
@@ -245,18 +249,18 @@
 def test_another_node_takes_over_from_one_that_is_passed_over():
     nodes = {"10.0.0.1:1": "a", "10.0.0.2:1": "a", "10.0.0.3:1": "b"}
     name = GroupName("svc", "a")
-    first = groups.dispatcher(name, nodes, ())
-    second = groups.dispatcher(name, nodes, {first})
+    first = groups.dispatcher_of(name, nodes, ())
+    second = groups.dispatcher_of(name, nodes, {first})
     assert {first, second} == {"10.0.0.1:1", "10.0.0.2:1"}
-    assert groups.dispatcher(name, nodes, {first, second}) == "10.0.0.3:1"
-    assert groups.dispatcher(name, nodes, set(nodes)) == ""
+    assert groups.dispatcher_of(name, nodes, {first, second}) == "10.0.0.3:1"
+    assert groups.dispatcher_of(name, nodes, set(nodes)) == ""
 
 
 def test_few_groups_move_when_a_node_goes():
     nodes = {f"10.0.0.{number}:1": "a" for number in range(10)}
     names = [GroupName("svc", "a", f"s{number}") for number in range(200)]
-    before = {name: groups.dispatcher(name, nodes, ()) for name in names}
-    after = {name: groups.dispatcher(name, nodes, {"10.0.0.3:1"}) for name in names}
+    before = {name: groups.dispatcher_of(name, nodes, ()) for name in names}
+    after = {name: groups.dispatcher_of(name, nodes, {"10.0.0.3:1"}) for name in names}
     assert all(after[name] == before[name] for name in names if before[name] != "10.0.0.3:1")
 
 
@@ -276,22 +280,22 @@
 
     def take(self, answers):
         for answer in answers:
-            number = answer.asker.number
-            if isinstance(answer, Given):
+            number = answer.requester.number
+            if isinstance(answer, SlotGranted):
                 known = self.held.get(number)
                 if known is None:
                     wish_made = self.wishes[number]
-                    assert wish_made.until_ms > self.now or number not in self.waiting
+                    assert wish_made.expires_ms > self.now or number not in self.waiting
                     more_urgent = [
                         other
                         for other in self.waiting - {number}
                         if self.wishes[other].priority < wish_made.priority
-                        and self.wishes[other].until_ms > self.now
+                        and self.wishes[other].expires_ms > self.now
                     ]
                     assert not more_urgent
-                    self.held[number] = (answer.server_id, self.now + wish_made.hold_ms)
+                    self.held[number] = (answer.server_id, self.now + wish_made.lease_ms)
                 self.waiting.discard(number)
-            elif isinstance(answer, Queued):
+            elif isinstance(answer, SlotQueued):
                 self.waiting.add(number)
             else:
                 self.waiting.discard(number)
@@ -312,7 +316,7 @@
         useful_ms = self.now + wait * part
         made = wish(self.number, priority, until_ms, hold, useful_ms=useful_ms)
         self.wishes[self.number] = made
-        self.take(self.group.ask(made, self.now))
+        self.take(self.group.request_slot(made, self.now))
 
     @rule(data=st.data())
     def ask_again(self, data):
@@ -321,7 +325,7 @@
             self.forget_lapsed()
             number = data.draw(st.sampled_from(known))
             if number in self.held or number in self.waiting:
-                self.take(self.group.ask(self.wishes[number], self.now))
+                self.take(self.group.request_slot(self.wishes[number], self.now))
 
     @rule(data=st.data(), took=st.floats(0, 900), failed=st.booleans())
     def give_back(self, data, took, failed):
@@ -331,7 +335,7 @@
             number = data.draw(st.sampled_from(known))
             self.held.pop(number, None)
             self.waiting.discard(number)
-            self.take(self.group.give_back(Asker(NODE, number), took, failed, self.now))
+            self.take(self.group.release(Requester(NODE, number), took, failed, self.now))
 
     @rule(span=st.floats(0, 700))
     def time_passes(self, span):
@@ -374,104 +378,110 @@
 def silent_group(slots=2):
     """A server that answered once in 100 ms, and then left all its requests unanswered."""
     made = group(record(0, slots=slots))
-    made.ask(wish(1), 0.0)
-    made.give_back(Asker(NODE, 1), 100.0, False, 100.0)
+    made.request_slot(wish(1), 0.0)
+    made.release(Requester(NODE, 1), 100.0, False, 100.0)
     for number in range(2, 2 + slots):
-        assert isinstance(made.ask(wish(number, until_ms=5000.0, hold_ms=3000.0), 100.0)[0], Given)
+        assert isinstance(
+            made.request_slot(wish(number, until_ms=5000.0, hold_ms=3000.0), 100.0)[0], SlotGranted
+        )
     return made
 
 
 def test_who_waits_for_a_server_that_fell_silent_is_told_before_its_requests_time_out():
     made = silent_group()
-    made.ask(wish(8, until_ms=5000.0), 150.0)
-    made.ask(wish(9, until_ms=5000.0), 150.0)
+    made.request_slot(wish(8, until_ms=5000.0), 150.0)
+    made.request_slot(wish(9, until_ms=5000.0), 150.0)
     assert made.in_use == 3  # one is queued at the server
     assert made.expire(400.0) == []
-    (answer,) = made.expire(100.0 + 100.0 * SILENT_FACTOR + 1)
-    assert isinstance(answer, TurnedAway)
-    assert answer.asker.number == 9
+    (answer,) = made.expire(100.0 + 100.0 * UNRESPONSIVE_FACTOR + 1)
+    assert isinstance(answer, SlotRejected)
+    assert answer.requester.number == 9
 
 
 def test_a_silent_server_is_asked_with_one_request_at_a_time():
     made = silent_group()
     for number in (2, 3):
-        made.give_back(Asker(NODE, number), 0.0, True, 1000.0, unanswered=True)
-    assert isinstance(made.ask(wish(10, until_ms=3000.0), 2100.0)[0], Given)
-    assert isinstance(made.ask(wish(11, until_ms=3000.0), 2100.0)[0], TurnedAway)
+        made.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
+    assert isinstance(made.request_slot(wish(10, until_ms=3000.0), 2100.0)[0], SlotGranted)
+    assert isinstance(made.request_slot(wish(11, until_ms=3000.0), 2100.0)[0], SlotRejected)
 
 
 def test_one_answer_ends_the_silence():
     made = silent_group()
     for number in (2, 3):
-        made.give_back(Asker(NODE, number), 0.0, True, 1000.0, unanswered=True)
-    made.ask(wish(10, until_ms=3000.0), 2100.0)
-    made.give_back(Asker(NODE, 10), 100.0, False, 2200.0)
-    answers = [made.ask(wish(number, until_ms=3000.0), 2200.0)[0] for number in range(20, 23)]
-    assert all(isinstance(answer, Given) for answer in answers)
+        made.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
+    made.request_slot(wish(10, until_ms=3000.0), 2100.0)
+    made.release(Requester(NODE, 10), 100.0, False, 2200.0)
+    answers = [
+        made.request_slot(wish(number, until_ms=3000.0), 2200.0)[0] for number in range(20, 23)
+    ]
+    assert all(isinstance(answer, SlotGranted) for answer in answers)
 
 
 def test_a_connection_that_breaks_is_no_silence():
     made = silent_group()
     for number in (2, 3):
-        made.give_back(Asker(NODE, number), 0.0, True, 150.0)
-    answers = [made.ask(wish(number, until_ms=3000.0), 150.0)[0] for number in range(20, 23)]
-    assert all(isinstance(answer, Given) for answer in answers)
+        made.release(Requester(NODE, number), 0.0, True, 150.0)
+    answers = [
+        made.request_slot(wish(number, until_ms=3000.0), 150.0)[0] for number in range(20, 23)
+    ]
+    assert all(isinstance(answer, SlotGranted) for answer in answers)
 
 
 def test_a_slow_server_that_answers_now_and_then_is_not_silent():
     made = silent_group()
-    made.give_back(Asker(NODE, 2), 400.0, False, 500.0)
-    assert isinstance(made.ask(wish(10, until_ms=3000.0), 600.0)[0], Given)
+    made.release(Requester(NODE, 2), 400.0, False, 500.0)
+    assert isinstance(made.request_slot(wish(10, until_ms=3000.0), 600.0)[0], SlotGranted)
 
 
 def test_a_silent_server_leaves_the_others_of_its_group_alone():
     made = group(record(0, slots=2), record(1, slots=2))
     for number in range(6):
-        made.ask(wish(number, until_ms=5000.0, hold_ms=5000.0), 0.0)
-    answered = [n for n in range(6) if made._leases[Asker(NODE, n)].server_id == "s1"]
+        made.request_slot(wish(number, until_ms=5000.0, hold_ms=5000.0), 0.0)
+    answered = [n for n in range(6) if made._leases[Requester(NODE, n)].server_id == "s1"]
     for number in answered:
-        made.give_back(Asker(NODE, number), 100.0, False, 900.0)
-    given = [made.ask(wish(number, until_ms=5000.0), 900.0)[0] for number in range(10, 13)]
+        made.release(Requester(NODE, number), 100.0, False, 900.0)
+    given = [made.request_slot(wish(number, until_ms=5000.0), 900.0)[0] for number in range(10, 13)]
     assert [answer.server_id for answer in given] == ["s1"] * 3
 
 
 def test_a_queue_that_is_dismissed_is_empty_and_names_who_waited():
     made = full_group()
     for number in (10, 11):
-        assert isinstance(made.ask(wish(number), 0.0)[0], Queued)
-    assert [asker.number for asker in made.dismiss()] == [10, 11]
+        assert isinstance(made.request_slot(wish(number), 0.0)[0], SlotQueued)
+    assert [asker.number for asker in made.clear_queue()] == [10, 11]
     assert (made.waiting, made.in_use) == (0, 3)
-    assert given_to(made.give_back(Asker(NODE, 0), 50.0, False, 1.0)) == []
+    assert given_to(made.release(Requester(NODE, 0), 50.0, False, 1.0)) == []
 
 
 # ---- servers that a node may not use -------------------------------------------------------
 
 
 def barred_wish(number, *servers, until_ms=500.0):
-    return replace(wish(number, until_ms=until_ms), barred=frozenset(servers))
+    return replace(wish(number, until_ms=until_ms), excluded=frozenset(servers))
 
 
 def test_a_server_that_the_node_may_not_use_is_not_given():
     made = group(record(0), record(1))
     for number in range(ROOM):
-        (answer,) = made.ask(barred_wish(number, "s0"), 0.0)
+        (answer,) = made.request_slot(barred_wish(number, "s0"), 0.0)
         assert answer.server_id == "s1"
-    assert isinstance(made.ask(barred_wish(ROOM, "s0"), 0.0)[0], Queued)
+    assert isinstance(made.request_slot(barred_wish(ROOM, "s0"), 0.0)[0], SlotQueued)
 
 
 def test_a_node_that_may_use_none_is_told_that_nobody_is_known():
     made = group(record(0))
-    assert isinstance(made.ask(barred_wish(0, "s0"), 0.0)[0], Unknown)
+    assert isinstance(made.request_slot(barred_wish(0, "s0"), 0.0)[0], NoKnownServer)
 
 
 def test_one_that_may_not_use_what_is_free_holds_nobody_up():
     made = group(record(0, slots=2), record(1, slots=2))
-    given = {number: made.ask(wish(number), 0.0)[0].server_id for number in range(6)}
-    assert isinstance(made.ask(barred_wish(6, "s0"), 0.0)[0], Queued)
-    assert isinstance(made.ask(wish(7), 0.0)[0], Queued)
+    given = {number: made.request_slot(wish(number), 0.0)[0].server_id for number in range(6)}
+    assert isinstance(made.request_slot(barred_wish(6, "s0"), 0.0)[0], SlotQueued)
+    assert isinstance(made.request_slot(wish(7), 0.0)[0], SlotQueued)
     at_first = next(number for number, server_id in given.items() if server_id == "s0")
-    answers = made.give_back(Asker(NODE, at_first), 10.0, False, 10.0)
+    answers = made.release(Requester(NODE, at_first), 10.0, False, 10.0)
     assert given_to(answers) == [7]
     at_second = next(number for number, server_id in given.items() if server_id == "s1")
-    answers = made.give_back(Asker(NODE, at_second), 10.0, False, 20.0)
+    answers = made.release(Requester(NODE, at_second), 10.0, False, 20.0)
     assert given_to(answers) == [6]
--- a/tests/unit/test_dispatcher_choice.py
+++ b/tests/unit/test_dispatcher_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ploverhatch.admission import groups
-from ploverhatch.admission.dispatcher_choice import PASSED_MS, UNREACHABLE_MS, DispatcherChoice
+from ploverhatch.admission.dispatcher_choice import SKIPPED_MS, UNREACHABLE_MS, DispatcherChoice
 from ploverhatch.admission.groups import GroupName
 
 NAME = GroupName("svc")
@@ -13,7 +13,7 @@
 def in_order():
     names = []
     for _ in MEMBERS:
-        names.append(groups.dispatcher(NAME, MEMBERS, set(names)))
+        names.append(groups.dispatcher_of(NAME, MEMBERS, set(names)))
     return names
 
 
@@ -21,60 +21,60 @@
 
 
 def enforcing(choice, now_ms):
-    return [node for node in MEMBERS if choice.enforces(NAME, node, MEMBERS, now_ms)]
+    return [node for node in MEMBERS if choice.enforces_limits(NAME, node, MEMBERS, now_ms)]
 
 
 def test_the_first_in_rank_is_asked_and_enforces_limits():
     choice = DispatcherChoice()
-    assert choice.asked(NAME, MEMBERS, 0.0) == FIRST
+    assert choice.choose(NAME, MEMBERS, 0.0) == FIRST
     assert enforcing(choice, 0.0) == [FIRST]
 
 
 def test_one_that_does_not_answer_once_is_passed_over_and_goes_on_to_enforce():
     choice = DispatcherChoice()
-    assert choice.not_answered(FIRST, 0.0)
-    assert choice.asked(NAME, MEMBERS, 1.0) == SECOND
+    assert choice.note_no_answer(FIRST, 0.0)
+    assert choice.choose(NAME, MEMBERS, 1.0) == SECOND
     assert enforcing(choice, 1.0) == [FIRST]
-    assert choice.asked(NAME, MEMBERS, PASSED_MS) == FIRST
+    assert choice.choose(NAME, MEMBERS, SKIPPED_MS) == FIRST
 
 
 def test_one_that_stays_silent_is_replaced_until_it_answers():
     choice = DispatcherChoice()
-    choice.not_answered(FIRST, 0.0)
-    choice.not_answered(FIRST, PASSED_MS)
-    now_ms = PASSED_MS + UNREACHABLE_MS / 2
-    assert choice.asked(NAME, MEMBERS, now_ms) == SECOND
-    assert choice.enforces(NAME, SECOND, MEMBERS, now_ms)
-    assert not choice.enforces(NAME, THIRD, MEMBERS, now_ms)
-    choice.answered(FIRST)
+    choice.note_no_answer(FIRST, 0.0)
+    choice.note_no_answer(FIRST, SKIPPED_MS)
+    now_ms = SKIPPED_MS + UNREACHABLE_MS / 2
+    assert choice.choose(NAME, MEMBERS, now_ms) == SECOND
+    assert choice.enforces_limits(NAME, SECOND, MEMBERS, now_ms)
+    assert not choice.enforces_limits(NAME, THIRD, MEMBERS, now_ms)
+    choice.note_answer(FIRST)
     assert enforcing(choice, now_ms) == [FIRST]
 
 
 def test_one_that_stops_is_replaced_at_once():
     choice = DispatcherChoice()
-    choice.stops(FIRST, 0.0)
-    assert choice.asked(NAME, MEMBERS, 0.0) == SECOND
-    assert choice.enforces(NAME, SECOND, MEMBERS, 0.0)
+    choice.note_stopping(FIRST, 0.0)
+    assert choice.choose(NAME, MEMBERS, 0.0) == SECOND
+    assert choice.enforces_limits(NAME, SECOND, MEMBERS, 0.0)
 
 
 # A node that is asked again after a silence was taken for one that enforces nothing.
 def test_one_that_is_asked_again_enforces_if_it_ranks_first():
     choice = DispatcherChoice()
-    choice.not_answered(FIRST, 0.0)
-    now_ms = PASSED_MS + UNREACHABLE_MS
-    assert choice.asked(NAME, MEMBERS, now_ms) == FIRST
-    assert choice.enforces(NAME, FIRST, MEMBERS, now_ms)
+    choice.note_no_answer(FIRST, 0.0)
+    now_ms = SKIPPED_MS + UNREACHABLE_MS
+    assert choice.choose(NAME, MEMBERS, now_ms) == FIRST
+    assert choice.enforces_limits(NAME, FIRST, MEMBERS, now_ms)
 
 
 def test_a_silence_is_told_once():
     choice = DispatcherChoice()
-    assert choice.not_answered(FIRST, 0.0)
-    assert not choice.not_answered(FIRST, PASSED_MS / 2)
+    assert choice.note_no_answer(FIRST, 0.0)
+    assert not choice.note_no_answer(FIRST, SKIPPED_MS / 2)
 
 
 @pytest.mark.parametrize("silent", [(FIRST,), (FIRST, SECOND), (FIRST, SECOND, THIRD)])
 def test_the_next_in_rank_of_those_that_answer_is_asked(silent):
     choice = DispatcherChoice()
     for node in silent:
-        choice.not_answered(node, 0.0)
-    assert choice.asked(NAME, MEMBERS, 1.0) == in_order()[len(silent)]
+        choice.note_no_answer(node, 0.0)
+    assert choice.choose(NAME, MEMBERS, 1.0) == in_order()[len(silent)]
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -8,8 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ploverhatch.admission.dispatcher import Asker, Given, Group, TurnedAway, Wish
-from ploverhatch.admission.dispatcher_choice import PASSED_MS, UNREACHABLE_MS
+from ploverhatch.admission.dispatcher import (
+    Group,
+    Requester,
+    SlotGranted,
+    SlotRejected,
+    SlotRequest,
+)
+from ploverhatch.admission.dispatcher_choice import SKIPPED_MS, UNREACHABLE_MS
 from ploverhatch.admission.request_rate import RequestRate, ServerBounds
 from ploverhatch.gateway.shared_slots import STANDBY_SHARE
 from ploverhatch.sharding.keymap import Holder, KeyMap, Move, first_assignment, settle
@@ -43,7 +49,9 @@
 
 
 def wish(number, now_ms, wait_ms=400.0):
-    return Wish(Asker(NODE, number), 1, now_ms + wait_ms, now_ms + wait_ms, 1000.0, zone="a")
+    return SlotRequest(
+        Requester(NODE, number), 1, now_ms + wait_ms, now_ms + wait_ms, 1000.0, zone="a"
+    )
 
 
 def flood(made, start_ms, end_ms, step_ms=5.0):
@@ -52,10 +60,10 @@
     now_ms, number = start_ms, 0
     while now_ms < end_ms:
         number += 1
-        answers = made.ask(wish(number, now_ms), now_ms) + made.expire(now_ms)
-        for answer in (item for item in answers if isinstance(item, Given)):
+        answers = made.request_slot(wish(number, now_ms), now_ms) + made.expire(now_ms)
+        for answer in (item for item in answers if isinstance(item, SlotGranted)):
             given_ms.setdefault(answer.server_id, []).append(now_ms)
-            made.give_back(answer.asker, 0.0, False, now_ms)
+            made.release(answer.requester, 0.0, False, now_ms)
         now_ms += step_ms
     return given_ms
 
@@ -85,7 +93,7 @@
 def test_a_change_of_the_node_that_counts_keeps_to_the_limit(per_s):
     gone_ms = 5000.0
     before = flood(group({"s0": per_s}), 0.0, gone_ms)["s0"]
-    between = flood(group({"s0": per_s}), gone_ms + UNREACHABLE_MS, 10_000.0 + PASSED_MS)["s0"]
+    between = flood(group({"s0": per_s}), gone_ms + UNREACHABLE_MS, 10_000.0 + SKIPPED_MS)["s0"]
     after = flood(group({"s0": per_s}), 10_000.0, 20_000.0)["s0"]
     assert most([*before, *between, *after]) <= allowed(per_s)
 
@@ -104,9 +112,9 @@
 
 def test_who_cannot_be_served_in_time_is_told_when_to_come_back():
     made = group({"s0": 0.5})
-    made.ask(wish(1, 0.0), 0.0)
-    (answer,) = made.ask(wish(2, 1.0), 1.0)
-    assert answer == TurnedAway(Asker(NODE, 2), 2000.0)
+    made.request_slot(wish(1, 0.0), 0.0)
+    (answer,) = made.request_slot(wish(2, 1.0), 1.0)
+    assert answer == SlotRejected(Requester(NODE, 2), 2000.0)
 
 
 def test_a_limit_binds_from_the_moment_at_which_it_is_known():
@@ -121,11 +129,11 @@
 
 def test_a_group_whose_servers_are_left_to_others_gives_nothing():
     made = group({"s0": 2.5, "s1": 4.0}, count=2)
-    assert not made.gives_nothing(0.0)
-    made.bind(ServerBounds(limit_per_s={"s0": 2.5, "s1": 4.0}, share=0.0))
-    assert made.gives_nothing(0.0)
-    made.bind(ServerBounds(limit_per_s={"s0": 2.5}, share=0.0))
-    assert not made.gives_nothing(0.0)
+    assert not made.grants_nothing(0.0)
+    made.set_bounds(ServerBounds(limit_per_s={"s0": 2.5, "s1": 4.0}, share=0.0))
+    assert made.grants_nothing(0.0)
+    made.set_bounds(ServerBounds(limit_per_s={"s0": 2.5}, share=0.0))
+    assert not made.grants_nothing(0.0)
 
 
 @settings(max_examples=200, derandomize=True, database=None, deadline=None)
@@ -137,10 +145,10 @@
     now_ms, taken, largest = 0.0, [], 0.0
     for gap_ms, per_s in steps:
         now_ms += gap_ms
-        rate.bind(per_s, now_ms)
+        rate.set_rate(per_s, now_ms)
         largest = max(largest, per_s)
         if rate.has_token(now_ms):
-            rate.take(now_ms)
+            rate.take_token(now_ms)
             taken.append(now_ms)
     assert not taken or most(taken) <= largest * SPAN_MS / 1000 + 2
 
