--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -15,19 +15,19 @@
 from msgspec.structs import replace
 
 from ploverhatch.admission.messages import (
-    HeldAsk,
-    HeldWord,
-    SlotAsk,
-    SlotReturn,
-    SlotWord,
-    ToldLimits,
+    HeldSlotsReply,
+    HeldSlotsRequest,
+    ReportedLimits,
+    SlotRelease,
+    SlotReply,
+    SlotRequestMessage,
 )
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
+    CrashQuery,
+    CrashReport,
     TrialMessage,
 )
 from ploverhatch.relay import packing
@@ -59,11 +59,11 @@
     strength: float = 0.0  # of the sender's machine if it is ready to lead, else 0
     leaving: dict[str, float] = {}
     backing_off: dict[str, float] = {}
-    limits: ToldLimits = {}
+    limits: ReportedLimits = {}
 
 
-SlotMessage = SlotAsk | SlotWord | SlotReturn | HeldAsk | HeldWord
-CrashMessage = CrashesTold | CrashesAsk | TrialMessage
+SlotMessage = SlotRequestMessage | SlotReply | SlotRelease | HeldSlotsRequest | HeldSlotsReply
+CrashMessage = CrashReport | CrashQuery | TrialMessage
 Message = LoadReport | RelayedUpdate | Beacon | Fragment | SlotMessage | CrashMessage
 Address = tuple[str, int]
 
@@ -118,7 +118,7 @@
 
     def add_slot_handler(self, handler: Callable[[SlotMessage, Address], None]) -> None:
         """Have messages about slots taken by ``handler``, with their senders' addresses."""
-        for form in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
+        for form in (SlotRequestMessage, SlotReply, SlotRelease, HeldSlotsRequest, HeldSlotsReply):
             self.add_peer_handler(form, handler)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -35,11 +35,11 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import UpstreamPool
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
-    TrialAsk,
-    TrialOver,
-    TrialWord,
+    CrashQuery,
+    CrashReport,
+    TrialFinished,
+    TrialReply,
+    TrialRequest,
 )
 from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
@@ -138,11 +138,11 @@
         self._quarantine_persistence = QuarantinePersistence(
             store, self._quarantine, lambda: self.leads
         )
-        self._peers.add_peer_handler(TrialAsk, permits.handle_request)
-        self._peers.add_peer_handler(TrialWord, permits.handle_reply)
-        self._peers.add_peer_handler(TrialOver, permits.handle_finished)
-        self._peers.add_peer_handler(CrashesTold, self._quarantine.handle_report)
-        self._peers.add_peer_handler(CrashesAsk, self._quarantine.handle_query)
+        self._peers.add_peer_handler(TrialRequest, permits.handle_request)
+        self._peers.add_peer_handler(TrialReply, permits.handle_reply)
+        self._peers.add_peer_handler(TrialFinished, permits.handle_finished)
+        self._peers.add_peer_handler(CrashReport, self._quarantine.handle_report)
+        self._peers.add_peer_handler(CrashQuery, self._quarantine.handle_query)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
