--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -16,8 +16,20 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ploverhatch.admission.dispatcher import Answer, Asker, Given, Group, TurnedAway, Wish
-from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, MOVE_PART, USEFUL_PART, WAIT_PART
+from ploverhatch.admission.dispatcher import (
+    Group,
+    Requester,
+    SlotGranted,
+    SlotRejected,
+    SlotRequest,
+    SlotResult,
+)
+from ploverhatch.gateway.forwarder import (
+    HOLD_MARGIN_MS,
+    MOVE_FRACTION,
+    USEFUL_FRACTION,
+    WAIT_FRACTION,
+)
 from ploverhatch.sharding import load_estimate
 from ploverhatch.sharding.keymap import KEY_COUNT, KeyMap
 from ploverhatch.sharding.leader_core import LeaderCore
@@ -256,24 +268,24 @@
         scenario = self.scenario
         server = self._servers[item.holder.server_id]
         start_ms = request.arrived_ms
-        wish = Wish(
-            Asker(NODE, request.number),
+        wish = SlotRequest(
+            Requester(NODE, request.number),
             1,
-            start_ms + scenario.objective_ms * USEFUL_PART,
-            start_ms + scenario.deadline_ms * WAIT_PART,
+            start_ms + scenario.objective_ms * USEFUL_FRACTION,
+            start_ms + scenario.deadline_ms * WAIT_FRACTION,
             start_ms + scenario.deadline_ms - self.now_ms + HOLD_MARGIN_MS,
             zone="zone",
         )
         self._asked[request.number] = request
-        self._take(server, server.group.ask(wish, self.now_ms))
+        self._take(server, server.group.request_slot(wish, self.now_ms))
 
-    def _take(self, server: _Server, answers: list[Answer]) -> None:
+    def _take(self, server: _Server, answers: list[SlotResult]) -> None:
         for answer in answers:
-            if isinstance(answer, Given):
-                request = self._asked.pop(answer.asker.number)
+            if isinstance(answer, SlotGranted):
+                request = self._asked.pop(answer.requester.number)
                 self._later(CALL_MS / 2, partial(self._reach, request, server))
-            elif isinstance(answer, TurnedAway):
-                request = self._asked.pop(answer.asker.number)
+            elif isinstance(answer, SlotRejected):
+                request = self._asked.pop(answer.requester.number)
                 self.tally.turned_away += 1
                 self.tally.ended(request.arrived_ms - WARM_UP_MS, 0.0)
 
@@ -281,7 +293,7 @@
         for server in self._servers.values():
             if server.group.waiting:
                 self._take(server, server.group.expire(self.now_ms))
-        limit_ms = self.scenario.objective_ms * MOVE_PART
+        limit_ms = self.scenario.objective_ms * MOVE_FRACTION
         for request in [r for r in self._waiting if self.now_ms - r.arrived_ms > limit_ms]:
             self._waiting.remove(request)
             self.tally.turned_away += 1
@@ -361,8 +373,8 @@
     def _give_back(
         self, request: _Request, server: _Server, took_ms: float, unanswered: bool = False
     ) -> None:
-        asker = Asker(NODE, request.number)
-        answers = server.group.give_back(asker, took_ms, unanswered, self.now_ms, unanswered)
+        asker = Requester(NODE, request.number)
+        answers = server.group.release(asker, took_ms, unanswered, self.now_ms, unanswered)
         self._take(server, answers)
 
     # ---- the leader ---------------------------------------------------------------------
--- a/ploverhatch/gateway/dialect.py
+++ b/ploverhatch/gateway/dialect.py
@@ -5,7 +5,7 @@
 
 from ploverhatch.gateway.messages import CallerRequest, HeaderList, RequestFacts
 from ploverhatch.routing.attempt_outcome import AttemptResult
-from ploverhatch.state.standing import ServerNotice
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.transport.http_connection import WireAnswer
 
 
@@ -56,7 +56,9 @@
         """Return the request as it goes to a server."""
 
     @abstractmethod
-    def judge(self, facts: RequestFacts, server_id: str, answer: WireAnswer) -> AttemptResult:
+    def classify_answer(
+        self, facts: RequestFacts, server_id: str, answer: WireAnswer
+    ) -> AttemptResult:
         """Tell what a server's whole answer proves."""
 
     @abstractmethod
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -29,7 +29,7 @@
 OWN_MAPS_MS = 500.0  # until the leader asks itself again whether it still leads
 LEADER_WAIT_S = 0.5  # until it is known at the start who leads
 LONG_WAIT_S = 2.0  # shorter than key maps are trusted, and finds dead connections
-PROOF_WAIT_PART = 0.65  # of how old the leader's view may be
+PROOF_WAIT_FRACTION = 0.65  # of how old the leader's view may be
 OVERTAKEN_S = 0.05  # a beacon may overtake the changes that it speaks of
 MAX_CHANGES = 200_000  # bytes of changes in one message; what is longer is asked for
 
@@ -79,7 +79,7 @@
         """
         if not self._leading or kind == kinds.KEYMAPS:
             return LONG_WAIT_S
-        return self._coverage.limit_ms * PROOF_WAIT_PART / 1000
+        return self._coverage.limit_ms * PROOF_WAIT_FRACTION / 1000
 
     # ---- as any node --------------------------------------------------------------------
 
@@ -91,19 +91,19 @@
             return elapsed_ms() + OWN_MAPS_MS  # nobody else writes them
         return float("-inf")
 
-    def apply_beacon(self, beacon: Beacon) -> None:
+    def handle_beacon(self, beacon: Beacon) -> None:
         """Take the leader's claims."""
         now_ms = elapsed_ms()
         self._coverage = coverage.apply_beacon(self._coverage, beacon)
-        self._elector.heard(
+        self._elector.note_leader(
             beacon.lease_revision, beacon.sent_ms - beacon.renewed_age_ms, beacon.address
         )
         for service, (revision, promoted) in beacon.promoted.items():
             self._directory.note_promoted(service, revision, promoted)
         for service, tokens in beacon.granted.items():
             self._directory.note_granted(service, tokens)
-        self._directory.hear_leaving(beacon.leaving, "the-leader")
-        self._directory.hear_limits(beacon.limits, "the-leader")
+        self._directory.note_leaving(beacon.leaving, "the-leader")
+        self._directory.note_rate_limits(beacon.limits, "the-leader")
         self._note_keymaps()
         behind = [
             task
@@ -128,7 +128,7 @@
         """Wait a little until it is known who leads."""
         self._elector.await_leader(LEADER_WAIT_S)
 
-    def knows_more(self, kind: str, cursor: int) -> bool:
+    def should_ask_leader(self, kind: str, cursor: int) -> bool:
         """Whether the leader is to be asked for a kind."""
         if self._term() is not None or not self._leader.may_ask(kind):
             return False
@@ -148,7 +148,7 @@
         """Whether the elector found that the store does not answer, and goes on asking."""
         return self._elector.store_unavailable
 
-    def relied_on_until_ms(self, current_ms: float) -> float:
+    def valid_until_ms(self, current_ms: float) -> float:
         """Return until when a view may be relied on that was surely current at a time."""
         return current_ms + self._coverage.limit_ms
 
@@ -173,11 +173,11 @@
             self._packed[task.kind] = known
         return known[1]
 
-    def take_told(self, told: RelayedUpdate) -> None:
+    def handle_update(self, told: RelayedUpdate) -> None:
         """Take changes from the leader."""
         task = self._tasks.get(told.kind)
         if task is not None and not self._leading:
-            task.take_told(told)
+            task.apply_update(told)
 
     @property
     def covered(self) -> bool:
@@ -189,7 +189,9 @@
 
     # ---- as the leader ------------------------------------------------------------------
 
-    def read(self, kind: str, base: int, reached: int, changes: list[RelayedChange]) -> None:
+    def publish_changes(
+        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
+    ) -> None:
         """Tell what this node read from the store, if it leads."""
         if self._term() is None:
             return
@@ -197,7 +199,7 @@
         if reached > told or changes:
             self._tell(kind, base, reached, changes)
 
-    def tell_map(self, keymap: KeyMap) -> None:
+    def publish_map(self, keymap: KeyMap) -> None:
         """Tell a map that this node stored."""
         change = self._keymaps.change_of(keymap)
         if change is not None:
@@ -210,12 +212,12 @@
         for told in publisher.split_changes(kind, base, reached, sized, MAX_CHANGES):
             self._send(told)
 
-    def tell_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
+    def publish_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
         """Tell soon which standbys were promoted by the map in the store."""
         if self._directory.note_promoted(service, revision, tokens):
             self._beacon_soon()
 
-    def tell_granted(self, service: str, token: int) -> None:
+    def publish_granted(self, service: str, token: int) -> None:
         """Tell soon that a moving range's new holder has it."""
         self._directory.note_granted(service, [token])
         self._beacon_soon()
@@ -243,7 +245,7 @@
         beacon = publisher.beacon(term, views, elapsed_ms(), self._elector.address)
         granted = {name: sorted(tokens) for name, tokens in self._directory.granted.items()}
         leaving = self._directory.leaving_ages_ms()
-        limits = self._directory.next_limits()
+        limits = self._directory.next_rate_limits()
         promoted = {
             name: (keymap.revision, sorted(tokens))
             for name, tokens in self._directory.promoted.items()
@@ -288,4 +290,4 @@
 
 def _nudge(tasks: Sequence[FeedTask]) -> None:
     for task in tasks:
-        task.nudge()
+        task.wake()
