--- a/ploverhatch/leadership/__init__.py
+++ b/ploverhatch/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Leadership by a lease object in a store with compare-and-set."""
+"""Leader election by a lease object in a store with compare-and-set."""
--- a/ploverhatch/relay/__init__.py
+++ b/ploverhatch/relay/__init__.py
@@ -1,1 +1,4 @@
-"""The leader tells the other nodes of changes in the store, so that they need not ask. Pure."""
+"""The leader's relay: it sends changes of the store to the other nodes, so that they need not ask.
+
+The modules of this package do no I/O and read no clock.
+"""
--- a/ploverhatch/relay/coverage.py
+++ b/ploverhatch/relay/coverage.py
@@ -1,10 +1,11 @@
-"""When a node may rely on the leader's word instead of asking the store. Pure.
+"""Coverage: when a node may rely on the leader's relay instead of asking the store.
 
-A node relies on it for a kind while the leader has shown that its own view was
-current less than ``limit_ms`` ago, and the node has taken all that was relayed.
-Otherwise the node asks the store itself. So nothing depends on the leader but
-the number of calls to the store. Times are milliseconds of the node's own
-elapsed clock; how old the leader's view is comes as an age, not as a time.
+A node relies on the relay for a kind of objects while the leader has shown that its own view was
+current less than ``limit_ms`` ago, and the node has applied all relayed changes. Otherwise the
+node asks the store itself, so only the number of calls to the store depends on the leader.
+
+This module does no I/O and reads no clock. Times are milliseconds of the node's elapsed clock.
+Messages hold the age of the leader's view, since the clocks of nodes differ.
 """
 
 from collections.abc import Mapping
@@ -15,15 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class KindCoverage:
-    """What the leader last claimed for a kind."""
+    """The leader's latest claim for a kind."""
 
-    through_revision: int  # revision of the store
+    through_revision: int  # revision of the store up to which all changes were relayed
     fresh_until_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """What a node was told of the leader's view."""
+    """A node's knowledge of the leader's view.
+
+    :param limit_ms: age of the leader's view up to which the node relies on it.
+    """
 
     limit_ms: float
     lease_revision: int = 0
@@ -31,7 +35,7 @@
 
 
 def apply_beacon(state: Coverage, beacon: Beacon) -> Coverage:
-    """Take a beacon; one of an earlier leader, or an overtaken one, changes nothing."""
+    """Return the coverage after a beacon; one with an earlier lease changes nothing."""
     if beacon.lease_revision < state.lease_revision:
         return state
     kinds = {
@@ -42,7 +46,7 @@
 
 
 def covered_until_ms(state: Coverage, kind: str, cursor: int) -> float:
-    """Return until when the store need not be asked; ``-inf``: ask now.
+    """Return the time until which the store need not be asked, or ``-inf`` to ask now.
 
     :param cursor: revision up to which the node knows all changes of the kind.
     """
@@ -53,30 +57,30 @@
 
 
 def is_behind(state: Coverage, kind: str, cursor: int, now_ms: float) -> bool:
-    """Whether the leader, with a current view, knows changes that the node does not."""
+    """Whether the leader has a current view, with changes that the node doesn't know."""
     known = state.kinds.get(kind)
     return known is not None and cursor < known.through_revision and now_ms < known.fresh_until_ms
 
 
 def current_ms(state: Coverage, kind: str, cursor: int) -> float:
-    """Return when a node's view of a kind was surely current, by the leader's word."""
+    """Return when a node's view of a kind was last known to be current, by the leader's relay."""
     return covered_until_ms(state, kind, cursor) - state.limit_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Cursor:
-    """Up to which revision a node knows all changes of a kind; below 0: it knows none."""
+    """The revision up to which a node knows all changes of a kind; below 0 if it knows none."""
 
     revision: int = -1
-    pending: RelayedUpdate | None = None  # last taken part of changes that are not whole yet
+    pending: RelayedUpdate | None = None  # last applied part of an incomplete update
 
 
 def follows(cursor: Cursor, update: RelayedUpdate, repeatable: bool = False) -> bool:
-    """Whether a message's changes join what is known without a gap.
+    """Whether an update follows the known changes without a gap.
 
-    Changes that are known already may be among them (:func:`is_known`).
+    It may contain changes that are known already (:func:`is_known`).
 
-    :param repeatable: whether a change may also be taken again by itself.
+    :param repeatable: whether an update without newer changes may be applied too.
     """
     if cursor.revision < 0 or update.base > cursor.revision:
         return False
@@ -91,21 +95,21 @@
 
 
 def is_known(cursor: Cursor, change: RelayedChange, known: int | None) -> bool:
-    """Whether a change is known, or an object is known in a later version.
+    """Whether a change is known, or its object is known in a later version.
 
-    Changes that are told in parts begin before the cursor. Where the last part gets lost, what
-    was taken again of them would stay in place of what came after it.
+    An update in parts may begin before the cursor. If its last part gets lost, an old change that
+    was applied again would stay in place of a later one.
 
-    :param known: revision of the object as it is known; ``None`` where it isn't there.
+    :param known: known revision of the object; ``None`` if the object is absent.
     """
     if known is not None and known > change.revision:
         return True
-    # A removal bears the revision of the object that is gone.
+    # A removal has the revision of the removed object.
     return not change.gone and change.revision <= cursor.revision
 
 
 def advanced(cursor: Cursor, update: RelayedUpdate) -> Cursor:
-    """Return the cursor after the changes of a message that follows were taken."""
+    """Return the cursor after an update that follows it was applied."""
     if update.part == update.parts - 1:
         return Cursor(max(cursor.revision, update.through_revision))
     return replace(cursor, pending=update)
--- a/ploverhatch/relay/messages.py
+++ b/ploverhatch/relay/messages.py
@@ -1,4 +1,4 @@
-"""What the leader tells: changes of objects, whole kinds, and how current its view is."""
+"""Messages of the leader's relay: changes of objects, snapshots of kinds, and beacons."""
 
 from typing import Any
 
@@ -8,8 +8,9 @@
 class RelayedChange(msgspec.Struct, array_like=True, frozen=True):
     """One change of one object.
 
-    ``base`` is 0 for a whole object. Otherwise ``spec`` is what differs from
-    the object at that revision, in the form of the kind's own codec.
+    If ``base`` is 0, ``spec`` is the whole object. Otherwise it is the difference from the object
+    at revision ``base``, in the format of the kind's codec. ``gone`` means that the object was
+    removed.
     """
 
     name: str
@@ -23,7 +24,7 @@
 class RelayedUpdate(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """All changes of a kind after the store's revision ``base``, up to ``through_revision``.
 
-    Sent in ``parts`` messages, since a datagram is short; numbered from 0.
+    They are sent in ``parts`` messages, numbered from 0, since the size of a datagram is limited.
     """
 
     kind: str
@@ -35,27 +36,31 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True):
-    """All changes up to ``through_revision`` were relayed; none was missing ``age_ms`` ago."""
+    """The leader's claim for a kind: its view was complete ``age_ms`` milliseconds ago.
+
+    It has relayed all changes up to ``through_revision``, and there were no others by then.
+    """
 
     through_revision: int
     age_ms: float
 
 
 class Beacon(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The leader's claims by kind; a kind that it can't speak for is left out.
-
-    ``lease_revision`` rises with each renewal of the leader's lease, so that
-    beacons of different leaders can be ordered; the last one was sent
-    ``renewed_age_ms`` ago. ``sent_ms`` is the earliest time at which the beacon
-    can have been sent, on the clock of the node that it is for: a beacon that
-    was held up, or is read after a pause of the process, is known to be old.
-    ``address`` is where the leader takes reports, for a node that cannot read
-    the lease. ``granted`` holds, by service, the fencing tokens of moving ranges
-    whose new holders have them, before a map in the store says so. ``leaving`` holds the
-    servers that said in answers that they leave, and how many milliseconds ago. ``limits``
-    holds some of the words that servers said on the rate that they take, all in turn.
-    ``promoted`` holds, by service, the revision of the map in the store and the tokens of
-    its standbys that were promoted since: ranges of these are with no other server.
+    """The leader's periodic message, with its claims by kind.
+
+    A kind is left out if the leader doesn't know all its changes.
+
+    ``lease_revision`` rises with each renewal of the leader's lease, so that beacons of different
+    leaders can be ordered. The last renewal was sent ``renewed_age_ms`` ago. ``sent_ms`` is the
+    earliest time at which the beacon can have been sent, on the clock of the node that receives
+    it, so that a node recognises a beacon as old if it was delayed, or is read after the process
+    was suspended. ``address`` is the leader's address for reports, for a node that can't read the
+    lease. ``granted`` has, by service, the fencing tokens of moving ranges that their new holders
+    have acknowledged, before a map in the store shows it. ``leaving`` has the servers that
+    announced in answers that they leave, and how many milliseconds ago. ``limits`` has a part of
+    the rate limits that servers announced; successive beacons go through all of them in turn.
+    ``promoted`` has, by service, the revision of the map in the store and the tokens of its
+    standbys that were promoted since. The ranges of these standbys are held by no other server.
     """
 
     lease_revision: int
@@ -70,7 +75,7 @@
 
 
 class SnapshotItem(msgspec.Struct, array_like=True, frozen=True):
-    """One object of a snapshot; its content is encoded once and passed on as it is."""
+    """One object of a snapshot; its content stays encoded, so that it is encoded only once."""
 
     name: str
     revision: int
@@ -79,9 +84,10 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All objects of a kind at a revision; nothing was missing ``age_ms`` before the answer.
+    """All objects of a kind at revision ``through_revision``.
 
-    ``packed`` is the list of items, encoded and compressed.
+    No later change existed ``age_ms`` milliseconds before the answer. ``packed`` is the encoded
+    and compressed list of :class:`SnapshotItem`.
     """
 
     kind: str
@@ -91,9 +97,9 @@
 
 
 class Fragment(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """A part of a message that is longer than a datagram, after its compression."""
+    """A part of a compressed message that is longer than a datagram."""
 
-    number: int  # of the message, at its sender
+    number: int  # the sender's number of the message
     part: int
     parts: int
     data: bytes
--- a/ploverhatch/relay/packing.py
+++ b/ploverhatch/relay/packing.py
@@ -1,7 +1,9 @@
-"""Compression of what nodes tell each other, and its division into datagrams. Pure.
+"""Compression of messages between nodes, and their division into datagrams.
 
-Configurations and key maps repeat their field names and addresses, so that they
-shrink several times; the leader's link is narrow and carries them once per node.
+Configurations and key maps repeat field names and addresses, so compression shrinks them several
+times. This matters since the leader sends them once per node, and its link may be slow.
+
+This module does no I/O and reads no clock.
 """
 
 import zlib
@@ -15,10 +17,10 @@
 
 T = TypeVar("T")
 
-LEVEL = 1  # of zlib: most of the gain for the least processor time
+LEVEL = 1  # zlib level with most of the gain for the least processor time
 FRAGMENT_BYTES = 8000
 MAX_FRAGMENTS = 64
-MAX_INCOMPLETE = 8  # messages that wait for fragments
+MAX_INCOMPLETE = 8  # messages kept while fragments are missing
 MAX_MESSAGE_BYTES = 4 << 20  # after decompression
 
 
@@ -28,9 +30,9 @@
 
 
 def unpack(data: bytes, form: type[T]) -> T:
-    """Return a packed value.
+    """Decompress and decode a value.
 
-    :raises ValueError: when it is not one of this form, or too long.
+    :raises ValueError: if the data is no packed value of type ``form``, or is too long.
     """
     return msgspec.msgpack.decode(_decompressed(data), type=form)
 
@@ -42,14 +44,15 @@
     except zlib.error as error:
         raise ValueError(str(error)) from error
     if not decompressor.eof:
-        raise ValueError("cut short, or too long")
+        raise ValueError("compressed data is truncated or too long")
     return message
 
 
 def divide(number: int, data: bytes) -> list[Fragment]:
-    """Compress an encoded message and divide it; none when it is still too long.
+    """Compress an encoded message and divide it into fragments.
 
-    :param number: of the message, at its sender.
+    :param number: the sender's number of the message.
+    :returns: the fragments; none if the message is too long even after compression.
     """
     packed = zlib.compress(data, LEVEL)
     starts = range(0, len(packed), FRAGMENT_BYTES)
@@ -63,17 +66,18 @@
 
 @dataclass
 class Assembly:
-    """Puts messages together again; of those that stay incomplete the oldest go."""
+    """Reassembles messages from fragments, and drops the oldest of too many incomplete ones."""
 
     _incomplete: dict[Hashable, dict[int, bytes]] = field(default_factory=dict)
 
     def add(self, sender: Hashable, fragment: Fragment) -> bytes | None:
-        """Take a fragment; return the encoded message when it is whole.
+        """Add a fragment; return the encoded message once all its fragments are there.
 
-        :raises ValueError: when the whole can't be decompressed.
+        :raises ValueError: if the fragment's numbers are invalid, or if the message can't be
+            decompressed.
         """
         if not 0 <= fragment.part < fragment.parts <= MAX_FRAGMENTS:
-            raise ValueError("no such part")
+            raise ValueError("fragment number is out of range")
         key = (sender, fragment.number, fragment.parts)
         parts = self._incomplete.setdefault(key, {})
         parts[fragment.part] = fragment.data
--- a/ploverhatch/relay/publisher.py
+++ b/ploverhatch/relay/publisher.py
@@ -1,8 +1,10 @@
-"""What the leader tells, and what it may claim. Pure.
+"""Messages that the leader sends, and the conditions for its claims.
 
-A claim rests on an answer of the store alone: a watch that returned, with
-changes or after its whole wait without any. A watch that still waits proves
-nothing, since a connection may have died without a word.
+A claim is based on an answer of the store only: a watch that has returned, with changes or without
+any after its whole wait. A watch that still waits proves nothing, since its connection may be
+dead without a sign.
+
+This module does no I/O and reads no clock. Times are milliseconds of the elapsed clock.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,13 +14,13 @@
 
 
 def confirmed_ms(sent_ms: float, answered_ms: float, wait_ms: float, empty: bool) -> float:
-    """Return when a view was surely current, after a watch was answered.
+    """Return when a view was last known to be current, after a watch was answered.
 
-    An answer that was read late, by a process that stood still, may be as old
-    as the earliest time at which the store can have given it.
+    A process that was suspended reads an answer late. The answer then proves only that the view
+    was current at the earliest time at which the store can have sent it.
 
     :param wait_ms: how long the watch asked the store to wait.
-    :param empty: whether the answer held no changes.
+    :param empty: whether the answer had no changes.
     """
     waited = empty and answered_ms - sent_ms >= wait_ms
     return sent_ms + wait_ms if waited else sent_ms
@@ -26,22 +28,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedView:
-    """A kind as the leader can speak for it."""
+    """The leader's view of a kind."""
 
-    through_revision: int  # revision up to which all changes were told
-    current_ms: float
+    through_revision: int  # revision up to which all changes were relayed; below 0 if unknown
+    current_ms: float  # when the view was last known to be current
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """A term of leadership: its lease's revision, and when the last renewal was sent."""
+    """A term of leadership: the revision of its lease, and when its last renewal was sent."""
 
     lease_revision: int
     renewed_ms: float
 
 
 def beacon(term: Term, views: Mapping[str, FeedView], now_ms: float, address: str = "") -> Beacon:
-    """Return the claims for all kinds that can be spoken for."""
+    """Return a beacon with claims for all kinds whose changes the leader knows."""
     claims = {
         kind: Claim(view.through_revision, max(0.0, now_ms - view.current_ms))
         for kind, view in views.items()
@@ -57,11 +59,11 @@
     sized_changes: Iterable[tuple[RelayedChange, int]],
     max_bytes: int,
 ) -> list[RelayedUpdate]:
-    """Divide changes into messages of at most ``most`` bytes of changes each.
+    """Divide changes into updates of at most ``max_bytes`` bytes of changes each.
 
     :param sized_changes: changes in order, each with its size in bytes.
-    :returns: the messages; none when one change alone is too long, so that
-        nodes notice the gap and ask the store.
+    :returns: the updates; none if a single change is too long, so that nodes notice the gap and
+        ask the store.
     """
     groups: list[list[RelayedChange]] = [[]]
     filled = 0
--- a/tests/functional/test_key_leader_terms.py
+++ b/tests/functional/test_key_leader_terms.py
@@ -1,4 +1,4 @@
-"""A leader of keys acts by the maps of its own term only."""
+"""A key leader uses only the maps that it has read in its own term."""
 
 from types import SimpleNamespace
 
@@ -9,7 +9,7 @@
 
 
 class Elector:
-    """A node that leads; its term ends and another of its own begins while the store reads."""
+    """A node that leads; its term ends and a later one of its own begins during a store read."""
 
     def __init__(self):
         seen = SimpleNamespace(term=1)
@@ -19,7 +19,7 @@
         self.has_authority = self.may_change = True
 
 
-# Maps read in one term were used in the next one, in which another leader may have changed them.
+# Maps read in one term were used in the next one; another leader may have changed them in between.
 def test_maps_that_were_read_in_an_earlier_term_are_not_used():
     elector, ticks = Elector(), []
 
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -1,4 +1,4 @@
-"""Two gateways: the follower is told of changes, and asks the store when it must."""
+"""Two gateways: the leader relays changes, and the follower asks the store only if it must."""
 
 import gevent
 import pytest
@@ -51,19 +51,19 @@
     return sum(call[1] == kind and "watch" in call[3] for call in site.store.calls)
 
 
-def test_a_change_is_told_without_a_call_of_the_follower(pair):
+def test_a_change_is_relayed_without_a_call_of_the_follower(pair):
     site, leader, follower = pair
     before = watches(site, "servers")
     for number in range(4):
         site.start_upstream(f"new-{number}", "plain")
         until(lambda number=number: f"new-{number}" in follower.directory.servers.records, 1.0)
-    told = [call for call in site.store.calls if "watch" in call[3] and call[1] == "servers"]
-    assert watches(site, "servers") - before <= 16  # the leader's own, each 0.5 s at least
+    watch_calls = [call for call in site.store.calls if "watch" in call[3] and call[1] == "servers"]
+    assert watches(site, "servers") - before <= 16  # the leader sends at least one per 0.5 s
     wait_ms = leader._settings.relay_limit_ms * PROOF_WAIT_FRACTION
-    assert max(int(call[3]["wait_ms"]) for call in told[-4:]) == int(wait_ms)
+    assert max(int(call[3]["wait_ms"]) for call in watch_calls[-4:]) == int(wait_ms)
 
 
-def test_key_maps_are_told_as_what_changed(pair):
+def test_key_maps_are_relayed_as_differences(pair):
     site, leader, follower = pair
     site.start_upstream("s2", "keyed", sharded=True)
     site.store.remove("servers", "s1")
@@ -94,13 +94,13 @@
 
 
 def test_a_watch_that_died_without_a_word_proves_nothing(pair, monkeypatch):
-    """Found by a hunt (DRAIN): the leader's lease was renewed, its watch was dead."""
+    """The leader renewed its lease while its watch was dead."""
     site, leader, follower = pair
 
-    def silent(_kind, _after, _wait_s):
+    def unanswered(_kind, _after, _wait_s):
         gevent.sleep(60)
 
-    monkeypatch.setattr(leader._store, "watch", silent)
+    monkeypatch.setattr(leader._store, "watch", unanswered)
     leader._store.interrupt()
     gevent.sleep(0.3)
     start_ms = elapsed_ms()
@@ -111,7 +111,7 @@
 
 
 def test_while_the_leader_lists_again_the_others_go_on_by_its_word(pair, monkeypatch):
-    """Found on the shifted site: each failed watch of the leader made 78 nodes ask for all."""
+    """Each failed watch of the leader made 78 nodes list all objects from the store."""
     site, leader, follower = pair
     until(lambda: follower._relay.covered)
     monkeypatch.setattr(follower._store, "list_all", refuse)
@@ -124,7 +124,7 @@
     assert follower._relay.covered
 
 
-def test_dropped_history_makes_a_view_older_by_what_watches_did_not_hear(pair, monkeypatch):
+def test_dropped_history_makes_a_view_older_by_the_time_without_watches(pair, monkeypatch):
     _site, leader, _follower = pair
     (task,) = [task for task in leader._feeds if task.kind == "servers"]
     until(lambda: elapsed_ms() - task.view.current_ms < 500.0)
@@ -139,18 +139,18 @@
 
 
 def test_in_an_outage_one_task_of_a_node_asks_for_all(pair, monkeypatch):
-    """Found on the large site: 195 nodes asked for two kinds, at each beacon of the leader."""
+    """195 nodes asked the store for two kinds at each beacon of the leader."""
     site, leader, follower = pair
     asked = []
 
-    def away(kind, *_args, **_options):
+    def unavailable(kind, *_args, **_options):
         asked.append(kind)
         raise StoreCallError("away")
 
     for name in ("replace", "get", "watch", "list_all"):
         monkeypatch.setattr(leader._store, name, refuse)
     for name in ("watch", "list_all"):
-        monkeypatch.setattr(follower._store, name, away)
+        monkeypatch.setattr(follower._store, name, unavailable)
     leader._store.interrupt()
     follower._store.interrupt()
     until(lambda: follower._elector.store_unavailable)
@@ -167,7 +167,7 @@
     raise StoreCallError("refused")
 
 
-def test_a_node_that_the_store_turns_away_goes_on_by_the_leaders_word(pair, monkeypatch):
+def test_a_node_that_the_store_refuses_relies_on_the_leaders_relay(pair, monkeypatch):
     site, leader, follower = pair
     monkeypatch.setattr("ploverhatch.sharding.view.MAP_TRUST_MS", 1000.0)
     for name in ("replace", "get", "watch", "list_all"):
@@ -202,8 +202,8 @@
 # ---- key maps as differences ----------------------------------------------------------
 
 
-class Known:
-    """A directory with key maps alone."""
+class KeymapDirectory:
+    """A directory with key maps only."""
 
     def __init__(self, *keymaps):
         self.keymaps = {keymap.service: keymap for keymap in keymaps}
@@ -224,57 +224,57 @@
     return first, second, KeyMap("keyed", third.ranges, third.token, 9)
 
 
-def told(*sequence):
-    """Return what a leader tells that knew the first map when its term began."""
-    relay = KeymapRelay(Known(sequence[0]))
+def relayed(*sequence):
+    """Return the changes that a leader relays that knew the first map when its term began."""
+    relay = KeymapRelay(KeymapDirectory(sequence[0]))
     relay.begin_term()
     return [relay.change_of(keymap) for keymap in sequence[1:]]
 
 
 def test_differences_build_the_same_map():
     first, second, third = keymaps()
-    directory = Known(first)
-    for change in told(first, second, third):
+    directory = KeymapDirectory(first)
+    for change in relayed(first, second, third):
         assert KeymapRelay(directory).apply(change)
     assert directory.keymaps["keyed"] == third
 
 
-def test_a_difference_from_a_map_that_is_not_known_is_not_taken():
+def test_a_difference_from_an_unknown_map_is_not_applied():
     first, second, third = keymaps()
-    _, change = told(first, second, third)
-    directory = Known(first)
+    _, change = relayed(first, second, third)
+    directory = KeymapDirectory(first)
     assert not KeymapRelay(directory).apply(change)
     assert directory.keymaps["keyed"] == first
 
 
-def test_a_difference_that_leaves_a_gap_is_not_taken():
+def test_a_difference_that_leaves_a_gap_is_not_applied():
     pieces = [Move(0, 999, HOLDERS[0]), Move(1000, LAST_KEY, HOLDERS[1])]
     dealt = first_assignment(KeyMap("keyed"), pieces)
     before = KeyMap("keyed", dealt.ranges, dealt.token, 5)
     after = begin_moves(before, [Move(10, 20, HOLDERS[2])])
-    (change,) = told(before, KeyMap("keyed", after.ranges, after.token, 6))
+    (change,) = relayed(before, KeyMap("keyed", after.ranges, after.token, 6))
     narrower = KeyMap("keyed", before.ranges[:1], before.token, 5)
-    assert KeymapRelay(Known(before)).apply(change)
-    assert not KeymapRelay(Known(narrower)).apply(change)
+    assert KeymapRelay(KeymapDirectory(before)).apply(change)
+    assert not KeymapRelay(KeymapDirectory(narrower)).apply(change)
 
 
-def test_a_known_map_is_passed_over_and_told_once():
+def test_a_known_map_is_skipped_and_relayed_once():
     first, second, _ = keymaps()
-    relay = KeymapRelay(Known(first))
+    relay = KeymapRelay(KeymapDirectory(first))
     relay.begin_term()
     change = relay.change_of(second)
     assert relay.change_of(second) is None
     assert relay.encode(ObjectChange(VersionedObject("keyed", 6, None), gone=False)) is None
-    assert KeymapRelay(Known(second)).apply(change)
+    assert KeymapRelay(KeymapDirectory(second)).apply(change)
 
 
-def test_a_first_map_is_told_whole():
+def test_a_first_map_is_relayed_whole():
     first, *_ = keymaps()
-    relay = KeymapRelay(Known())
+    relay = KeymapRelay(KeymapDirectory())
     relay.begin_term()
     change = relay.change_of(first)
     assert change.base == 0
-    directory = Known()
+    directory = KeymapDirectory()
     assert KeymapRelay(directory).apply(change)
     assert directory.keymaps["keyed"] == first
 
@@ -288,7 +288,7 @@
 
 def test_a_node_that_starts_learns_from_the_leader(pair):
     site, leader, follower = pair
-    # The leader stores that ranges are settled a while after their grants: its own call.
+    # The leader stores ranges as settled some time after their grants, which is a call of its own.
     until(lambda: all_settled(leader))
     before = len(site.store.calls)
     late = site.start_gateway("node-3")
@@ -331,11 +331,11 @@
     site.store.put("config", "main", {**CONFIG, "version": "00000009", "virtual_hosts": hosts})
     until(lambda: follower.directory.table.version == 9, 2.0)
     until(lambda: follower._relay.covered)
-    limit = 4  # the leader's watches meanwhile
+    limit = 4  # watches of the leader in that time
     assert len(calls_for(site, "config", before)) <= limit
 
 
-def test_an_old_view_of_the_leader_is_not_passed_on(pair, monkeypatch):
+def test_no_snapshot_is_made_from_an_old_view_of_the_leader(pair, monkeypatch):
     site, leader, follower = pair
     assert leader._relay.snapshot("servers") is not None
     assert follower._relay.snapshot("servers") is None
@@ -344,11 +344,11 @@
     leader._store.interrupt()
     gevent.sleep(leader._settings.relay_limit_ms / 1000 + 0.1)
     assert leader._relay.snapshot("servers") is None
-    assert leader._relay.snapshot("keymaps") is not None  # its own authority is the proof
+    assert leader._relay.snapshot("keymaps") is not None  # its authority shows that it is current
 
 
 def test_a_node_without_the_store_finds_the_next_leader(monkeypatch):
-    """Found on a day of the new customer: cut-off nodes refused all keys after a change."""
+    """Nodes without the store refused requests for all keys after a change of leaders."""
     site = Site()
     site.store.put("config", "main", CONFIG)
     site.start_upstream("s1", "keyed", sharded=True)
@@ -387,7 +387,7 @@
 
 
 def test_a_move_goes_on_while_the_store_takes_no_map(pair, monkeypatch):
-    """Found on a day of the new customer: hot ranges stood still for 3.7 s."""
+    """Requests for hot ranges waited for 3.7 s."""
     site, leader, follower = pair
     site.start_upstream("s2", "keyed", sharded=True)
     replace_object = leader._store.replace
--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -1,4 +1,4 @@
-"""The leader's lease: one at a time may change things, whatever is lost."""
+"""The leader's lease: at most one node may begin moves, whichever answers get lost."""
 
 from dataclasses import replace
 
@@ -18,7 +18,7 @@
 
 
 class ElectionMachine(RuleBasedStateMachine):
-    """Nodes over a store with compare-and-set; answers may be lost."""
+    """Nodes that use a store with compare-and-set, whose answers may be lost."""
 
     def __init__(self):
         super().__init__()
@@ -38,7 +38,7 @@
         self.now_ms += pause_ms
 
     @rule(name=st.sampled_from(NAMES))
-    def look(self, name):
+    def read_lease(self, name):
         self.states[name] = election.observe(self.states[name], self.stored, self.now_ms)
 
     @rule(name=st.sampled_from(NAMES), lost=st.booleans(), took_ms=st.integers(0, 1500))
@@ -77,8 +77,8 @@
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name):
-        life = str(int(self.states[name].incarnation) + 1)
-        self.states[name] = ElectionState(name, life)
+        incarnation = str(int(self.states[name].incarnation) + 1)
+        self.states[name] = ElectionState(name, incarnation)
 
     @invariant()
     def one_at_most_may_change(self):
@@ -100,7 +100,7 @@
 TestElection.settings = settings(max_examples=300, stateful_step_count=40, deadline=None)
 
 
-def test_a_silent_leader_is_replaced_and_an_active_one_is_not():
+def test_a_leader_that_stops_renewing_is_replaced_and_an_active_one_is_not():
     state = ElectionState("a", "1")
     state = election.observe(state, LeaseObject(5, "b", "1"), 1000.0)
     assert not election.may_claim(state, 1000.0 + TAKEOVER_MS - 1)
@@ -109,12 +109,12 @@
     assert not election.may_claim(state, 1000.0 + TAKEOVER_MS)
 
 
-def test_a_stale_reading_changes_nothing():
+def test_a_stale_read_changes_nothing():
     state = election.observe(ElectionState("a", "1"), LeaseObject(6, "b", "1"), 2000.0)
     assert election.observe(state, LeaseObject(5, "c", "1"), 3000.0) == state
 
 
-def test_a_released_lease_and_one_of_an_earlier_life_are_free():
+def test_a_released_lease_and_one_of_an_earlier_incarnation_are_free():
     released = election.observe(
         ElectionState("a", "2"), LeaseObject(6, "b", "1", released=True), 0.0
     )
@@ -134,16 +134,16 @@
     assert not election.has_authority(replace(state, leading=False), 501.0)
 
 
-def test_a_leader_that_is_heard_keeps_its_lease():
+def test_a_leader_whose_beacons_arrive_keeps_its_lease():
     state = election.observe(ElectionState("n2", "l2"), LeaseObject(5, "n1", "l1", "a"), 0.0)
-    told = election.observe_renewal(state, 9, 4000.0)
+    renewed = election.observe_renewal(state, 9, 4000.0)
     assert election.may_claim(state, 4100.0)
-    assert not election.may_claim(told, 4100.0)
-    assert election.may_claim(told, 4000.0 + election.TAKEOVER_MS)
-    assert election.earlier_authority_ms(told, 5000.0) == election.AUTHORITY_MS - 1000.0
+    assert not election.may_claim(renewed, 4100.0)
+    assert election.may_claim(renewed, 4000.0 + election.TAKEOVER_MS)
+    assert election.earlier_authority_ms(renewed, 5000.0) == election.AUTHORITY_MS - 1000.0
 
 
-def test_a_lease_that_was_told_of_counts_from_then():
+def test_a_lease_that_was_relayed_counts_from_its_renewal():
     state = election.observe_renewal(ElectionState("n2", "l2"), 9, 1000.0)
     state = election.observe(state, LeaseObject(9, "n1", "l1", "a"), 3500.0)
     assert election.may_claim(state, 1000.0 + election.TAKEOVER_MS)
@@ -151,12 +151,12 @@
     assert not election.may_claim(newer, 3600.0 + election.TAKEOVER_MS - 1)
 
 
-def test_an_earlier_leaders_word_does_not_count():
+def test_a_beacon_of_an_earlier_leader_changes_nothing():
     state = election.observe_renewal(ElectionState("n2", "l2"), 9, 1000.0)
     assert election.observe_renewal(state, 8, 5000.0) is state
 
 
-def test_a_leader_that_hears_of_a_later_lease_stops():
+def test_a_leader_that_learns_of_a_later_lease_stops():
     state = election.acquired(ElectionState("a", "1"), LeaseObject(5, "a", "1", "here"), 500.0)
     assert election.has_authority(election.observe_renewal(state, 4, 400.0, "there"), 600.0)
     replaced = election.observe_renewal(state, 6, 600.0, "there")
@@ -164,7 +164,7 @@
     assert replaced.leader_address == "there"
 
 
-def test_the_latest_leader_known_is_reported_to():
+def test_the_latest_known_leader_gets_the_reports():
     state = election.observe(ElectionState("a", "1"), LeaseObject(5, "b", "1", "old"), 0.0)
     assert state.leader_address == "old"
     state = election.observe_renewal(state, 7, 10.0, "new")
@@ -182,16 +182,16 @@
 
 
 def test_weak_machines_leave_a_claim_to_strong_ones():
-    latest_look_ms = 12 * election.SPREAD_PER_NODE_MS + 250.0  # of a node that missed a beacon
-    assert election.claim_delay_ms(weak()) > latest_look_ms
+    latest_read_ms = 12 * election.SPREAD_PER_NODE_MS + 250.0  # by a node that missed a beacon
+    assert election.claim_delay_ms(weak()) > latest_read_ms
     assert election.claim_delay_ms(ElectionState("s", "1")) == 0.0
 
 
-def test_where_all_machines_are_weak_nobody_waits():
+def test_where_all_machines_are_weak_none_delays_its_claim():
     assert election.claim_delay_ms(weak(strongest=0.2)) == 0.0
 
 
-def test_the_strongest_look_as_soon_as_they_may_claim():
+def test_the_strongest_nodes_read_the_lease_as_soon_as_they_may_claim_it():
     state = election.observe(ElectionState("s", "1"), LeaseObject(5, "b", "1"), 0.0)
     assert election.read_interval_ms(state, 100.0, 0.5) == election.READ_INTERVAL_MS
     now_ms = TAKEOVER_MS - 400.0
@@ -215,7 +215,7 @@
     assert not election.should_hand_over(ElectionState("s", "1", leading=True), 1.0, led_ms)
 
 
-def test_the_lease_tells_how_strong_its_holder_is():
+def test_the_lease_has_the_strength_of_its_holder():
     lease = election.lease_to_write(weak(), "", 0.0)
     assert lease.strength == 0.2
     state = election.observe(ElectionState("s", "1"), replace(lease, revision=5), 0.0)
@@ -224,7 +224,7 @@
 
 
 def test_in_an_outage_weak_machines_ask_less_and_less_often():
-    """Found on trouble-3: 79 nodes asked 190 times a second for 8 s."""
+    """At a constant interval, 79 nodes asked the store 190 times per second for 8 s."""
     pauses = [election.outage_retry_ms(weak(), failures, 0.0) for failures in range(1, 8)]
     assert pauses == sorted(pauses)
     asked = sum(sum(pauses[:count]) < 8000.0 for count in range(len(pauses)))
@@ -232,12 +232,12 @@
     assert pauses[-1] == election.MAX_OUTAGE_RETRY_MS
 
 
-def test_in_an_outage_those_that_may_lead_ask_at_a_steady_pace():
+def test_in_an_outage_nodes_that_may_lead_next_ask_at_a_constant_interval():
     for state in (ElectionState("s", "1"), replace(weak(), leading=True), weak(strongest=0.2)):
         assert election.outage_retry_ms(state, 20, 0.0) == election.OUTAGE_RETRY_MS
 
 
-# ---- a store that came back from a copy ------------------------------------------------------
+# ---- a store that was restored from a snapshot -----------------------------------------------
 
 
 def test_a_lease_of_an_earlier_term_at_a_later_revision_changes_no_leader():
@@ -247,7 +247,7 @@
     assert seen.seen_since_ms == 0.0
 
 
-def test_the_leader_stays_so_over_a_lease_of_an_earlier_term():
+def test_the_leader_keeps_leading_after_a_lease_of_an_earlier_term():
     state = election.acquired(ElectionState("s", "1"), LeaseObject(8, "s", "1", term=4), 0.0)
     kept = election.observe(state, LeaseObject(9, "b", "1", term=3), 500.0)
     assert kept.leading
@@ -255,7 +255,7 @@
     assert not election.observe(state, LeaseObject(9, "b", "1", term=5), 500.0).leading
 
 
-def test_a_lease_that_tells_no_term_is_taken_by_its_revision():
+def test_a_lease_without_a_term_is_ordered_by_its_revision():
     state = election.observe(ElectionState("s", "1"), LeaseObject(8, "w", "1", term=4), 0.0)
     assert election.observe(state, LeaseObject(9, "b", "1"), 1.0).seen.node == "b"
 
--- a/tests/unit/test_found_by_simulation.py
+++ b/tests/unit/test_found_by_simulation.py
@@ -1,12 +1,12 @@
-"""Faults that the simulation found, each as the shortest sequence of events."""
+"""Faults that the simulation showed, each as its shortest sequence of events."""
 
 from ploverhatch.leadership import election
 from ploverhatch.leadership.election import AUTHORITY_MS, ElectionState, LeaseObject
 
 
-def lead(name, life, seen, now_ms):
-    """Return a state that has seen a lease for long enough and claims it."""
-    state = election.observe(ElectionState(name, life), seen, now_ms)
+def lead(name, incarnation, seen, now_ms):
+    """Claim a lease that was not renewed; return the leader's state, its lease and the time."""
+    state = election.observe(ElectionState(name, incarnation), seen, now_ms)
     now_ms += election.TAKEOVER_MS
     assert election.may_claim(state, now_ms)
     lease = election.lease_to_write(state, "", now_ms)
@@ -14,7 +14,7 @@
 
 
 def test_a_third_leader_waits_for_the_first_one_too():
-    """Seeds 4582 and 5084: the second leader was killed and started again at once."""
+    """The second leader was killed and restarted at once (seeds 4582 and 5084)."""
     first_renewed_ms = 0.0
     first = LeaseObject(1, "a", "1")
     _, lease, now_ms = lead("b", "1", first, first_renewed_ms)
@@ -27,7 +27,7 @@
     assert until_ms >= first_renewed_ms + AUTHORITY_MS
 
 
-def test_a_resigning_leader_tells_of_the_one_before_it():
+def test_the_released_lease_of_a_leader_covers_the_leader_before_it():
     state, _, now_ms = lead("b", "1", LeaseObject(1, "a", "1"), 0.0)
     released = election.lease_to_write(state, "", now_ms + 100, released=True)
     third = election.observe(
--- a/tests/unit/test_packing.py
+++ b/tests/unit/test_packing.py
@@ -1,4 +1,4 @@
-"""Messages that are longer than a datagram, whatever is lost, doubled or spoilt."""
+"""Messages longer than a datagram, with fragments that are lost, repeated or malformed."""
 
 import random
 
@@ -14,12 +14,12 @@
 
 
 @given(st.recursive(st.text() | st.integers(0, 9), st.lists, max_leaves=9))
-def test_what_was_packed_is_unpacked(value):
+def test_unpack_returns_the_packed_value(value):
     assert packing.unpack(packing.pack(value), object) == value
 
 
 @given(st.randoms(use_true_random=False), st.booleans())
-def test_fragments_come_in_any_order_and_more_than_once(shuffled, doubled):
+def test_fragments_may_arrive_in_any_order_and_more_than_once(shuffled, doubled):
     parts = packing.divide(7, LONG)
     assert len(parts) > 3
     if doubled:
@@ -60,11 +60,11 @@
         replace(packing.divide(1, b"short")[0], data=packing.divide(1, b"short")[0].data[:-3]),
     ],
 )
-def test_spoilt_fragments_are_told_as_such(fragment):
+def test_malformed_fragments_are_rejected(fragment):
     with pytest.raises(ValueError):
         packing.Assembly().add("node", fragment)
 
 
-def test_what_unpacks_to_too_much_is_refused():
+def test_a_value_that_is_too_long_after_decompression_is_rejected():
     with pytest.raises(ValueError):
         packing.unpack(packing.pack("x" * (packing.MAX_MESSAGE_BYTES + 1)), str)
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -1,4 +1,4 @@
-"""What nodes may rely on: tables, and a state machine with lost and overtaken messages."""
+"""The leader's relay: coverage, updates, and a model with lost and reordered messages."""
 
 import pytest
 from hypothesis import settings
@@ -16,8 +16,8 @@
 LIMIT_MS = 1000.0
 
 
-def beacon(reached, age_ms=0.0, lease=1, sent_ms=0.0):
-    return Beacon(lease, age_ms, {KIND: Claim(reached, age_ms)}, sent_ms)
+def beacon(through_revision, age_ms=0.0, lease=1, sent_ms=0.0):
+    return Beacon(lease, age_ms, {KIND: Claim(through_revision, age_ms)}, sent_ms)
 
 
 @pytest.mark.parametrize(
@@ -25,8 +25,8 @@
     [
         (7, 0.0, 7, 1000.0),
         (7, 400.0, 7, 600.0),
-        (7, 0.0, 9, 1000.0),  # the node read more by itself
-        (7, 0.0, 6, float("-inf")),  # something told was lost
+        (7, 0.0, 9, 1000.0),  # the node has read later changes from the store
+        (7, 0.0, 6, float("-inf")),  # a relayed change was lost
         (7, 5000.0, 7, -4000.0),
     ],
 )
@@ -78,9 +78,9 @@
 }
 
 
-@pytest.mark.parametrize(("cursor", "told", "expected"), FOLLOWS.values(), ids=FOLLOWS.keys())
-def test_only_what_joins_is_taken(cursor, told, expected):
-    assert coverage.follows(cursor, told) is expected
+@pytest.mark.parametrize(("cursor", "update", "expected"), FOLLOWS.values(), ids=FOLLOWS.keys())
+def test_only_an_update_without_a_gap_follows(cursor, update, expected):
+    assert coverage.follows(cursor, update) is expected
 
 
 def test_the_cursor_moves_with_the_last_part():
@@ -93,9 +93,9 @@
 @pytest.mark.parametrize(
     ("answered_ms", "empty", "expected"),
     [
-        (500.0, True, 500.0),  # waited to the end: nothing had changed by then
-        (4000.0, True, 500.0),  # read late, after a pause of the process
-        (300.0, True, 100.0),  # cut short
+        (500.0, True, 500.0),  # the whole wait passed without a change
+        (4000.0, True, 500.0),  # the answer was read late, after the process was suspended
+        (300.0, True, 100.0),  # the wait was cut short
         (300.0, False, 100.0),
         (4000.0, False, 100.0),
     ],
@@ -106,8 +106,8 @@
 
 def test_a_kind_that_has_to_be_listed_is_not_claimed():
     views = {"a": FeedView(4, 900.0), "b": FeedView(-1, 900.0)}
-    told = publisher.beacon(Term(7, 800.0), views, 1000.0)
-    assert told == Beacon(7, 200.0, {"a": Claim(4, 100.0)})
+    sent = publisher.beacon(Term(7, 800.0), views, 1000.0)
+    assert sent == Beacon(7, 200.0, {"a": Claim(4, 100.0)})
 
 
 def change(revision):
@@ -126,7 +126,7 @@
     assert publisher.split_changes(KIND, 1, 9, [(change(2), 10), (change(3), 101)], 100) == []
 
 
-# A server's later word (it drains) was replaced by its earlier one, which a part told again.
+# A part relayed a server's earlier record again, which replaced its later one (it drains).
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_part_of_changes_told_again_leaves_what_came_later(gone):
     taken = {}
@@ -146,17 +146,17 @@
 
 
 class RelayedStore(RuleBasedStateMachine):
-    """A store, a leader that reads it, and a follower that is told; time in milliseconds.
+    """A store, a leader that reads it, and a follower that gets the leader's relay.
 
-    Messages get lost, overtake each other and come twice. Whenever the
-    follower is covered it knows every change that is older than the limit, and
-    its objects are those of its cursor.
+    Messages get lost, arrive out of order and arrive twice. Whenever the follower is covered, it
+    knows every change that is older than the limit. Its objects are those of its cursor. Times are
+    milliseconds.
     """
 
     def __init__(self):
         super().__init__()
         self.now_ms = 0.0
-        self.history = []  # (revision, when, name or gone)
+        self.history = []  # (revision, time, name, whether it was removed)
         self.leader = 0
         self.confirmed_ms = 0.0
         self.cut = False
@@ -192,14 +192,14 @@
     @precondition(lambda self: not self.cut)
     @rule(most=st.integers(1, 3))
     def leader_reads(self, most):
-        """The leader's watch returns, and is asked again."""
+        """The leader's watch returns, and the leader relays the changes."""
         changes = self.changes(self.leader)
-        told = publisher.split_changes(
+        updates = publisher.split_changes(
             KIND, self.leader, self.revision, [(item, 1) for item in changes], most
         )
         self.leader = self.revision
         self.confirmed_ms = self.now_ms
-        self.in_flight += told
+        self.in_flight += updates
 
     @rule()
     def leader_is_cut_off(self):
@@ -210,10 +210,10 @@
         self.cut = False
 
     @rule()
-    def leader_tells_claims(self):
+    def leader_sends_a_beacon(self):
         views = {KIND: FeedView(self.leader, self.confirmed_ms)}
-        told = publisher.beacon(Term(1, 0.0), views, self.now_ms)
-        self.in_flight.append(replace(told, sent_ms=self.now_ms))
+        sent = publisher.beacon(Term(1, 0.0), views, self.now_ms)
+        self.in_flight.append(replace(sent, sent_ms=self.now_ms))
 
     @precondition(lambda self: self.in_flight)
     @rule(data=st.data(), lost=st.booleans(), twice=st.booleans())
@@ -226,10 +226,10 @@
             self.coverage = coverage.apply_beacon(self.coverage, message)
         elif coverage.follows(self.cursor, message):
             for item in message.changes:
-                self.take(item)
+                self.apply(item)
             self.cursor = coverage.advanced(self.cursor, message)
 
-    def take(self, item):
+    def apply(self, item):
         if coverage.is_known(self.cursor, item, self.objects.get(item.name)):
             return
         self.objects.pop(item.name, None)
@@ -240,7 +240,7 @@
     def follower_asks_the_store(self):
         if coverage.covered_until_ms(self.coverage, KIND, self.cursor.revision) <= self.now_ms:
             for item in self.changes(self.cursor.revision):
-                self.take(item)
+                self.apply(item)
             self.cursor = Cursor(self.revision)
 
     @rule(by_ms=st.sampled_from([1.0, 200.0, 900.0, 1100.0]))
