--- a/ploverhatch/leadership/election.py
+++ b/ploverhatch/leadership/election.py
@@ -64,8 +64,8 @@
     renewed_ms: float = -1e12  # when the last acknowledged renewal was sent
     inherited_until_ms: float = -1e12  # time until which earlier leaders may act
     relayed_revision: int = 0  # revision of the lease in the latest beacon
-    relayed_renewal_ms: float = -1e12  # when the renewal in that beacon was sent
-    relayed_address: str = ""  # address of the leader in that beacon
+    relayed_renewal_ms: float = -1e12  # latest time at which a relayed renewal was sent
+    relayed_address: str = ""  # address of the leader in the latest beacon
     strength: float = 1.0  # strength of this node's machine
     strongest: float = 1.0  # highest strength of the known nodes
     strongest_count: int = 1  # number of nodes with that strength
@@ -105,9 +105,7 @@
     if lease.is_before(state.seen):
         return replace(state, seen=replace(state.seen, revision=lease.revision))
     lost = state.leading and (lease.node, lease.incarnation) != state.identity
-    known = (
-        lease.revision <= state.relayed_revision
-    )  # a beacon has shown this renewal or a later one
+    known = lease.revision <= state.relayed_revision  # a beacon has relayed this renewal
     since_ms = min(now_ms, state.relayed_renewal_ms) if known else now_ms
     return replace(state, seen=lease, seen_since_ms=since_ms, leading=state.leading and not lost)
 
--- a/ploverhatch/relay/packing.py
+++ b/ploverhatch/relay/packing.py
@@ -17,7 +17,7 @@
 
 T = TypeVar("T")
 
-LEVEL = 1  # zlib level with most of the gain for the least processor time
+ZLIB_LEVEL = 1  # zlib level with most of the gain for the least processor time
 FRAGMENT_BYTES = 8000
 MAX_FRAGMENTS = 64
 MAX_INCOMPLETE = 8  # messages kept while fragments are missing
@@ -26,7 +26,7 @@
 
 def pack(value: object) -> bytes:
     """Encode and compress a value."""
-    return zlib.compress(msgspec.msgpack.encode(value), LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(value), ZLIB_LEVEL)
 
 
 def unpack(data: bytes, form: type[T]) -> T:
@@ -54,7 +54,7 @@
     :param number: the sender's number of the message.
     :returns: the fragments; none if the message is too long even after compression.
     """
-    packed = zlib.compress(data, LEVEL)
+    packed = zlib.compress(data, ZLIB_LEVEL)
     starts = range(0, len(packed), FRAGMENT_BYTES)
     if len(starts) > MAX_FRAGMENTS:
         return []
--- a/ploverhatch/sharding/holders.py
+++ b/ploverhatch/sharding/holders.py
@@ -175,16 +175,16 @@
         late = sum(now_ms - call.sent_ms >= LATE_RENEWAL_MS for call in self.under_way)
         return int(late == len(self.under_way) and late < MAX_LATE_CALLS)
 
-    def note_renewal_ended(self, name: RangeId, now_ms: float, well: bool) -> None:
+    def note_renewal_ended(self, name: RangeId, now_ms: float, acknowledged: bool) -> None:
         """Record the end of a renewal.
 
-        :param well: whether the server acknowledged it.
+        :param acknowledged: whether the server acknowledged it.
         """
         call = next((call for call in self.under_way if call.name == name), None)
         if call is None:
             return
         self.under_way.remove(call)
-        if well:
+        if acknowledged:
             self.renewed_ms[name] = now_ms
             # A slow server answers in order, so an older call without an answer was lost.
             if any(other.sent_ms <= call.sent_ms - LATE_RENEWAL_MS for other in self.under_way):
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -85,7 +85,7 @@
     keymap: KeyMap
     storing: KeyMap | None = None  # the map that is being written to the store
     outdated: bool = False  # the store has an older map than ``keymap``
-    # The map is invalid: later maps were lost, whose grants other leaders may renew until then.
+    # Set if the map is invalid: until then other leaders may renew grants of lost later maps.
     untrusted_until_ms: float | None = None
     granted: _GrantedRanges | None = None  # a cache, reset when the map or a transfer changes
     transfers: dict[RangeId, Transfer] = field(default_factory=dict)
@@ -122,7 +122,7 @@
     # ---- state --------------------------------------------------------------------------
 
     def keymap(self, service: str) -> KeyMap:
-        """Return the map of a service as the store last acknowledged it."""
+        """Return the latest known map of a service, with the promoted standbys as holders."""
         state = self._services.get(service)
         return state.keymap if state else KeyMap(service)
 
@@ -313,7 +313,7 @@
     def _settle(
         self, state: _ServiceState, now_ms: float, wait_ms: float = SETTLE_MS
     ) -> list[Action]:
-        """Store ranges as settled once one of them has been acknowledged ``wait_ms`` ago."""
+        """Store acknowledged ranges as settled, ``wait_ms`` after the first acknowledgement."""
         if state.storing is not None:
             return []
         times = [transfer.done_ms for transfer in state.transfers.values()]
@@ -327,7 +327,7 @@
         return self._granted_ranges(state).keymap
 
     def _granted_ranges(self, state: _ServiceState) -> _GrantedRanges:
-        """Return that map with its index, which is cached since each renewal needs it."""
+        """Return the map of ``_granted_map`` with an index; cached, as each renewal needs it."""
         if state.granted is None:
             service = state.keymap.service
             done = {name for name, transfer in state.transfers.items() if transfer.done}
@@ -567,14 +567,14 @@
         self, lease: HolderLease, outcome: CallOutcome, now_ms: float
     ) -> list[Action]:
         if outcome is CallOutcome.OTHER_INSTANCE:
-            return self._note_ended(lease)
+            return self._note_stopped(lease)
         if outcome in {CallOutcome.DONE, CallOutcome.REFUSED}:
             lease.note_answer(now_ms)
         elif outcome in {CallOutcome.NO_ANSWER, CallOutcome.NOT_LISTENING}:
             lease.note_no_answer(now_ms)
         return []
 
-    def _note_ended(self, lease: HolderLease) -> list[Action]:
+    def _note_stopped(self, lease: HolderLease) -> list[Action]:
         lease.note_stopped()
         self._end_transfers_from(lease.holder)
         return [ForgetServer(lease.holder.server_id)]
@@ -638,13 +638,13 @@
         return revoked_everywhere(keymap, holders, self._restores)
 
     def map_outdated(self, service: str) -> None:
-        """Record that the store was restored with an older map of a service than this one."""
+        """Record that the restored store has an older map of a service than this leader."""
         state = self._services.get(service)
         if state is not None:
             state.outdated = True
 
     def map_seen(self, keymap: KeyMap, now_ms: float) -> None:
-        """Record that a map was read from the store."""
+        """Record that a map was read from the store; it is adopted if its revision is later."""
         state = self._services.setdefault(keymap.service, _ServiceState(keymap))
         if state.storing is not None or keymap.revision <= state.keymap.revision:
             return
--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -31,8 +31,8 @@
 
 
 def observe_renewal_without_stopping(state, lease_revision, renewed_ms, address=""):
-    told = _observe_renewal(state, lease_revision, renewed_ms, address)
-    return replace(told, leading=state.leading)
+    observed = _observe_renewal(state, lease_revision, renewed_ms, address)
+    return replace(observed, leading=state.leading)
 
 
 _observe_renewal = election.observe_renewal
--- a/tests/unit/test_key_simulation.py
+++ b/tests/unit/test_key_simulation.py
@@ -8,13 +8,13 @@
 from tests.unit.key_mutations import MUTATIONS, switched_off
 
 PAIRS = list(combinations(sorted(FAULTS), 2))
-SILENT_AND_RESTARTED = (1, ("cut-server", "kill-all", "restart-server"))
+UNREACHABLE_AND_RESTARTED = (1, ("cut-server", "kill-all", "restart-server"))
 # Schedules, as a seed and faults, with a violation if the mechanism is switched off.
 FAILING_SCHEDULES = {
     "lapse not waited out": (1, ("late-orders", "store-loses-answers")),
-    "release not awaited": SILENT_AND_RESTARTED,
-    "server's slow clock not allowed for": SILENT_AND_RESTARTED,
-    "leases of the last leader not inherited": SILENT_AND_RESTARTED,
+    "release not awaited": UNREACHABLE_AND_RESTARTED,
+    "server's slow clock not allowed for": UNREACHABLE_AND_RESTARTED,
+    "leases of the last leader not inherited": UNREACHABLE_AND_RESTARTED,
     "suspensions not counted": (5, ("suspend-leader", "suspend-leader", "split-leader")),
     "standbys of the last leader not released": (0, ("cut-leader-from-store", "drain-server")),
     "old maps trusted": (6, ("split-leader", "late-orders", "late-orders")),
--- a/tests/unit/test_leader_core.py
+++ b/tests/unit/test_leader_core.py
@@ -267,9 +267,9 @@
     core.grant_sent(holder(0), 0.0)
     core.grant_sent(holder(1), 0.0)
     core.grant_sent(holder(7), 0.0)  # no map or record names it any more
-    lapsed_ms = TIMING.expiry_ms(0.0) + 1.0
-    assert core.forget_gone(["s5"], lapsed_ms - 10.0) == {"s0", "s1", "s5", "s7"}
-    assert core.forget_gone(["s5"], lapsed_ms) == {"s0", "s1", "s5"}
+    expired_ms = TIMING.expiry_ms(0.0) + 1.0
+    assert core.forget_gone(["s5"], expired_ms - 10.0) == {"s0", "s1", "s5", "s7"}
+    assert core.forget_gone(["s5"], expired_ms) == {"s0", "s1", "s5"}
 
 
 def test_keys_of_a_silent_holder_wait_until_no_node_uses_the_old_map():
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -48,7 +48,7 @@
     return made
 
 
-def wish(number, now_ms, wait_ms=400.0):
+def slot_request(number, now_ms, wait_ms=400.0):
     return SlotRequest(
         Requester(NODE, number), 1, now_ms + wait_ms, now_ms + wait_ms, 1000.0, zone="a"
     )
@@ -59,16 +59,16 @@
 
     Returns the times at which slots were granted, by server.
     """
-    given_ms = {}
+    granted_ms = {}
     now_ms, number = start_ms, 0
     while now_ms < end_ms:
         number += 1
-        answers = made.request_slot(wish(number, now_ms), now_ms) + made.expire(now_ms)
+        answers = made.request_slot(slot_request(number, now_ms), now_ms) + made.expire(now_ms)
         for answer in (item for item in answers if isinstance(item, SlotGranted)):
-            given_ms.setdefault(answer.server_id, []).append(now_ms)
+            granted_ms.setdefault(answer.server_id, []).append(now_ms)
             made.release(answer.requester, 0.0, False, now_ms)
         now_ms += step_ms
-    return given_ms
+    return granted_ms
 
 
 def most(times_ms):
@@ -103,9 +103,9 @@
 
 
 def test_servers_without_a_limit_get_the_requests_above_the_limit():
-    given_ms = flood(group({"s0": 2.5}, count=2), 0.0, 4000.0)
-    assert len(given_ms["s0"]) <= 11
-    assert len(given_ms["s1"]) > 700
+    granted_ms = flood(group({"s0": 2.5}, count=2), 0.0, 4000.0)
+    assert len(granted_ms["s0"]) <= 11
+    assert len(granted_ms["s1"]) > 700
 
 
 def test_a_server_with_a_limit_of_zero_gets_a_request_now_and_then():
@@ -116,8 +116,8 @@
 
 def test_a_request_that_cannot_be_served_in_time_is_rejected_with_a_time_to_retry():
     made = group({"s0": 0.5})
-    made.request_slot(wish(1, 0.0), 0.0)
-    (answer,) = made.request_slot(wish(2, 1.0), 1.0)
+    made.request_slot(slot_request(1, 0.0), 0.0)
+    (answer,) = made.request_slot(slot_request(2, 1.0), 1.0)
     assert answer == SlotRejected(Requester(NODE, 2), 2000.0)
 
 
--- a/tests/unit/test_standbys.py
+++ b/tests/unit/test_standbys.py
@@ -80,8 +80,8 @@
             assert item.renewal.holder == item.holder != item.standby.holder
             assert item.token < item.renewal.token < item.standby.token <= keymap.token
             assert not grants & {item.renewal.token, item.standby.token}
-        known = {one for item in stored.ranges for one in (item.renewal, item.standby)}
-        assert known <= {one for item in keymap.ranges for one in item.standbys}
+        known = {standby for item in stored.ranges for standby in (item.renewal, item.standby)}
+        assert known <= {standby for item in keymap.ranges for standby in item.standbys}
         stored = keymap
 
 
