--- a/ploverhatch/routing/__init__.py
+++ b/ploverhatch/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about one request: admission, retries, outcome."""
+"""Decisions about a single request: admission, retries and its outcome."""
--- a/ploverhatch/routing/attempts.py
+++ b/ploverhatch/routing/attempts.py
@@ -1,8 +1,9 @@
-"""What to do after an attempt to run a request. Pure.
+"""Decision after a failed attempt to run a request.
 
-The rules that keep refusals honest: a request is sent again only when it
-surely did not run, or when it is repeatable; "not-run" is answered only when
-no attempt can have run.
+A request is sent again only when it certainly did not run, or when it is
+repeatable. The outcome "not-run" is answered only when no attempt can have run.
+
+This module does no I/O and reads no clock.
 """
 
 from dataclasses import dataclass
@@ -12,19 +13,19 @@
 from ploverhatch.common import results
 from ploverhatch.common.results import Result
 
-FIRST_PAUSE_MS = 5.0
-LONGEST_PAUSE_MS = 100.0
+MIN_PAUSE_MS = 5.0
+MAX_PAUSE_MS = 100.0
 
 OWNERSHIP_REFUSALS = frozenset({Refusal.NOT_OWNER, Refusal.STALE_TOKEN, Refusal.LAPSED})
 
 
 class AttemptEnd(Enum):
-    """How one attempt ended, as far as running is concerned."""
+    """What is known of whether an attempt ran."""
 
-    REFUSED = "refused"  # the server said it did not run
+    REFUSED = "refused"  # the server stated that it did not run the request
     NOT_SENT = "not-sent"
-    CANCELLED = "cancelled"  # sent, then provably cancelled
-    LOST = "lost"  # sent, no whole answer
+    CANCELLED = "cancelled"  # sent, then cancelled with proof that it did not run
+    LOST = "lost"  # sent, without a complete answer
     TIMED_OUT = "timed-out"  # sent, the deadline passed
 
 
@@ -33,11 +34,11 @@
 
 @dataclass(frozen=True)
 class RequestState:
-    """A request between attempts; times in elapsed milliseconds."""
+    """A request between two attempts; times are milliseconds of the elapsed clock."""
 
     once: bool
     deadline_ms: float
-    give_up_ms: float  # end of waiting for an owner or a slot
+    give_up_ms: float  # end of the wait for an owner or a slot
     attempts: int = 0
     max_attempts: int = 8
     may_have_run: bool = False
@@ -45,7 +46,10 @@
 
 @dataclass(frozen=True)
 class Retry:
-    """Try again after a pause, or as soon as the owner changes."""
+    """Send the request again after a pause.
+
+    With ``await_owner``, a change of the key's owner ends the pause early.
+    """
 
     state: RequestState
     pause_ms: float
@@ -69,8 +73,10 @@
     now_ms: float,
     budget_left: bool,
 ) -> Decision:
-    """Decide how to go on after a failed attempt.
+    """Decide how to continue after a failed attempt.
 
+    :param end: how the attempt ended.
+    :param refusal: the reason that the server gave, if any.
     :param budget_left: whether the retry budget allows another attempt.
     """
     may_have_run = state.may_have_run or end in _MAY_HAVE_RUN
@@ -87,8 +93,8 @@
         return GiveUp(results.DEADLINE_IN_FLIGHT if timed_out else results.ANSWER_LOST)
     stop = _stop_result(state, end, refusal, now_ms, budget_left)
     if stop is not None:
-        return GiveUp(_honest(stop, state))
-    pause_ms = min(FIRST_PAUSE_MS * 2 ** (state.attempts - 1), LONGEST_PAUSE_MS)
+        return GiveUp(_result_after_all_attempts(stop, state))
+    pause_ms = min(MIN_PAUSE_MS * 2 ** (state.attempts - 1), MAX_PAUSE_MS)
     await_owner = refusal in OWNERSHIP_REFUSALS or end is AttemptEnd.NOT_SENT
     return Retry(state, min(pause_ms, state.deadline_ms - now_ms), await_owner)
 
@@ -100,8 +106,8 @@
         return results.DEADLINE_PASSED
     unreachable = end in {AttemptEnd.NOT_SENT, AttemptEnd.LOST}
     cause = results.SERVER_UNREACHABLE if unreachable else results.SERVER_REFUSED
-    # While the owner changes the request is held, not counted as a retry:
-    # the caller's wait bounds it, and no back end works for it.
+    # A request that waits for a change of owner isn't counted as a retry: its wait is
+    # bounded by the caller's, and it costs no back end any work.
     if refusal in OWNERSHIP_REFUSALS or end is AttemptEnd.NOT_SENT:
         return cause if now_ms >= state.give_up_ms else None
     if state.attempts >= state.max_attempts or now_ms >= state.give_up_ms:
@@ -109,8 +115,8 @@
     return None if budget_left else results.RETRY_BUDGET_SPENT
 
 
-def _honest(result: Result, state: RequestState) -> Result:
-    """Replace a "not-run" by "unknown" when an earlier attempt may have run."""
+def _result_after_all_attempts(result: Result, state: RequestState) -> Result:
+    """Replace a "not-run" result by an "unknown" one when an earlier attempt may have run."""
     if not state.may_have_run:
         return result
     if result is results.DEADLINE_PASSED:
--- a/ploverhatch/routing/balancer.py
+++ b/ploverhatch/routing/balancer.py
@@ -1,8 +1,11 @@
-"""Choice of a server for a request that any server of a service may run. Pure.
+"""Choice of a server for a request that any server of a service may run.
 
-The estimate of a server's answer time is its mean answer time, weighed by what
-this node has under way there. Servers of the node's own zone are preferred
-while they are about as good, since bytes between zones cost money.
+The expected answer time of a server is its mean answer time, scaled by the
+number of requests that this node has in flight there. Servers in the node's
+own zone are preferred while they are about as fast, since traffic between
+zones costs money.
+
+This module does no I/O and reads no clock.
 """
 
 from collections.abc import Iterable
@@ -15,20 +18,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a node knows of one server when it chooses."""
+    """Load of one server as a node knows it when it chooses a server."""
 
     server_id: str
     slots: int
     in_flight: int
     mean_ms: float
-    oldest_ms: float  # age of the oldest request under way
+    oldest_ms: float  # age of the oldest request in flight
     same_zone: bool
     cold: bool
     failing: bool
 
 
 def cost(load: ServerLoad) -> float:
-    """Return the expected answer time, in milliseconds, with preferences."""
+    """Return the expected answer time in milliseconds, scaled by the preferences for a server."""
     estimate = max(load.mean_ms, load.oldest_ms * 0.5)
     queue_factor = 1.0 + load.in_flight / load.slots
     factor = 1.0 if load.same_zone else OTHER_ZONE_FACTOR
@@ -38,9 +41,9 @@
 
 
 def choose(loads: Iterable[ServerLoad], jitter: dict[str, float]) -> str | None:
-    """Return the cheapest server's id, or ``None`` without servers.
+    """Return the id of the server with the lowest cost, or ``None`` without servers.
 
-    :param jitter: a factor near 1 per server, so that nodes differ.
+    :param jitter: a factor near 1 by server, so that nodes with equal loads choose differently.
     """
     best = min(
         loads,
--- a/ploverhatch/routing/budget.py
+++ b/ploverhatch/routing/budget.py
@@ -1,24 +1,30 @@
-"""Retry budget: retries may be a bounded share of recent traffic. Pure."""
+"""Retry budget that bounds retries to a fraction of the recent requests.
+
+This module does no I/O and reads no clock.
+"""
 
 from dataclasses import dataclass
 
-FLOOR = 10.0  # retries that a quiet router may always make
+INITIAL_TOKENS = 10.0  # so that a router with little traffic can retry
 
 
 @dataclass
 class RetryBudget:
-    """Tokens earned by requests and spent by retries."""
+    """Token bucket that requests fill and retries empty.
+
+    ``percent`` is the number of retries allowed per 100 requests.
+    """
 
     percent: int
-    tokens: float = FLOOR
+    tokens: float = INITIAL_TOKENS
     ceiling: float = 1000.0
 
     def earn(self) -> None:
-        """Count a first attempt."""
+        """Add tokens for the first attempt of a request."""
         self.tokens = min(self.ceiling, self.tokens + self.percent / 100)
 
     def spend(self) -> bool:
-        """Take a token for a retry; false when there is none."""
+        """Take a token for a retry and return whether there was one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/ploverhatch/routing/load_meter.py
+++ b/ploverhatch/routing/load_meter.py
@@ -1,7 +1,7 @@
-"""Measured load by slice and by hot key, from the router's own counts.
+"""Request rates by slice and by hot key, from the router's own counts.
 
-Heavy hitters come from a sketch of bounded size (Apache DataSketches'
-frequent items), so memory does not depend on the number of keys.
+Hot keys are found by a sketch of bounded size (the frequent items sketch of
+Apache DataSketches), so memory does not depend on the number of keys.
 """
 
 import math
@@ -12,13 +12,13 @@
 SKETCH_SIZE_LOG2 = 10
 HOT_KEYS_REPORTED = 64
 SMOOTHING_MS = 8000.0  # time constant of the rates
-FORGET_BELOW = 0.05  # requests per second
+MIN_RATE_PER_S = 0.05  # lower rates are dropped
 
-Rates = dict[tuple[str, int], float]  # (group, hash) to requests per second
+Rates = dict[tuple[str, int], float]  # (group, hash) -> requests per second
 
 
 class LoadMeter:
-    """Counts requests and turns them into decayed rates."""
+    """Counts requests and computes exponentially smoothed rates."""
 
     def __init__(self, now_ms: float) -> None:
         self._since_ms = now_ms
@@ -28,18 +28,18 @@
         self._keys: Rates = {}
 
     def count(self, group: str, slice_first: int, key_hash: int) -> None:
-        """Count one request."""
+        """Count one request by its slice and its key."""
         if self._sketch is None:
             return
         self._counts[(group, slice_first)] += 1
         self._sketch.update(f"{key_hash:016x}{group}")
 
     def close(self) -> None:
-        """Free the sketch, which must not outlive the process's library."""
+        """Free the sketch, which must not outlive the library that is loaded in the process."""
         self._sketch = None
 
     def roll(self, now_ms: float) -> tuple[Rates, Rates]:
-        """Close the running window; return smoothed rates by slice and by key."""
+        """Close the current window and return the smoothed rates by slice and by key."""
         if self._sketch is None:
             return {}, {}
         span_s = max(now_ms - self._since_ms, 1.0) / 1000
@@ -70,4 +70,4 @@
         identity: old.get(identity, 0.0) * (1 - weight) + new.get(identity, 0.0) * weight
         for identity in set(old) | set(new)
     }
-    return {identity: rate for identity, rate in mixed.items() if rate >= FORGET_BELOW}
+    return {identity: rate for identity, rate in mixed.items() if rate >= MIN_RATE_PER_S}
--- a/ploverhatch/routing/route_table.py
+++ b/ploverhatch/routing/route_table.py
@@ -1,4 +1,7 @@
-"""Routes by host and path prefix, and what they allow. Pure."""
+"""Routes by host and path prefix, with their limits.
+
+This module does no I/O and reads no clock.
+"""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -6,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service that takes a share of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -14,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route; times in milliseconds."""
+    """One route; times are in milliseconds."""
 
     name: str
     path_prefix: bytes
@@ -24,23 +27,23 @@
     objective_ms: float
     max_attempts: int
     priority: int
-    regions: frozenset[str] = frozenset()  # whose servers may be sent requests; empty: all
+    regions: frozenset[str] = frozenset()  # regions whose servers may be used; empty: all
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What the configuration says of one service."""
+    """Configuration of one service."""
 
     name: str
     partitioned: bool
     max_connections: int
-    cold_ms: float = 0.0  # how long a server is cold after a start during traffic
-    cold_per_s: float = 0.0  # requests a second that a cold server sustains; 0: no bound
+    cold_ms: float = 0.0  # how long a server is cold after it started under traffic
+    cold_per_s: float = 0.0  # requests per second that a cold server sustains; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take (milliseconds)."""
+    """Limits on the size of a client's requests and on the time it takes to send them."""
 
     header_bytes: int = 16_384
     body_bytes: int = 64 << 20
@@ -50,7 +53,7 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """One complete configuration."""
+    """One version of the complete configuration."""
 
     version: int
     hosts: dict[bytes, tuple[Route, ...]]
@@ -75,9 +78,9 @@
 class ShareSplitter:
     """Divides a route's requests among its services in exact proportion.
 
-    Smooth weighted round robin: each service gains its weight per request and
-    the one with most is chosen, so that every span of requests is divided
-    closely.
+    This is smooth weighted round robin: each request adds every service's weight
+    to the credit of that service, and the service with the highest credit is
+    chosen. Any run of consecutive requests is thus divided almost by the weights.
     """
 
     def __init__(self) -> None:
--- a/ploverhatch/routing/sending.py
+++ b/ploverhatch/routing/sending.py
@@ -1,4 +1,7 @@
-"""What may be sent to a server, by all that is known of it. Pure; elapsed milliseconds."""
+"""Whether a request may be sent to a server, by all that is known of the server.
+
+This module does no I/O and reads no clock; times are milliseconds of the elapsed clock.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -6,39 +9,41 @@
 
 from ploverhatch.state.servers import ServerRecord, ServerSet
 
-DRAINING_HOLDER_MS = 700.0  # how long a draining server still gets its keys' requests
-# Of the time until a server that says that it leaves gets nothing from the node that heard
-# it: how long its keys' requests still go there. The rest is for those already on their way.
+DRAINING_HOLDER_MS = 700.0  # how long a draining holder still receives requests for its keys
+# Once the drain time is over, a server that announced its leaving must receive nothing from a
+# node that knows of it. For this fraction of the drain time the node still sends the server
+# requests for its keys; the remainder is for requests already in transit.
 LEAVING_HOLDER_FRACTION = 0.6
-# Of the time until an evacuated zone gets nothing: how long its servers still get their
-# keys' requests while these wait for a new holder. Another part goes by until this node
-# hears of the evacuation, and a request that was sent may take a while to arrive.
+# Once the evacuation time is over, an evacuated zone must receive nothing. For this fraction of
+# it, the zone's servers still receive requests for their keys, while the keys wait for a new
+# holder. The remainder covers the delay until this node learns of the evacuation, and transit.
 EVACUATED_HOLDER_FRACTION = 0.3
 
 
 class Exclusion(Enum):
-    """Why a request may not be sent to a server now."""
+    """Why a request may not be sent to a server at this time."""
 
-    GONE = "gone"  # it has no record
-    REGION = "region"  # the route is not served there
-    LEAVES = "leaves"
-    RESTS = "rests"  # it asked this node for a rest
+    GONE = "gone"  # the server has no record
+    REGION = "region"  # the route is not served in the region of the server
+    LEAVES = "leaves"  # the server is leaving
+    RESTS = "rests"  # the server asked this node to back off
 
 
 @dataclass(frozen=True, slots=True)
 class HolderGracePeriods:
-    """For how long a holder that leaves still gets its keys' requests, while these move."""
+    """For how long a leaving holder still receives requests for its keys while these move."""
 
-    announced_ms: float  # after the first word of it in an answer
+    announced_ms: float  # after the first answer that announced it
     evacuated_ms: float
     draining_ms: float = DRAINING_HOLDER_MS
 
     @classmethod
     def of(cls, drain_ms: float, evacuate_ms: float) -> "HolderGracePeriods":
-        """Return the times that follow from bounds.
+        """Return the grace periods that keep to the configured bounds.
 
-        :param drain_ms: until a server that said to this node that it leaves gets nothing.
-        :param evacuate_ms: until an evacuated zone gets nothing.
+        :param drain_ms: the time after which a server that announced its leaving to this
+            node must receive nothing.
+        :param evacuate_ms: the time after which an evacuated zone must receive nothing.
         """
         return cls(drain_ms * LEAVING_HOLDER_FRACTION, evacuate_ms * EVACUATED_HOLDER_FRACTION)
 
@@ -51,10 +56,10 @@
     times: HolderGracePeriods,
     now_ms: float,
 ) -> Exclusion | None:
-    """Return why a request may not be sent to a server now; ``None``: it may.
+    """Return why a request may not be sent to a server now, or ``None`` if it may be.
 
-    :param keyed: whether only this server may run the request.
-    :param regions: whose servers may run it; all where none is named.
+    :param keyed: whether the request has a key, so that only this server may run it.
+    :param regions: regions whose servers may run the request; empty: all.
     """
     record = servers.records.get(server_id)
     if record is None:
@@ -63,17 +68,17 @@
         return Exclusion.REGION
     if servers.notices.backoff_left_ms(server_id, now_ms) > 0:
         return Exclusion.RESTS
-    if record.leaving and (not keyed or _left_long_ago(servers, record, times, now_ms)):
+    if record.leaving and (not keyed or _grace_is_over(servers, record, times, now_ms)):
         return Exclusion.LEAVES
     return None
 
 
-def _left_long_ago(
+def _grace_is_over(
     servers: ServerSet, record: ServerRecord, times: HolderGracePeriods, now_ms: float
 ) -> bool:
-    """Whether a server is leaving for so long that its keys' requests go there no more."""
-    said_ms = servers.notices.leaving_ms.get(record.server_id)
-    if said_ms is not None and now_ms - said_ms > times.announced_ms:
+    """Return whether a leaving server's grace period for its keys' requests is over."""
+    announced_ms = servers.notices.leaving_ms.get(record.server_id)
+    if announced_ms is not None and now_ms - announced_ms > times.announced_ms:
         return True
     since_ms = servers.leaving_since.get(record.server_id)
     if since_ms is None or not (record.draining or record.evacuated):
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots of a server: shares, priority, lending, shedding."""
+"""Admission to the slots of a server: shares, priority, idle slots and shedding."""
 
 from ploverhatch.routing.admission import ServerQueue, Ticket
 
@@ -14,7 +14,7 @@
     return started
 
 
-def test_idle_share_is_lent():
+def test_idle_slots_go_to_other_groups():
     queue = ServerQueue(slots=4, capacity=100)
     for _ in range(6):
         assert queue.offer(ticket("a"))
--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -1,4 +1,4 @@
-"""Decisions after an attempt, as a table."""
+"""Decisions after a failed attempt."""
 
 import pytest
 
--- a/tests/unit/test_routing_decisions.py
+++ b/tests/unit/test_routing_decisions.py
@@ -1,4 +1,4 @@
-"""Routes, splits, servers, choice of a server, and what attempts prove."""
+"""Routing decisions: routes, weighted splits, sets of servers, server choice and retries."""
 
 from collections import Counter
 
@@ -73,7 +73,7 @@
 
 
 def test_one_record_that_goes_is_believed_also_after_a_store_failure():
-    """Found by a hunt (DRAIN): its grace outlasted the bound."""
+    """A single removed record was kept for a grace period that exceeded the drain bound."""
     servers = full_set()
     servers.note_store_failure(1000.0)
     servers.remove("s1", 1500.0)
@@ -90,7 +90,7 @@
     assert set(servers.records) == {"s0", "s1"}
 
 
-def test_most_records_gone_without_a_store_failure_are_gone():
+def test_most_records_gone_without_a_store_failure_are_dropped():
     servers = full_set()
     servers.replace_all([record("s0")], 90_000.0)
     assert set(servers.records) == {"s0"}
@@ -179,7 +179,7 @@
     assert next_step(history, result, True, 5, 40.0, 50.0) is expected
 
 
-def test_what_may_have_run_is_never_refused():
+def test_a_request_that_may_have_run_is_never_refused_as_not_run():
     history = AttemptHistory().after(R.LOST).after(R.DECLINED)
     assert next_step(history, R.DECLINED, False, 9, 1000.0, 1.0) is NextStep.FAIL
 
@@ -194,7 +194,7 @@
     assert time.mean_ms > 700
 
 
-def test_work_is_compared_by_typical_times():
+def test_service_times_are_compared_by_typical_times():
     times = AnswerTimes()
     for name, fast, slow in (("a", 100, 140), ("b", 110, 150), ("c", 60, 1700)):
         times.add(name, [fast, slow] * 10, 0.0)
@@ -207,7 +207,7 @@
     assert set(times.work_ms(["a"])) == {"a"}
 
 
-def test_a_server_that_turns_slow_is_known_by_its_latest_answers():
+def test_a_server_that_becomes_slow_is_judged_by_its_latest_answers():
     times = AnswerTimes()
     for name in ("a", "b", "c"):
         times.add(name, [100] * 100, 0.0)
@@ -219,7 +219,7 @@
 
 
 def test_what_a_server_completes_bounds_its_work():
-    """Found on a day of the new customer: queued answers made overload look like slowness."""
+    """Under overload, time in the queue was mistaken for a slow server."""
     times = AnswerTimes()
     for report in range(10):
         times.add("busy", [400] * 15, report * 150.0)
--- a/tests/unit/test_shared_retry_budget.py
+++ b/tests/unit/test_shared_retry_budget.py
@@ -1,4 +1,4 @@
-"""The shared retry budget holds over all nodes that do not hear of each other."""
+"""The shared retry budget holds over all nodes, without messages between them."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -31,14 +31,14 @@
         assert spent <= RATIO * asked + SLACK
 
 
-def test_many_nodes_start_with_their_part_only():
+def test_each_of_many_nodes_starts_with_its_share_only():
     nodes = 300
     budgets = [SharedRetryBudget(RATIO, SLACK, WINDOW_S, nodes) for _ in range(nodes)]
     assert not any(budget.spend("svc", 0.0) for budget in budgets)
     assert not any(budget.spend("svc", 9000.0) for budget in budgets)
 
 
-def test_services_do_not_share():
+def test_services_have_separate_budgets():
     budget = SharedRetryBudget(RATIO, SLACK, WINDOW_S)
     while budget.spend("a", 0.0):
         pass
