--- a/ploverhatch/state/assignment.py
+++ b/ploverhatch/state/assignment.py
@@ -1,4 +1,4 @@
-"""Assignment table: which server owns each slice, under which token.
+"""Assignment table: the owner of each slice and the owner's fencing token.
 
 Lookup is a binary search over the slice bounds of one group, so its cost
 does not depend on the number of servers.
@@ -14,13 +14,16 @@
 
 
 def make_token(epoch: int, index: int) -> int:
-    """Return the fencing token of a log entry; it only grows."""
+    """Return the fencing token of a log entry.
+
+    Tokens increase with the epoch and, within an epoch, with the index.
+    """
     return (epoch << EPOCH_SHIFT) | index
 
 
 @dataclass(frozen=True)
 class Slice:
-    """A slice, its owner (empty when none) and the owner's fencing token."""
+    """A range of key hashes, its owner (empty without one) and the owner's fencing token."""
 
     range: SliceRange
     server: str
@@ -44,7 +47,7 @@
         return found if key_hash <= found.range.last else None
 
     def overlap(self, span: SliceRange) -> tuple[int, int]:
-        """Return the positions [start, stop) of slices that meet ``span``."""
+        """Return the positions [start, stop) of the slices that overlap ``span``."""
         start = max(bisect_right(self.firsts, span.first) - 1, 0)
         if start < len(self.slices) and self.slices[start].range.last < span.first:
             start += 1
@@ -61,7 +64,7 @@
 
 
 def _trim(slices: Iterable[Slice], hole: SliceRange) -> Iterator[Slice]:
-    """Yield what is left of ``slices`` outside ``hole``, owner and token kept."""
+    """Yield the parts of ``slices`` outside ``hole``, with their owners and tokens."""
     for old in slices:
         span = old.range
         if span.first < hole.first:
@@ -73,17 +76,17 @@
 
 
 class AssignmentTable:
-    """Slices of all groups. Changed only by applying log entries."""
+    """Slices of all groups; it changes only when log entries are applied."""
 
     def __init__(self) -> None:
         self._groups: dict[str, _GroupSlices] = {}
 
     def put(self, new: Slice) -> None:
-        """Assign a range; overlapped slices are trimmed around it."""
+        """Assign a range; slices that overlap it are trimmed."""
         self._groups.setdefault(new.range.group, _GroupSlices()).put(new)
 
     def find(self, group: str, key_hash: int) -> Slice | None:
-        """Return the slice that holds a hash, or ``None``."""
+        """Return the slice that contains a hash, or ``None``."""
         slices = self._groups.get(group)
         return slices.find(key_hash) if slices else None
 
@@ -96,12 +99,12 @@
         return slices.slices[start:stop]
 
     def group(self, group: str) -> list[Slice]:
-        """Return all slices of a group in order."""
+        """Return all slices of a group, ordered by hash."""
         slices = self._groups.get(group)
         return list(slices.slices) if slices else []
 
     def groups(self) -> list[str]:
-        """Return the names of groups that have slices."""
+        """Return the names of the groups that have slices."""
         return list(self._groups)
 
     def __iter__(self) -> Iterator[Slice]:
@@ -109,11 +112,11 @@
             yield from slices.slices
 
     def owned_by(self, server: str) -> list[Slice]:
-        """Return the slices of one server."""
+        """Return the slices that a server owns."""
         return [item for item in self if item.server == server]
 
     def covers_whole_space(self, group: str) -> bool:
-        """Tell whether the slices of a group are gapless; used by checkers."""
+        """Return whether the slices of a group cover all hashes without a gap; used by checkers."""
         expected = 0
         for item in self.group(group):
             if item.range.first != expected:
--- a/ploverhatch/state/columns.py
+++ b/ploverhatch/state/columns.py
@@ -1,6 +1,6 @@
-"""Slices to and from their columns in a snapshot.
+"""Conversion of slices to and from the columns of a snapshot.
 
-Packed columns cost far less to encode than a message per slice.
+Packed columns are far cheaper to encode than one message per slice.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,7 +11,7 @@
 
 
 def to_columns(slices: Iterable[Slice]) -> wire.SliceColumns:
-    """Encode slices; names of groups and servers are numbered."""
+    """Encode slices; names of groups and servers are replaced by their numbers."""
     groups: dict[str, int] = {}
     servers: dict[str, int] = {}
     columns = wire.SliceColumns()
@@ -27,7 +27,7 @@
 
 
 def from_columns(columns: wire.SliceColumns) -> Iterator[Slice]:
-    """Decode slices."""
+    """Decode the slices of a snapshot, in their order."""
     rows = zip(
         columns.group, columns.first, columns.last, columns.server, columns.token, strict=True
     )
--- a/ploverhatch/state/commands.py
+++ b/ploverhatch/state/commands.py
@@ -1,6 +1,6 @@
 """Commands of the replicated log and their numbers on the wire.
 
-``None`` stands for the entry without effect that a new leader commits first.
+``None`` is the no-op entry that a new leader commits first.
 """
 
 from ploverhatch.transport import wire
@@ -41,11 +41,11 @@
 
 
 class UnknownCommandError(ValueError):
-    """A log entry names a command number this version does not know."""
+    """A log entry has a command number that this version does not know."""
 
 
 def encode_command(command: Command) -> tuple[int, bytes]:
-    """Return the number and payload of a command."""
+    """Return the number and the payload of a command."""
     if command is None:
         return NO_OPERATION_KIND, b""
     return _KINDS[type(command)], bytes(command)
@@ -54,7 +54,7 @@
 def decode_payload(kind: int, payload: bytes) -> Command:
     """Parse a command.
 
-    :raises UnknownCommandError: for a number of a newer version.
+    :raises UnknownCommandError: for a number that only a newer version knows.
     """
     if kind == NO_OPERATION_KIND:
         return None
@@ -66,11 +66,14 @@
 
 
 def decode_command(entry: wire.LogEntry) -> Command:
-    """Parse the command of a log entry."""
+    """Parse the command of a log entry.
+
+    :raises UnknownCommandError: for a number that only a newer version knows.
+    """
     return decode_payload(entry.kind, entry.payload)
 
 
 def make_entry(index: int, term: int, clock_ms: int, command: Command) -> wire.LogEntry:
-    """Build a log entry."""
+    """Build the log entry of a command."""
     kind, payload = encode_command(command)
     return wire.LogEntry(index=index, term=term, clock_ms=clock_ms, kind=kind, payload=payload)
--- a/ploverhatch/state/configuration.py
+++ b/ploverhatch/state/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration objects taken over from the platform, at one generation."""
+"""Configuration objects copied from the platform, at one generation."""
 
 import json
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ServerSpec:
-    """A back end as operators configured it."""
+    """Configuration of one back end."""
 
     name: str
     host: str
@@ -26,12 +26,12 @@
 
     @property
     def selector_labels(self) -> dict[str, str]:
-        """Labels that selectors see: the operators' and the zone."""
+        """Labels that selectors match: the configured ones and the zone."""
         return {"zone": self.zone, **self.labels}
 
 
 def parse_server(name: str, body: dict[str, Any]) -> ServerSpec:
-    """Read a server object; absent fields take their defaults."""
+    """Parse a server object; absent fields take their defaults."""
     return ServerSpec(
         name=name,
         host=body.get("host", "127.0.0.1"),
@@ -46,14 +46,14 @@
 
 @dataclass
 class ConfigurationState:
-    """Objects by (kind, name). The generation never goes down."""
+    """Configuration objects by (kind, name); the generation never decreases."""
 
     generation: int = 0
     objects: dict[tuple[str, str], wire.ObjectChange] = field(default_factory=dict)
     _servers: dict[str, ServerSpec] = field(default_factory=dict)
 
     def apply(self, change: wire.ConfigurationChange) -> bool:
-        """Take a change over; one of an older generation is ignored."""
+        """Apply a change and return whether its generation is newer; an older one is ignored."""
         if change.generation <= self.generation:
             return False
         if change.replace:
@@ -65,7 +65,7 @@
         return True
 
     def put(self, item: wire.ObjectChange) -> None:
-        """Store or remove one object; servers are parsed once, when stored."""
+        """Store or remove one object; a server is parsed once, when it is stored."""
         identity = (item.kind, item.name)
         if item.deleted:
             self.objects.pop(identity, None)
@@ -77,7 +77,7 @@
             self._servers[item.name] = parse_server(item.name, json.loads(item.body))
 
     def policy_source(self) -> str:
-        """Return the policy text, empty when none is configured."""
+        """Return the source of the policy; empty where none is configured."""
         item = self.objects.get((KIND_POLICY, "main"))
         if item is None:
             return ""
@@ -88,7 +88,7 @@
         return dict(self._servers)
 
     def key_labels(self, group: str) -> dict[str, dict[str, str]]:
-        """Return labels by key for one group."""
+        """Return the labels of one group's keys, by key."""
         item = self.objects.get((KIND_KEY_LABELS, group))
         if item is None:
             return {}
--- a/ploverhatch/state/incarnations.py
+++ b/ploverhatch/state/incarnations.py
@@ -1,38 +1,42 @@
-"""Names of lives of servers. Pure.
+"""Identifiers of server incarnations.
 
-A server may start again under the name that it is registered with. It then holds and knows
-nothing of before, so what was granted to one life, or learned of it, concerns no other: all
-that the product keeps of a server it keeps by the name of its life. A life is named by the
-server's name and the time of its start, where the platform tells that.
+A server may restart under the name it is registered with. It then holds no grants and has no
+memory of its previous run, so grants to one incarnation and knowledge of it don't apply to
+another: all state of a server is kept by its incarnation. An incarnation's identifier consists
+of the registered name and of the time of the start, where the platform reports that.
+
+This module does no I/O and reads no clock.
 """
 
-_MARK = "~"
+_SEPARATOR = "~"
 
 
 def incarnation_id(name: str, started_ms: int) -> str:
-    """Return the name of a life.
+    """Return the identifier of an incarnation.
 
-    :param started_ms: Unix milliseconds of its start; 0 where nobody tells.
+    :param name: the registered name of the server.
+    :param started_ms: Unix time of its start in milliseconds; 0 where it is unknown.
     """
-    return f"{name}{_MARK}{started_ms}" if started_ms else name
+    return f"{name}{_SEPARATOR}{started_ms}" if started_ms else name
 
 
 def registered_name(server_id: str) -> str:
-    """Return the name that a life's server is registered with."""
-    name, mark, born = server_id.rpartition(_MARK)
-    return name if mark and born.isdigit() else server_id
+    """Return the name under which the server of an incarnation is registered."""
+    name, separator, start = server_id.rpartition(_SEPARATOR)
+    return name if separator and start.isdigit() else server_id
 
 
 def started_ms(server_id: str) -> int:
-    """Return when a life began; 0 where nobody told."""
-    _, mark, born = server_id.rpartition(_MARK)
-    return int(born) if mark and born.isdigit() else 0
+    """Return the start of an incarnation in Unix milliseconds; 0 where it is unknown."""
+    _, separator, start = server_id.rpartition(_SEPARATOR)
+    return int(start) if separator and start.isdigit() else 0
 
 
 def is_later_incarnation(server_id: str, other: str) -> bool:
-    """Whether a life proves that another one of the same server is over.
+    """Return whether an incarnation proves that another one of the same server has ended.
 
-    Not where one of them has no time: it may be the same life, told by an earlier version.
+    It doesn't where the start of one of them is unknown: both may then be the same
+    incarnation, one of them written by an earlier version of the software.
     """
     if registered_name(server_id) != registered_name(other):
         return False
--- a/ploverhatch/state/records.py
+++ b/ploverhatch/state/records.py
@@ -1,9 +1,9 @@
 """Completion records of requests that run at most once.
 
-A claim is committed to the log before the request is sent, so no two
-routers can both send it. A record without a completion answers repeats with
-"unknown". Records expire by the replicated clock, which never runs ahead of
-elapsed time.
+A claim is committed to the log before the request is sent, so that no two
+routers can both send it. A repeat of a request whose record has no completion
+is answered with "unknown". Records expire by the replicated clock, which never
+runs ahead of elapsed time.
 """
 
 from dataclasses import dataclass, field
@@ -13,14 +13,14 @@
 
 
 class RecordPhase(IntEnum):
-    """How far the run of a record is known to have come."""
+    """Progress of the run of a recorded request, as far as it is known."""
 
     CLAIMED = 1
     COMPLETED = 2
 
 
 class ClaimResult(IntEnum):
-    """Answer of the record table, or of the leader, to one command."""
+    """Result of a command on records, from the record table or from the leader."""
 
     CLAIMED = 1
     HELD = 2
@@ -28,18 +28,21 @@
     MISMATCH = 4
     ABSENT = 5
     NOT_LEADER = 6
-    LOST = 7  # an earlier run may have been forgotten with the last epoch
+    LOST = 7  # the record of an earlier run may have been lost with the last epoch
 
 
 @dataclass
 class RecordTable:
-    """Records by idempotency key, in the order in which they were claimed."""
+    """Completion records by idempotency key, in the order of their claims."""
 
     records: dict[str, wire.RecordState] = field(default_factory=dict)
     refuse_until_ms: int = 0  # on the replicated clock
 
     def claim(self, command: wire.RecordClaim, clock_ms: int) -> ClaimResult:
-        """Claim a run. Repeating one's own claim succeeds again."""
+        """Claim the run of a request; a repeat of the same claim succeeds again.
+
+        :param clock_ms: the replicated clock at this log entry.
+        """
         record = self.records.get(command.record_id)
         if record is None and clock_ms < self.refuse_until_ms:
             return ClaimResult.LOST
@@ -56,11 +59,11 @@
             return ClaimResult.MISMATCH
         if record.phase == RecordPhase.COMPLETED:
             return ClaimResult.COMPLETED
-        mine = record.claim_id == command.claim_id
-        return ClaimResult.CLAIMED if mine else ClaimResult.HELD
+        own_claim = record.claim_id == command.claim_id
+        return ClaimResult.CLAIMED if own_claim else ClaimResult.HELD
 
     def complete(self, command: wire.RecordComplete) -> ClaimResult:
-        """Store the answer of a run."""
+        """Store the answer of a claimed run."""
         record = self.records.get(command.record_id)
         if record is None or record.claim_id != command.claim_id:
             return ClaimResult.ABSENT
@@ -78,7 +81,7 @@
         return ClaimResult.COMPLETED
 
     def release(self, command: wire.RecordRelease) -> ClaimResult:
-        """Give a claim back whose request surely did not run."""
+        """Release the claim of a request that certainly did not run."""
         record = self.records.get(command.record_id)
         if record is None or record.claim_id != command.claim_id:
             return ClaimResult.ABSENT
@@ -88,7 +91,7 @@
         return ClaimResult.ABSENT
 
     def expire(self, before_ms: int) -> int:
-        """Drop records claimed before a point of the replicated clock."""
+        """Drop records claimed before a time of the replicated clock; return how many."""
         expired = []
         for record in self.records.values():
             if record.claimed_ms >= before_ms:
--- a/ploverhatch/state/replicated.py
+++ b/ploverhatch/state/replicated.py
@@ -1,4 +1,7 @@
-"""The state machine that the log replicates; pure and deterministic."""
+"""State machine that the log replicates.
+
+It is deterministic: this module does no I/O and reads no clock.
+"""
 
 from dataclasses import dataclass, field
 
@@ -13,7 +16,7 @@
 
 @dataclass
 class ReplicatedState:
-    """Configuration, assignments, voters and records at one log index."""
+    """Configuration, assignments, membership and records at one log index."""
 
     index: int = 0
     term: int = 0
@@ -25,13 +28,13 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the cell; raised when its log was lost and begun anew."""
+        """Epoch of the cell; it increases when the log was lost and is started anew."""
         return int(self.membership.epoch)
 
     def apply(self, entry: wire.LogEntry) -> ClaimResult | None:
         """Apply the next committed entry.
 
-        :returns: the result for commands on records, else ``None``.
+        :returns: the result of a command on records, ``None`` for other commands.
         """
         self.index = entry.index
         self.term = entry.term
@@ -69,7 +72,7 @@
     def snapshot(self, with_records: bool = True) -> wire.Snapshot:
         """Return the whole state as a message.
 
-        :param with_records: observers get no completion records.
+        :param with_records: whether to include the completion records; observers get none.
         """
         records = list(self.records.records.values()) if with_records else []
         return wire.Snapshot(
@@ -86,7 +89,7 @@
 
 
 def restore(snapshot: wire.Snapshot) -> ReplicatedState:
-    """Build the state that a snapshot describes."""
+    """Build the state from a snapshot."""
     state = ReplicatedState(
         index=snapshot.index,
         term=snapshot.term,
--- a/ploverhatch/state/server_notices.py
+++ b/ploverhatch/state/server_notices.py
@@ -1,36 +1,43 @@
-"""What servers say of themselves in their answers. Pure; times in elapsed milliseconds.
+"""Notices that servers send about themselves in their answers.
 
-A server that leaves says so in each answer, whether or not its entry in the store says it
-yet. A server that turns a request away may ask the node that sent it for a rest: it wants
-nothing more from that node for so long. One in need names a limit: how many requests a second
-it takes from all nodes together, for as long as its answers name it. What one life of a
-server said binds no other one.
+A leaving server announces so in each answer, whether or not its entry in the store shows it
+yet. A server that rejects a request may ask the node that sent it to back off: for that time
+it wants no further requests from this node. An overloaded server may announce a rate limit:
+the requests per second that it accepts from all nodes together, in force as long as its
+answers name it. A notice applies to one incarnation of the server only.
+
+This module does no I/O and reads no clock; times are milliseconds of the elapsed clock.
 """
 
 import math
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-# A server states what it wants; a slip there, as hours in place of seconds, must not keep it
-# without requests until somebody looks. Servers are restarted or repaired in minutes.
+# Bounds an erroneous request for backoff, for example in hours in place of seconds, which would
+# keep the server without requests until an operator acts. Servers are restarted or repaired
+# within minutes.
 MAX_BACKOFF_MS = 300_000.0
-# A server that leaves is gone in seconds, or in tens of them where the store is away. One
-# that is there for so long without a word of it in its entry stays: it is asked again.
+# A leaving server is gone within seconds, or tens of seconds while the store is unavailable. If
+# it still runs after this time and its entry doesn't show that it drains, it hasn't left, and it
+# receives requests again.
 LEAVING_MEMORY_MS = 300_000.0
-# A server of which nothing was heard for so long is asked as any other, and says it again.
+# After this time without a notice, a server is used without a limit; its answers then name the
+# limit again if it is still in force.
 LIMIT_MEMORY_MS = 300_000.0
-NO_LIMIT = math.inf  # requests a second
-# A server that takes none is sent a request now and then: only its answers tell when it does.
+NO_LIMIT = math.inf  # requests per second
+# A server whose limit is 0 still receives a request from time to time, since only its answers
+# show when it accepts requests again.
 MIN_LIMIT_PER_S = 0.2
-RELAY_DELAY_MS = 250.0  # a word that another node tells again is younger by the way of messages
+RELAY_DELAY_MS = 250.0  # transit time by which a repeated report looks more recent
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """What one answer says of its server; ``backoff_ms`` is 0 where it asks for none.
+    """Notice in one answer of a server; ``backoff_ms`` is 0 where it asks for no backoff.
 
-    ``limit_per_s`` is how many requests a second it takes from all nodes together,
-    :data:`NO_LIMIT` where it surely names no limit, ``None`` where the answer tells neither.
+    ``limit_per_s`` is the number of requests per second that the server accepts from all nodes
+    together. It is :data:`NO_LIMIT` where the server certainly names no limit, and ``None``
+    where the answer shows neither.
     """
 
     leaving: bool = False
@@ -43,10 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """What a server said of its limit, and when.
+    """Rate limit that a server announced, and the time of the announcement.
 
-    ``announced_ms`` is when an answer that names one was read. Of an answer that names none it is
-    when its request was sent: it may have been on its way while others were told of a limit.
+    For an answer that names a limit, ``announced_ms`` is the time at which it was read. For an
+    answer without a limit it is the time at which its request was sent, since the answer may
+    have been in transit while other answers named a limit.
     """
 
     per_s: float
@@ -55,100 +63,103 @@
 
 @dataclass(slots=True)
 class ServerNotices:
-    """What the servers said to this node, and of leaving also to others; by server."""
+    """Notices in force, by server.
+
+    Backoffs are those asked of this node. Leaving and limits include other nodes' reports.
+    """
 
-    _leaving_ms: dict[str, float] = field(default_factory=dict)  # when it was heard first
+    _leaving_ms: dict[str, float] = field(default_factory=dict)  # first announcement
     _backoff_until_ms: dict[str, float] = field(default_factory=dict)
     _limits: dict[str, RateLimit] = field(default_factory=dict)
-    _limit_per_s: dict[str, float] = field(default_factory=dict)  # of those that name one
+    _limit_per_s: dict[str, float] = field(default_factory=dict)  # of servers that name one
 
     @property
     def limits(self) -> Mapping[str, RateLimit]:
-        """The latest word of each server that named a limit."""
+        """The latest announcement of each server that named a limit."""
         return self._limits
 
     @property
     def limit_per_s(self) -> Mapping[str, float]:
-        """How many requests a second the servers that name a limit take from all nodes."""
+        """Requests per second that the servers with a limit accept from all nodes together."""
         return self._limit_per_s
 
     @property
     def leaving_ms(self) -> Mapping[str, float]:
-        """Servers that said that they leave, and when that was heard first."""
+        """Servers that announced their leaving, with the time of the first announcement."""
         return self._leaving_ms
 
     def is_leaving(self, server_id: str) -> bool:
-        """Whether a server said that it leaves."""
+        """Return whether a server announced its leaving."""
         return server_id in self._leaving_ms
 
     def backoff_left_ms(self, server_id: str, now_ms: float) -> float:
-        """Return for how much longer a server wants nothing from this node; 0: it rests not."""
+        """Return the remaining backoff that a server asked of this node; 0 without one."""
         return max(0.0, self._backoff_until_ms.get(server_id, now_ms) - now_ms)
 
     def backing_off(self, now_ms: float) -> dict[str, float]:
-        """Return the servers that rest, and for how much longer."""
+        """Return the servers that asked this node to back off, with the remaining time."""
         left = {name: until_ms - now_ms for name, until_ms in self._backoff_until_ms.items()}
         return {name: left_ms for name, left_ms in left.items() if left_ms > 0}
 
     def note(
-        self, server_id: str, notice: ServerNotice, now_ms: float, asked_ms: float | None = None
+        self, server_id: str, notice: ServerNotice, now_ms: float, sent_ms: float | None = None
     ) -> ServerNotice:
-        """Take what an answer says; return what of it is new.
+        """Apply the notice in an answer; return the parts of it that are new.
 
-        The longest of several rests counts. It is new where the server did not rest.
+        The longest of several backoffs counts. A backoff is new if none was in force.
 
-        :param asked_ms: when the request was sent; now where that is not known.
+        :param sent_ms: when the request was sent; ``now_ms`` where that is unknown.
         """
         leaving = notice.leaving and self.note_leaving(server_id, now_ms)
         limit_per_s = notice.limit_per_s
         if limit_per_s is not None:
             announced_ms = now_ms
-            if limit_per_s == NO_LIMIT and asked_ms is not None:
-                announced_ms = asked_ms
+            if limit_per_s == NO_LIMIT and sent_ms is not None:
+                announced_ms = sent_ms
             if not self.note_limit(server_id, RateLimit(limit_per_s, announced_ms)):
                 limit_per_s = None
         backoff_ms = min(notice.backoff_ms, MAX_BACKOFF_MS)
         if backoff_ms <= 0:
             return ServerNotice(leaving, limit_per_s=limit_per_s)
-        rested = self.backoff_left_ms(server_id, now_ms) > 0
+        was_backing_off = self.backoff_left_ms(server_id, now_ms) > 0
         until_ms = self._backoff_until_ms.get(server_id, now_ms)
         self._backoff_until_ms[server_id] = max(until_ms, now_ms + backoff_ms)
-        return ServerNotice(leaving, 0.0 if rested else backoff_ms, limit_per_s)
+        return ServerNotice(leaving, 0.0 if was_backing_off else backoff_ms, limit_per_s)
 
-    def note_limit(self, server_id: str, word: RateLimit) -> bool:
-        """Take a word on a server's limit unless a later one is known; true if it is new.
+    def note_limit(self, server_id: str, limit: RateLimit) -> bool:
+        """Apply an announced limit unless a later one is known; return whether it is new.
 
-        Nothing is kept of a server that never named a limit.
+        Nothing is kept for a server that never named a limit.
         """
         known = self._limits.get(server_id)
-        if known is None and word.per_s == NO_LIMIT:
+        if known is None and limit.per_s == NO_LIMIT:
             return False
-        if known is not None and word.announced_ms <= known.announced_ms:
+        if known is not None and limit.announced_ms <= known.announced_ms:
             return False
-        self._limits[server_id] = word
-        self._show_limit(server_id, word.per_s)
-        return known is None or known.per_s != word.per_s
+        self._limits[server_id] = limit
+        self._set_limit(server_id, limit.per_s)
+        return known is None or known.per_s != limit.per_s
 
-    def _show_limit(self, server_id: str, per_s: float) -> None:
+    def _set_limit(self, server_id: str, per_s: float) -> None:
         if per_s < NO_LIMIT:
             self._limit_per_s[server_id] = per_s
         else:
             self._limit_per_s.pop(server_id, None)
 
-    def note_reported_limit(self, server_id: str, word: RateLimit) -> bool:
-        """Another node tells a server's word; true if it is new.
+    def note_reported_limit(self, server_id: str, limit: RateLimit) -> bool:
+        """Apply another node's report of an announced limit; return whether it is new.
 
-        The way of a message makes it look younger than it is, so that nodes which tell each
-        other of one word would keep it young for ever.
+        The transit time makes a reported announcement look more recent than it is. Nodes that
+        report one announcement to each other would otherwise renew it for ever.
         """
         known = self._limits.get(server_id)
-        if known is not None and known.per_s == word.per_s:
-            younger_ms = word.announced_ms - known.announced_ms
-            return younger_ms >= RELAY_DELAY_MS and self.note_limit(server_id, word)
-        return self.note_limit(server_id, word)
+        if known is not None and known.per_s == limit.per_s:
+            newer_by_ms = limit.announced_ms - known.announced_ms
+            return newer_by_ms >= RELAY_DELAY_MS and self.note_limit(server_id, limit)
+        return self.note_limit(server_id, limit)
 
     def note_leaving(self, server_id: str, since_ms: float) -> bool:
-        """A server said at a time that it leaves; true if that is new."""
+        """Note that a server announced its leaving at a time; return whether that is new."""
         known_ms = self._leaving_ms.get(server_id)
         if known_ms is not None and known_ms <= since_ms:
             return False
@@ -156,15 +167,15 @@
         return known_ms is None
 
     def expire(self, now_ms: float) -> list[str]:
-        """Forget rests that are over and old words; return the servers that stayed."""
-        silent = [
+        """Drop backoffs that are over and old notices; return the servers that did not leave."""
+        outdated = [
             name
-            for name, word in self._limits.items()
-            if now_ms - word.announced_ms > LIMIT_MEMORY_MS
+            for name, limit in self._limits.items()
+            if now_ms - limit.announced_ms > LIMIT_MEMORY_MS
         ]
-        for name in silent:
+        for name in outdated:
             del self._limits[name]
-            self._show_limit(name, NO_LIMIT)
+            self._set_limit(name, NO_LIMIT)
         for name in [name for name, end in self._backoff_until_ms.items() if end <= now_ms]:
             del self._backoff_until_ms[name]
         old = [name for name, ms in self._leaving_ms.items() if now_ms - ms > LEAVING_MEMORY_MS]
@@ -173,9 +184,9 @@
         return old
 
     def forget(self, server_ids: Collection[str]) -> None:
-        """Forget servers that are gone."""
+        """Drop the notices of servers that are gone."""
         for name in server_ids:
             self._leaving_ms.pop(name, None)
             self._backoff_until_ms.pop(name, None)
             self._limits.pop(name, None)
-            self._show_limit(name, NO_LIMIT)
+            self._set_limit(name, NO_LIMIT)
--- a/tests/unit/test_assignment.py
+++ b/tests/unit/test_assignment.py
@@ -1,4 +1,4 @@
-"""Assignment table against a plain model."""
+"""Assignment table, compared with a simple model."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
--- a/tests/unit/test_lives.py
+++ b/tests/unit/test_lives.py
@@ -1,4 +1,4 @@
-"""Lives of servers: what concerns one of them concerns no other."""
+"""Incarnations of servers: the state of one doesn't apply to another."""
 
 from dataclasses import replace
 
@@ -20,44 +20,44 @@
 from ploverhatch.state.servers import ServerRecord, ServerSet
 
 SERVICE = "svc"
-BORN = 1_764_700_000_000
+STARTED_MS = 1_764_700_000_000
 
 
 @given(st.text(), st.integers(min_value=1, max_value=10**15))
-def test_a_name_tells_server_and_start(name, born):
-    assert registered_name(incarnation_id(name, born)) == name
-    assert started_ms(incarnation_id(name, born)) == born
+def test_an_incarnation_id_holds_server_and_start(name, start_ms):
+    assert registered_name(incarnation_id(name, start_ms)) == name
+    assert started_ms(incarnation_id(name, start_ms)) == start_ms
 
 
-def test_a_server_that_does_not_tell_its_start_is_one_life():
+def test_a_server_with_unknown_start_has_one_incarnation():
     assert incarnation_id("i-1", 0) == "i-1"
     assert registered_name("i-1") == "i-1"
     assert registered_name("i~x") == "i~x"
     assert started_ms("i-1") == 0
 
 
-def test_only_a_later_start_of_the_same_server_proves_that_a_life_is_over():
-    first, second = incarnation_id("i-1", BORN), incarnation_id("i-1", BORN + 5)
+def test_only_a_later_start_of_the_same_server_proves_that_an_incarnation_ended():
+    first, second = incarnation_id("i-1", STARTED_MS), incarnation_id("i-1", STARTED_MS + 5)
     assert is_later_incarnation(second, first)
     assert not is_later_incarnation(first, second)
     assert not is_later_incarnation(first, first)
-    assert not is_later_incarnation(incarnation_id("i-2", BORN + 5), first)
+    assert not is_later_incarnation(incarnation_id("i-2", STARTED_MS + 5), first)
     assert not is_later_incarnation(second, "i-1")
     assert not is_later_incarnation("i-1", first)
 
 
-def record(born, port=9000, name="i-1", **changes):
-    values = ServerRecord(incarnation_id(name, born), SERVICE, "10.0.0.1", port, "z1", 2, False)
+def record(start_ms, port=9000, name="i-1", **changes):
+    values = ServerRecord(incarnation_id(name, start_ms), SERVICE, "10.0.0.1", port, "z1", 2, False)
     return replace(values, **changes)
 
 
-def test_the_record_of_another_life_takes_the_place_of_the_one_before():
+def test_the_record_of_another_incarnation_replaces_the_previous_one():
     servers = ServerSet()
-    assert servers.put(record(BORN), 0.0) == ""
-    servers.apply_notice(incarnation_id("i-1", BORN), ServerNotice(True, 9000.0), 10.0)
-    servers.note_cold(incarnation_id("i-1", BORN), 5000.0)
-    assert servers.put(record(BORN + 5), 100.0) == incarnation_id("i-1", BORN)
-    assert list(servers.records) == [incarnation_id("i-1", BORN + 5)]
+    assert servers.put(record(STARTED_MS), 0.0) == ""
+    servers.apply_notice(incarnation_id("i-1", STARTED_MS), ServerNotice(True, 9000.0), 10.0)
+    servers.note_cold(incarnation_id("i-1", STARTED_MS), 5000.0)
+    assert servers.put(record(STARTED_MS + 5), 100.0) == incarnation_id("i-1", STARTED_MS)
+    assert list(servers.records) == [incarnation_id("i-1", STARTED_MS + 5)]
     (present,) = servers.records.values()
     assert not present.leaving
     assert servers.notices.backing_off(100.0) == {}
@@ -66,26 +66,31 @@
     assert servers.records == {}
 
 
-def test_a_listing_takes_lives_as_they_are():
+def test_a_listing_replaces_incarnations():
     servers = ServerSet()
-    servers.replace_all([record(BORN), record(BORN, 9001, "i-2")], 0.0)
+    servers.replace_all([record(STARTED_MS), record(STARTED_MS, 9001, "i-2")], 0.0)
     servers.note_store_failure(0.0)
-    servers.replace_all([record(BORN + 5), record(BORN, 9001, "i-2")], 100.0)
-    assert set(servers.records) == {incarnation_id("i-1", BORN + 5), incarnation_id("i-2", BORN)}
+    servers.replace_all([record(STARTED_MS + 5), record(STARTED_MS, 9001, "i-2")], 100.0)
+    assert set(servers.records) == {
+        incarnation_id("i-1", STARTED_MS + 5),
+        incarnation_id("i-2", STARTED_MS),
+    }
     assert servers.vanished == {}
 
 
-def test_calls_name_the_server_and_not_its_life():
+def test_calls_name_the_server_and_not_its_incarnation():
     dialect = PlatformDialect()
-    call = dialect.encode_release(ReleaseCall(1, 2, 3), incarnation_id("i-1", BORN), "10.0.0.1:80")
+    call = dialect.encode_release(
+        ReleaseCall(1, 2, 3), incarnation_id("i-1", STARTED_MS), "10.0.0.1:80"
+    )
     assert b"\r\nExpect-Instance: i-1\r\n" in call
 
 
 # ---- the leader ----------------------------------------------------------------------------
 
 
-def holder(born, port=9000, name="i-1"):
-    return Holder(incarnation_id(name, born), "10.0.0.1", port)
+def holder(start_ms, port=9000, name="i-1"):
+    return Holder(incarnation_id(name, start_ms), "10.0.0.1", port)
 
 
 def core_of(first, second):
@@ -97,7 +102,7 @@
 
 
 def moved(core, *records):
-    """Have the leader see records; return the calls after its map is stored."""
+    """Show records to the leader; return its calls after its map is stored."""
     views = {SERVICE: ServiceView(records)}
     actions = core.tick(1000.0, views, True)
     (stored,) = [action for action in actions if isinstance(action, StoreMap)]
@@ -113,26 +118,26 @@
     return isinstance(action, SendRelease) or not action.renewal
 
 
-def test_keys_of_a_life_that_is_over_are_granted_again_at_once_and_higher():
-    core = core_of(holder(BORN), holder(BORN, 9001, "i-2"))
-    actions = moved(core, record(BORN + 5, 9007), record(BORN, 9001, "i-2"))
+def test_keys_of_an_ended_incarnation_are_granted_again_at_once_with_a_higher_token():
+    core = core_of(holder(STARTED_MS), holder(STARTED_MS, 9001, "i-2"))
+    actions = moved(core, record(STARTED_MS + 5, 9007), record(STARTED_MS, 9001, "i-2"))
     grants = of_kind(actions, SendGrant)
     assert grants and {call.range_id.token for call in grants} != {1}
-    assert holder(BORN) not in {call.holder for call in grants}
+    assert holder(STARTED_MS) not in {call.holder for call in grants}
     assert of_kind(actions, SendRelease) == []
 
 
-def test_one_that_is_back_at_its_address_releases_first():
-    """A late grant to the life before could reach it."""
-    core = core_of(holder(BORN), holder(BORN, 9001, "i-2"))
-    actions = moved(core, record(BORN + 5), record(BORN, 9001, "i-2"))
+def test_a_server_restarted_at_its_address_releases_first():
+    """A delayed grant to the previous incarnation could reach the new one."""
+    core = core_of(holder(STARTED_MS), holder(STARTED_MS, 9001, "i-2"))
+    actions = moved(core, record(STARTED_MS + 5), record(STARTED_MS, 9001, "i-2"))
     assert of_kind(actions, SendGrant) == []
-    assert {call.holder for call in of_kind(actions, SendRelease)} == {holder(BORN)}
+    assert {call.holder for call in of_kind(actions, SendRelease)} == {holder(STARTED_MS)}
 
 
-def test_a_life_without_a_time_may_be_the_same_and_releases_first():
-    """A map of an earlier version names servers, not lives."""
-    core = core_of(Holder("i-1", "10.0.0.1", 9000), holder(BORN, 9001, "i-2"))
-    actions = moved(core, record(BORN, 9007), record(BORN, 9001, "i-2"))
+def test_an_incarnation_with_unknown_start_may_be_the_same_and_releases_first():
+    """A map of an earlier version names servers, not incarnations."""
+    core = core_of(Holder("i-1", "10.0.0.1", 9000), holder(STARTED_MS, 9001, "i-2"))
+    actions = moved(core, record(STARTED_MS, 9007), record(STARTED_MS, 9001, "i-2"))
     assert of_kind(actions, SendGrant) == []
     assert [call.holder.server_id for call in of_kind(actions, SendRelease)] == ["i-1"]
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -1,4 +1,4 @@
-"""Policy language: parsing, checks, matching."""
+"""Policy language: parsing, checks and matching."""
 
 import pytest
 from hypothesis import given, settings
@@ -83,7 +83,7 @@
 )
 draws = st.builds(
     syntax.Draw,
-    st.integers(1, 100).map(lambda part: part / 100),
+    st.integers(1, 100).map(lambda percent: percent / 100),
     st.none() | expressions,
     st.none() | expressions,
 )
--- a/tests/unit/test_restored_servers.py
+++ b/tests/unit/test_restored_servers.py
@@ -1,4 +1,4 @@
-"""Servers that a store shows as before, since it came back from a copy."""
+"""Server records that are outdated because the store was restored from a copy."""
 
 from ploverhatch.state.servers import STALE_AFTER_RESTORE_MS, ServerRecord, ServerSet
 
@@ -14,14 +14,14 @@
     return servers
 
 
-def test_one_that_drains_goes_on_to_do_so():
+def test_a_draining_server_is_still_draining():
     servers = restored(record(draining=True))
     servers.note_store_restored(100.0)
     servers.put(record(), 100.0)
     assert servers.records["s0"].draining
 
 
-def test_one_that_has_left_does_not_come_back():
+def test_a_server_that_has_left_is_not_added_again():
     servers = restored(record(draining=True))
     servers.remove("s0", 50.0)
     servers.note_store_restored(100.0)
@@ -29,7 +29,7 @@
     assert servers.records == {}
 
 
-def test_one_whose_entry_was_missing_while_the_store_was_away_comes_back():
+def test_a_server_whose_entry_was_missing_while_the_store_was_unavailable_is_added_again():
     servers = restored(record())
     servers.remove("s0", 50.0)
     servers.note_store_restored(100.0)
@@ -37,7 +37,7 @@
     assert not servers.records["s0"].draining
 
 
-def test_otherwise_an_entry_is_taken_as_it_is():
+def test_otherwise_an_entry_is_applied_unchanged():
     servers = restored(record(draining=True))
     servers.put(record(), 100.0)
     assert not servers.records["s0"].draining
--- a/tests/unit/test_standing.py
+++ b/tests/unit/test_standing.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves: how long it binds, and what takes it back."""
+"""Notices of servers about themselves: how they are read, and how long they are in force."""
 
 import pytest
 from hypothesis import given
@@ -21,7 +21,7 @@
 LEAVES = ServerNotice(leaving=True)
 
 
-def rest(seconds):
+def backoff(seconds):
     return ServerNotice(backoff_ms=seconds * 1000.0)
 
 
@@ -53,10 +53,10 @@
     (200, [OWN, (b"Server-Leaving", b"0")], NO_NOTICE),
     (200, [OWN, (b"Server-Leaving", b"")], NO_NOTICE),
     (200, [OWN, (b"Server-Leaving", b"yes")], NO_NOTICE),
-    (503, [OWN, (b"Retry-After", b"3")], rest(3)),
-    (503, [OWN, (b"Retry-After", b"0.25")], rest(0.25)),
-    (503, [OWN, (b"retry-after", b"1"), (b"Retry-After", b"4")], rest(4)),
-    (503, [OWN, (b"Retry-After", b"soon"), (b"Retry-After", b"2")], rest(2)),
+    (503, [OWN, (b"Retry-After", b"3")], backoff(3)),
+    (503, [OWN, (b"Retry-After", b"0.25")], backoff(0.25)),
+    (503, [OWN, (b"retry-after", b"1"), (b"Retry-After", b"4")], backoff(4)),
+    (503, [OWN, (b"Retry-After", b"soon"), (b"Retry-After", b"2")], backoff(2)),
     (503, [OWN, (b"Server-Leaving", b"1"), (b"Retry-After", b"2")], ServerNotice(True, 2000.0)),
     (503, [OWN, (b"Retry-After", b"0")], NO_NOTICE),
     (503, [OWN, (b"Retry-After", b"-5")], NO_NOTICE),
@@ -92,47 +92,47 @@
 
 
 @pytest.mark.parametrize(("status", "headers", "notice"), READINGS)
-def test_what_an_answer_says_of_its_server(status, headers, notice):
+def test_notice_is_read_from_an_answer(status, headers, notice):
     assert PlatformDialect().notice(b"r1", "me", WireAnswer(status, headers)) == notice
 
 
 @given(st.binary(max_size=30), st.binary(max_size=30))
-def test_no_bytes_break_the_reading(leaving, after):
+def test_any_header_bytes_are_read_without_error(leaving, after):
     headers = [OWN, (b"Server-Leaving", leaving), (b"Retry-After", after)]
     notice = PlatformDialect().notice(b"r1", "me", WireAnswer(503, headers))
     assert 0.0 <= notice.backoff_ms < float("inf")
 
 
-# ---- how long a word binds -----------------------------------------------------------------
+# ---- how long a notice is in force -----------------------------------------------------------
 
 
-def test_a_rest_is_over_when_its_time_is():
+def test_a_backoff_ends_when_its_time_is_over():
     known = ServerNotices()
-    assert known.note("s0", rest(3), 100.0) == rest(3)
+    assert known.note("s0", backoff(3), 100.0) == backoff(3)
     assert known.backoff_left_ms("s0", 100.0) == 3000.0
     assert known.backoff_left_ms("s0", 3099.0) == 1.0
     assert known.backoff_left_ms("s0", 3100.0) == 0.0
     assert known.backoff_left_ms("s1", 200.0) == 0.0
 
 
-def test_the_longest_of_several_rests_counts_and_only_the_first_is_news():
+def test_the_longest_of_several_backoffs_counts_and_only_the_first_is_new():
     known = ServerNotices()
-    known.note("s0", rest(3), 0.0)
-    assert known.note("s0", rest(1), 500.0) == NO_NOTICE
+    known.note("s0", backoff(3), 0.0)
+    assert known.note("s0", backoff(1), 500.0) == NO_NOTICE
     assert known.backoff_left_ms("s0", 500.0) == 2500.0
-    assert known.note("s0", rest(3), 1000.0) == NO_NOTICE
+    assert known.note("s0", backoff(3), 1000.0) == NO_NOTICE
     assert known.backoff_left_ms("s0", 1000.0) == 3000.0
-    assert known.note("s0", rest(2), 4000.0) == rest(2)
+    assert known.note("s0", backoff(2), 4000.0) == backoff(2)
 
 
 @given(st.floats(min_value=0.0, max_value=1e300), st.floats(min_value=0.0, max_value=1e9))
-def test_no_server_shuts_itself_out_for_longer_than_the_bound(seconds, now_ms):
+def test_a_backoff_is_bounded(seconds, now_ms):
     known = ServerNotices()
     known.note("s0", ServerNotice(backoff_ms=seconds * 1000.0), now_ms)
     assert known.backoff_left_ms("s0", now_ms) <= MAX_BACKOFF_MS
 
 
-def test_a_server_that_stays_is_asked_again_after_a_while():
+def test_a_server_that_announced_leaving_and_stays_is_used_again_later():
     known = servers()
     known.apply_notice("s0", LEAVES, 0.0)
     assert known.records["s0"].leaving
@@ -141,8 +141,8 @@
     assert not known.records["s0"].leaving
 
 
-def test_its_record_does_not_take_the_word_back_that_it_leaves():
-    """The store may take seconds to say what the server says of itself."""
+def test_a_record_does_not_revoke_an_announced_leaving():
+    """The store's record may follow the server's own announcement by seconds."""
     known = servers()
     known.apply_notice("s0", LEAVES, 0.0)
     known.put(record(), 500.0)
@@ -151,7 +151,7 @@
     assert known.leaving_since["s0"] == 0.0
 
 
-def test_a_server_that_is_gone_leaves_no_word_behind():
+def test_notices_of_a_removed_server_are_dropped():
     known = servers()
     known.apply_notice("s0", ServerNotice(True, 9000.0), 0.0)
     known.remove("s0", 100.0)
@@ -160,13 +160,13 @@
     assert known.notices.backoff_left_ms("s0", 200.0) == 0.0
 
 
-def test_a_word_of_a_server_that_is_not_known_is_dropped():
+def test_a_notice_of_an_unknown_server_is_dropped():
     known = servers()
     assert known.apply_notice("other", LEAVES, 0.0) == NO_NOTICE
     assert not known.note_reported_leaving("other", 0.0, 0.0)
 
 
-def test_a_word_that_another_node_passes_on_is_as_old_as_it_is():
+def test_a_reported_leaving_keeps_the_time_of_its_announcement():
     known = servers()
     assert known.note_reported_leaving("s0", -400.0, 100.0)
     assert not known.note_reported_leaving("s0", -300.0, 200.0)
@@ -175,7 +175,7 @@
     assert not known.note_reported_leaving("s0", -400.0, LEAVING_MEMORY_MS)
 
 
-# ---- rests that the leader is told of --------------------------------------------------------
+# ---- backoffs that are reported to the leader ------------------------------------------------
 
 NEVER = float("-inf")
 
@@ -184,7 +184,7 @@
     return reports.shedding(lambda server_id: answered_ms, now_ms)
 
 
-def test_the_keys_of_a_server_that_answers_nobody_are_to_move():
+def test_the_keys_of_a_server_that_answers_no_node_are_to_move():
     reports = RestReports()
     reports.add({"s0": 3000.0}, 0.0)
     assert shedding(reports, SHEDDING_MS - 1.0) == set()
@@ -192,13 +192,13 @@
     assert shedding(reports, SHEDDING_MS, answered_ms=REPORT_MS) == set()
 
 
-def test_not_for_a_rest_that_is_over_sooner_than_a_move():
+def test_keys_stay_where_the_backoff_ends_sooner_than_a_move():
     reports = RestReports()
     reports.add({"s0": 1500.0}, 0.0)
     assert shedding(reports, 1500.0 - WORTH_MS + 1.0) == set()
 
 
-def test_rests_that_follow_each_other_count_as_one():
+def test_successive_backoffs_count_as_one():
     reports = RestReports()
     reports.add({"s0": 3000.0}, 0.0)
     reports.expire(3500.0)
@@ -228,7 +228,7 @@
     assert known.limit_per_s == {"s0": 7.0}
 
 
-def test_an_answer_that_tells_nothing_of_a_limit_leaves_it():
+def test_an_answer_that_shows_nothing_of_a_limit_does_not_change_it():
     known = ServerNotices()
     known.note("s0", limit(2.5), 0.0)
     known.note("s0", ServerNotice(leaving=True), 100.0)
@@ -241,7 +241,7 @@
     assert known.limits == {}
 
 
-def test_a_limit_of_which_nothing_was_heard_for_long_is_forgotten():
+def test_a_limit_that_was_not_repeated_for_long_is_dropped():
     known = ServerNotices()
     known.note("s0", limit(2.5), 0.0)
     known.expire(LIMIT_MEMORY_MS)
@@ -250,7 +250,7 @@
     assert known.limits == {}
 
 
-def test_a_limit_goes_with_the_life_that_named_it():
+def test_a_limit_is_dropped_with_its_server():
     known = servers()
     known.apply_notice("s0", limit(2.5), 0.0)
     known.remove("s0", 10.0)
