--- a/ploverhatch/policy/compiler.py
+++ b/ploverhatch/policy/compiler.py
@@ -1,4 +1,4 @@
-"""Checks a parsed policy and compiles it to a :class:`PolicyTable`."""
+"""Check a parsed policy and compile it to a :class:`PolicyTable`."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Compilation:
-    """A table and the warnings met on the way."""
+    """A compiled table and the warnings about its source."""
 
     table: PolicyTable
     warnings: tuple[Diagnostic, ...]
@@ -24,9 +24,10 @@
 def compile_policy(source: str, servers: ServerLabels | None = None) -> Compilation:
     """Parse, check and compile policy source.
 
-    :param servers: labels by server name; when given, selectors that match
-        none are warned of and the shares drawn on each server are summed.
-    :raises PolicyError: listing every error.
+    :param servers: labels by server name. If given, a selector that matches no
+        server yields a warning, and shares on one server that add up to more
+        than 1 are an error.
+    :raises PolicyError: with all errors of the source.
     """
     policy = parse_policy(source)
     findings = _check(policy, servers)
--- a/ploverhatch/policy/diagnostics.py
+++ b/ploverhatch/policy/diagnostics.py
@@ -1,4 +1,4 @@
-"""Diagnostics of the policy compiler: place, message, hint."""
+"""Diagnostics of the policy compiler: position, message and hint."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class Severity(Enum):
-    """An error refuses the policy; a warning does not."""
+    """Severity of a diagnostic; only an error makes the policy invalid."""
 
     ERROR = "error"
     WARNING = "warning"
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Diagnostic:
-    """One finding of the parser or compiler."""
+    """One error or warning of the parser or the compiler."""
 
     severity: Severity
     position: Position
@@ -23,7 +23,10 @@
     hint: str = ""
 
     def render(self, source: str, name: str = "policy") -> str:
-        """Format with the source line and a caret below the column."""
+        """Format the diagnostic with its source line and a caret below the column.
+
+        :param name: the name of the source, for the first line of the output.
+        """
         lines = source.splitlines()
         place = self.position
         head = f"{name}:{place.line}:{place.column}: {self.severity.value}: {self.message}"
@@ -37,7 +40,7 @@
 
 
 class PolicyError(Exception):
-    """The policy has errors; ``diagnostics`` lists all of them."""
+    """A policy has errors; ``diagnostics`` lists all of them."""
 
     def __init__(self, diagnostics: list[Diagnostic], source: str = "") -> None:
         self.diagnostics = diagnostics
--- a/ploverhatch/policy/parser.py
+++ b/ploverhatch/policy/parser.py
@@ -1,4 +1,4 @@
-"""Parser of the policy language, built on lark."""
+"""Parser of the policy language, based on lark."""
 
 from functools import lru_cache
 from importlib import resources
@@ -16,7 +16,7 @@
 
 
 def parse_duration(text: str) -> int:
-    """Return milliseconds of ``250ms`` or ``1.5s``."""
+    """Return the milliseconds of a duration such as ``250ms`` or ``1.5s``."""
     if text.endswith("ms"):
         return round(float(text[:-2]))
     return round(float(text[:-1]) * 1000)
@@ -31,7 +31,7 @@
 
 
 class _Builder(Transformer[Token, Any]):
-    """Turns lark's tree into the syntax tree."""
+    """Transforms lark's parse tree into the syntax tree."""
 
     @v_args(inline=True)
     def equals(self, label: Token, value: Token) -> syntax.Expression:
@@ -135,9 +135,9 @@
 
 
 def parse_policy(source: str) -> syntax.Policy:
-    """Parse a policy.
+    """Parse the source of a policy.
 
-    :raises PolicyError: with one diagnostic that names what was expected.
+    :raises PolicyError: with one diagnostic that names the expected tokens.
     """
     try:
         tree = _lark().parse(source)
--- a/ploverhatch/policy/printer.py
+++ b/ploverhatch/policy/printer.py
@@ -1,10 +1,10 @@
-"""Prints a syntax tree as policy source that parses to the same tree."""
+"""Print a syntax tree as policy source that parses to the same tree."""
 
 from ploverhatch.policy import syntax
 
 
 def print_expression(expression: syntax.Expression) -> str:
-    """Return the source form of a selector, with explicit parentheses."""
+    """Return the source of a selector, with explicit parentheses."""
     match expression:
         case syntax.Equals(label, value):
             return f'{label} = "{value}"'
@@ -44,7 +44,7 @@
 
 
 def print_policy(policy: syntax.Policy) -> str:
-    """Return the canonical source form of a policy."""
+    """Return the canonical source of a policy."""
     parts = [_print_group(group) for group in policy.groups]
     parts += [_print_route(route) for route in policy.routes]
     return "\n".join(parts) + "\n"
--- a/ploverhatch/policy/syntax.py
+++ b/ploverhatch/policy/syntax.py
@@ -1,7 +1,7 @@
-"""Syntax tree of the policy language, immutable.
+"""Immutable syntax tree of the policy language.
 
 Durations are in milliseconds, shares are fractions of a server's slots, and
-``line``/``column`` count from one.
+``line`` and ``column`` count from one.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Position:
-    """Place in the policy source."""
+    """Position in the policy source."""
 
     line: int = 0
     column: int = 0
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Equals:
-    """The label has this value."""
+    """Selector: the label has this value."""
 
     label: str
     value: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class OneOf:
-    """The label has one of these values."""
+    """Selector: the label has one of these values."""
 
     label: str
     values: tuple[str, ...]
@@ -33,28 +33,28 @@
 
 @dataclass(frozen=True)
 class Has:
-    """The label is present."""
+    """Selector: the label is present."""
 
     label: str
 
 
 @dataclass(frozen=True)
 class Not:
-    """The operand does not hold."""
+    """Selector: the operand does not match."""
 
     operand: "Expression"
 
 
 @dataclass(frozen=True)
 class AllOf:
-    """Every operand holds."""
+    """Selector: every operand matches."""
 
     operands: tuple["Expression", ...]
 
 
 @dataclass(frozen=True)
 class AnyOf:
-    """At least one operand holds."""
+    """Selector: at least one operand matches."""
 
     operands: tuple["Expression", ...]
 
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True)
 class Draw:
-    """A group may use a share of the slots of the selected servers.
+    """A share of the slots of the selected servers that a group may use.
 
-    ``servers`` or ``keys`` being ``None`` selects all.
+    ``servers`` selects the servers and ``keys`` the keys of the group; ``None`` selects all.
     """
 
     share: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Group:
-    """A group of keys, its priority (1 goes first) and what it draws on."""
+    """A group of keys, its priority (1 is the highest) and its draws on servers."""
 
     name: str
     priority: int
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Requests of one method and path pattern that go to one group."""
+    """Requests with a method and a path pattern, routed to a group."""
 
     method: str
     pattern: str
@@ -103,14 +103,14 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """A whole parsed policy."""
+    """A parsed policy."""
 
     groups: tuple[Group, ...]
     routes: tuple[Route, ...]
 
 
 def matches(expression: Expression | None, labels: dict[str, str]) -> bool:
-    """Evaluate a selector over the labels of one server or key."""
+    """Return whether a selector matches the labels of a server or key; ``None`` matches all."""
     match expression:
         case None:
             return True
--- a/ploverhatch/policy/table.py
+++ b/ploverhatch/policy/table.py
@@ -1,6 +1,6 @@
-"""Compiled policy: routes in a trie by path segment, groups by name.
+"""Compiled policy: routes in a trie of path segments, and groups by name.
 
-Matching a request costs time in the number of path segments, not routes.
+The time to match a request depends on the number of its path segments, not of routes.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass
 class TrieNode:
-    """One path segment: literal children, one parameter child, routes by method."""
+    """Node of the trie: literal children, one parameter child, and routes by method."""
 
     literals: dict[str, "TrieNode"] = field(default_factory=dict)
     parameter: "TrieNode | None" = None
@@ -22,32 +22,35 @@
 
 @dataclass(frozen=True)
 class RouteMatch:
-    """A route and the values of its path parameters."""
+    """A matching route and the values of its path parameters."""
 
     route: Route
     parameters: dict[str, str]
 
 
 def split_path(path: str) -> list[str]:
-    """Return the segments of a path, percent-decoded one by one."""
+    """Return the segments of a path, each percent-decoded by itself."""
     return [unquote(segment) for segment in path.strip("/").split("/")]
 
 
 def is_parameter(segment: str) -> bool:
-    """Tell whether a pattern segment is ``{name}``."""
+    """Return whether a pattern segment is a parameter, as in ``{name}``."""
     return segment.startswith("{") and segment.endswith("}")
 
 
 @dataclass(frozen=True)
 class PolicyTable:
-    """What routers evaluate: built once per configuration generation."""
+    """The policy as routers evaluate it, built once per configuration generation."""
 
     groups: dict[str, Group]
     routes: tuple[Route, ...]
     root: TrieNode
 
     def match(self, method: str, path: str) -> RouteMatch | None:
-        """Find the route of a request; a literal segment beats a parameter."""
+        """Return the matching route, or ``None`` without one.
+
+        A literal segment takes precedence over a parameter.
+        """
         segments = split_path(path)
         found = self._walk(self.root, segments, 0, method)
         if found is None:
@@ -73,15 +76,18 @@
         return self._walk(node.parameter, segments, depth + 1, method)
 
     def draws_for_key(self, group: str, labels: dict[str, str]) -> tuple[Draw, ...]:
-        """Return the draws of a group that apply to a key with these labels."""
-        special = tuple(
+        """Return the draws of a group that apply to a key with these labels.
+
+        Draws whose key selector matches replace those without a selector.
+        """
+        selected = tuple(
             draw for draw in self.groups[group].draws if draw.keys and matches(draw.keys, labels)
         )
-        return special or tuple(draw for draw in self.groups[group].draws if draw.keys is None)
+        return selected or tuple(draw for draw in self.groups[group].draws if draw.keys is None)
 
 
 def extract_key(match: RouteMatch, query: str, headers: dict[str, str]) -> str:
-    """Return the key of a request, or an empty string when it is absent."""
+    """Return the key of a request, or an empty string where the key is absent."""
     route = match.route
     if route.key_source == "path":
         return match.parameters.get(route.key_name, "")
