--- a/ploverhatch/routing/sending.py
+++ b/ploverhatch/routing/sending.py
@@ -1,5 +1,8 @@
 """Whether a request may be sent to a server, by all that is known of the server.
 
+The holder of a key is the only server that may run requests for it. A leaving holder still
+receives them for a grace period, while the key moves to another server.
+
 This module does no I/O and reads no clock; times are milliseconds of the elapsed clock.
 """
 
