--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -15,23 +15,23 @@
 from msgspec.structs import replace
 
 from ploverhatch.admission.messages import (
-    HeldAsk,
-    HeldWord,
-    SlotAsk,
-    SlotReturn,
-    SlotWord,
-    ToldLimits,
+    HeldSlotsReply,
+    HeldSlotsRequest,
+    ReportedLimits,
+    SlotRelease,
+    SlotReply,
+    SlotRequestMessage,
 )
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
+    CrashQuery,
+    CrashReport,
     TrialMessage,
 )
 from ploverhatch.relay import packing
-from ploverhatch.relay.messages import Beacon, Fragment, Told
+from ploverhatch.relay.messages import Beacon, Fragment, RelayedUpdate
 from ploverhatch.transport.http_connection import HostPort
 
 LOG = PartLogger("peer")
@@ -40,7 +40,7 @@
 FIRST_REPORT_S = 0.1  # between looks for a leader to report to for the first time
 MAX_KEYS = 400  # of one report and service
 MAX_DATAGRAM = 8192
-PEER_MEMORY_MS = 3000.0  # a node that reported within that time is told of changes
+PEER_EXPIRY_MS = 3000.0  # a node that reported within that time is told of changes
 MEMBERS_EVERY = 4  # every fourth beacon also goes to nodes that do not report
 
 
@@ -48,7 +48,7 @@
     """Keys of the requests since the last report, and the answer times they saw.
 
     ``leaving`` holds the servers that said that they leave, and how long ago, where their
-    records don't say so; ``resting`` those that asked this node for a rest, and what is left
+    records don't say so; ``backing_off`` those that asked this node for a rest, and what is left
     of it; both in milliseconds. ``limits`` are what servers' answers to this node said of the
     rate that they take.
     """
@@ -58,13 +58,13 @@
     stamp_ms: float = 0.0  # when it was sent, on its sender's clock
     strength: float = 0.0  # of the sender's machine if it is ready to lead, else 0
     leaving: dict[str, float] = {}
-    resting: dict[str, float] = {}
-    limits: ToldLimits = {}
+    backing_off: dict[str, float] = {}
+    limits: ReportedLimits = {}
 
 
-SlotMessage = SlotAsk | SlotWord | SlotReturn | HeldAsk | HeldWord
-CrashMessage = CrashesTold | CrashesAsk | TrialMessage
-Message = LoadReport | Told | Beacon | Fragment | SlotMessage | CrashMessage
+SlotMessage = SlotRequestMessage | SlotReply | SlotRelease | HeldSlotsRequest | HeldSlotsReply
+CrashMessage = CrashReport | CrashQuery | TrialMessage
+Message = LoadReport | RelayedUpdate | Beacon | Fragment | SlotMessage | CrashMessage
 Address = tuple[str, int]
 
 
@@ -84,7 +84,7 @@
         address: HostPort,
         collect: Callable[[], LoadReport],
         leader: Callable[[], str],
-        take_report: Callable[[LoadReport], None],
+        handle_report: Callable[[LoadReport], None],
         members: Callable[[], Collection[str]] = frozenset,
     ) -> None:
         self._members = members
@@ -95,9 +95,9 @@
         self._assembly = packing.Assembly()
         self._collect = collect
         self._leader = leader
-        self._take_report = take_report
-        self._takers: dict[type, Callable[..., None]] = {LoadReport: take_report}
-        self._peer_takers: dict[type, Callable[..., None]] = {}  # ... with the sender's address
+        self._handle_report = handle_report
+        self._handlers: dict[type, Callable[..., None]] = {LoadReport: handle_report}
+        self._peer_handlers: dict[type, Callable[..., None]] = {}  # ... with the sender's address
         self._own = f"{address.host}:{address.port}"
         self._peers: dict[Address, _Peer] = {}  # reporters
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -108,18 +108,18 @@
         """Nodes that reported lately."""
         return frozenset(self._peers)
 
-    def take(self, form: type, taker: Callable[..., None]) -> None:
-        """Have messages of a form taken by ``taker``."""
-        self._takers[form] = taker
+    def add_handler(self, form: type, handler: Callable[..., None]) -> None:
+        """Have messages of a form taken by ``handler``."""
+        self._handlers[form] = handler
 
-    def take_from(self, form: type, taker: Callable[..., None]) -> None:
-        """Have messages of a form taken by ``taker``, with their senders' addresses."""
-        self._peer_takers[form] = taker
+    def add_peer_handler(self, form: type, handler: Callable[..., None]) -> None:
+        """Have messages of a form taken by ``handler``, with their senders' addresses."""
+        self._peer_handlers[form] = handler
 
-    def take_slots(self, taker: Callable[[SlotMessage, Address], None]) -> None:
-        """Have messages about slots taken by ``taker``, with their senders' addresses."""
-        for form in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
-            self.take_from(form, taker)
+    def add_slot_handler(self, handler: Callable[[SlotMessage, Address], None]) -> None:
+        """Have messages about slots taken by ``handler``, with their senders' addresses."""
+        for form in (SlotRequestMessage, SlotReply, SlotRelease, HeldSlotsRequest, HeldSlotsReply):
+            self.add_peer_handler(form, handler)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
         """Send a message to one node."""
@@ -133,13 +133,13 @@
             report = self._collect()
             leader = self._leader()
             if leader == self._own:
-                self._take_report(report)
+                self._handle_report(report)
             elif leader:
                 report.stamp_ms = elapsed_ms()
                 self._send(msgspec.msgpack.encode(report), HostPort.parse(leader))
             self._leader_changed.wait(REPORT_S)
 
-    def publish(self, message: Told | Beacon) -> None:
+    def publish(self, message: RelayedUpdate | Beacon) -> None:
         """Send a message to all nodes that reported lately.
 
         Some beacons go to all members: a node that cannot read the lease learns
@@ -151,7 +151,7 @@
         now_ms = elapsed_ms()
         for address, peer in list(self._peers.items()):
             since_ms = now_ms - peer.heard_ms
-            if since_ms >= PEER_MEMORY_MS:
+            if since_ms >= PEER_EXPIRY_MS:
                 del self._peers[address]
                 continue
             if isinstance(message, Beacon):
@@ -160,7 +160,7 @@
             for data in datagrams:
                 self._send(data, address)
 
-    def _datagrams(self, message: Told | Beacon) -> list[bytes]:
+    def _datagrams(self, message: RelayedUpdate | Beacon) -> list[bytes]:
         """Encode a message; a long one is compressed and divided."""
         data = msgspec.msgpack.encode(message)
         if len(data) <= MAX_DATAGRAM:
@@ -170,7 +170,7 @@
 
     def _call_members(self, beacon: Beacon) -> None:
         now_ms = elapsed_ms()
-        if now_ms - self._beacon_ms > PEER_MEMORY_MS:
+        if now_ms - self._beacon_ms > PEER_EXPIRY_MS:
             self._beacons = 0  # the first one of a term goes to all
         self._beacon_ms = now_ms
         self._beacons += 1
@@ -196,25 +196,25 @@
             except (OSError, ValueError, RecursionError) as error:  # the last: nested deeply
                 LOG.warning("Datagram not read.", cause=error)
                 continue
-            peer_taker = self._peer_takers.get(type(message))
-            if peer_taker is not None:
-                peer_taker(message, peer)
+            peer_handler = self._peer_handlers.get(type(message))
+            if peer_handler is not None:
+                peer_handler(message, peer)
                 continue
             if isinstance(message, LoadReport):
                 self._peers[peer] = _Peer(message.stamp_ms, elapsed_ms())
-            self._take(message)
+            self._handle(message)
 
-    def _take(self, message: Message | None) -> None:
+    def _handle(self, message: Message | None) -> None:
         leader = self._leader()
-        taker = self._takers.get(type(message))
-        if taker is not None:
-            taker(message)
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(message)
         if self._leader() != leader:
             self._leader_changed.raise_()
 
     def _decode(
         self, data: bytes, peer: Address
-    ) -> LoadReport | Told | Beacon | SlotMessage | CrashMessage | None:
+    ) -> LoadReport | RelayedUpdate | Beacon | SlotMessage | CrashMessage | None:
         """Return a message; ``None`` until the last fragment of a long one came.
 
         :raises ValueError: when it has another form.
@@ -223,7 +223,7 @@
         if not isinstance(message, Fragment):
             return message
         whole = self._assembly.add(peer, message)
-        return None if whole is None else msgspec.msgpack.decode(whole, type=Told)
+        return None if whole is None else msgspec.msgpack.decode(whole, type=RelayedUpdate)
 
     def close(self) -> None:
         """Close the socket."""
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -18,13 +18,13 @@
 from ploverhatch.gateway.elector import Elector
 from ploverhatch.gateway.feeds import Feed, FeedTask, Pauses
 from ploverhatch.gateway.forwarder import Forwarder
-from ploverhatch.gateway.held_requests import HeldRequests
 from ploverhatch.gateway.key_leader import KeyLeader
 from ploverhatch.gateway.keymap_relay import KeymapRelay
 from ploverhatch.gateway.messages import CallerReply, CallerRequest
 from ploverhatch.gateway.peer_link import MAX_KEYS, Address, LoadReport, PeerLink
 from ploverhatch.gateway.peer_objects import SnapshotClient, SnapshotServer
 from ploverhatch.gateway.quarantine import Quarantine
+from ploverhatch.gateway.quarantine_persistence import QuarantinePersistence
 from ploverhatch.gateway.relay import Relay
 from ploverhatch.gateway.settings import GatewaySettings, SettingsError, SettingsSource
 from ploverhatch.gateway.shared_slots import SharedSlots
@@ -35,13 +35,13 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import UpstreamPool
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
-    TrialAsk,
-    TrialOver,
-    TrialWord,
+    CrashQuery,
+    CrashReport,
+    TrialFinished,
+    TrialReply,
+    TrialRequest,
 )
-from ploverhatch.relay.messages import Beacon, Told
+from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
 from ploverhatch.routing.planned_stop import PlannedStop, caller_idle_timeout_s
 from ploverhatch.routing.retry_budget import SharedRetryBudget
@@ -60,11 +60,11 @@
 METRICS_PATH = b"/metrics"
 HOUSEKEEPING_S = 0.25
 LEADER_POLL_S = 0.1
-LIFE_BYTES = 6  # of the name of one life of the process
+INCARNATION_BYTES = 6  # of the name of one life of the process
 # A watch that has reported is asked again after a pause: the first one where it
 # told something new, the second one where all was known, as from the leader.
-SERVERS_PAUSES = Pauses(news_s=0.25, known_s=0.25)
-KEYMAPS_PAUSES = Pauses(news_s=0.1, known_s=1.0)
+SERVERS_PAUSES = Pauses(after_new_s=0.25, after_known_s=0.25)
+KEYMAPS_PAUSES = Pauses(after_new_s=0.1, after_known_s=1.0)
 # For moves under way when their leader stops: a release ends with what its server runs.
 MOVES_LIMIT_S = 1.0
 
@@ -100,7 +100,7 @@
         self._elector = Elector(
             store,
             settings.node,
-            os.urandom(LIFE_BYTES).hex(),
+            os.urandom(INCARNATION_BYTES).hex(),
             f"{settings.ip}:{settings.peer_port}",
             self._store_lost,
             self._store_regained,
@@ -122,7 +122,7 @@
             self._peers.send,
             self._elector.address,
         )
-        self._peers.take_slots(self._slots.take)
+        self._peers.add_slot_handler(self._slots.handle_message)
         permits = TrialPermits(
             self._other_leader, lambda: self._elector.node_count, self._peers.send
         )
@@ -135,12 +135,14 @@
             permits,
             lambda: self._standstill.ran_until_ms,
         )
-        self._held_requests = HeldRequests(store, self._quarantine, lambda: self.leads)
-        self._peers.take_from(TrialAsk, permits.take_ask)
-        self._peers.take_from(TrialWord, permits.take_word)
-        self._peers.take_from(TrialOver, permits.take_over)
-        self._peers.take_from(CrashesTold, self._quarantine.take_told)
-        self._peers.take_from(CrashesAsk, self._quarantine.take_ask)
+        self._quarantine_persistence = QuarantinePersistence(
+            store, self._quarantine, lambda: self.leads
+        )
+        self._peers.add_peer_handler(TrialRequest, permits.handle_request)
+        self._peers.add_peer_handler(TrialReply, permits.handle_reply)
+        self._peers.add_peer_handler(TrialFinished, permits.handle_finished)
+        self._peers.add_peer_handler(CrashReport, self._quarantine.handle_report)
+        self._peers.add_peer_handler(CrashQuery, self._quarantine.handle_query)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
@@ -162,8 +164,8 @@
             self._peers.publish,
         )
         self._snapshots = SnapshotServer(peer_address, self._relay.snapshot)
-        self._peers.take(Told, self._relay.take_told)
-        self._peers.take(Beacon, self._relay.take_beacon)
+        self._peers.add_handler(RelayedUpdate, self._relay.handle_update)
+        self._peers.add_handler(Beacon, self._relay.handle_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
             for feed in self._followed(keymap_relay)
@@ -172,13 +174,13 @@
         self._callers = CallerServer(
             settings.callers,
             self._forwarder.handle,
-            self.directory.limits,
+            self.directory.client_limits,
             self._note_rejected,
             settings.max_caller_connections,
             caller_idle_timeout_s(settings.grace_s * 1000),
         )
         self._readiness = CallerServer(
-            settings.readiness, self._answer_readiness, self.directory.limits
+            settings.readiness, self._answer_readiness, self.directory.client_limits
         )
 
     # ---- life -------------------------------------------------------------------------
@@ -207,8 +209,8 @@
             ("reports", self._peers.report_forever, None),
             ("datagrams", self._peers.receive_forever, None),
             ("slots", self._slots.expire_forever, None),
-            ("quarantine", self._quarantine.ask_forever, None),
-            ("held-requests", self._held_requests.run, None),
+            ("quarantine", self._quarantine.query_forever, None),
+            ("held-requests", self._quarantine_persistence.run, None),
             ("suspension", self._standstill.run, None),
             ("housekeeping", self._keep_house, None),
             ("pool", self._sync_pool, None),
@@ -237,7 +239,7 @@
         """Whether this node leads right now."""
         return self._elector.has_authority
 
-    def shut(self) -> None:
+    def abort(self) -> None:
         """End at once, as a kill would, for tests within one process."""
         gevent.killall(self._tasks)
         self._callers.stop()
@@ -258,7 +260,7 @@
         try:
             stop.run()
             # What the last requests showed is known to this node alone until it is told.
-            self._quarantine.tell_now()
+            self._quarantine.send_reports_now()
         finally:  # a fault in between must not keep the process
             self._stopped.set()
 
@@ -301,7 +303,7 @@
         for item in items:
             table = self._translation.configuration(item)
             if table is not None:
-                self.directory.take_table(table)
+                self.directory.apply_table(table)
 
     def _change_configuration(self, change: ObjectChange) -> bool:
         if not change.gone:
@@ -360,7 +362,7 @@
 
     def _feed_failed(self) -> None:
         self._store_lost()
-        self._elector.look_now()
+        self._elector.check_store_now()
 
     def _store_regained(self) -> None:
         self._read_again()
@@ -368,12 +370,12 @@
     def _read_again(self) -> None:
         self._store.interrupt()
         for feed in self._feeds:
-            feed.nudge()
+            feed.wake()
 
     def _woke(self) -> None:
         """The machine was suspended: what waited for a time that is over goes on."""
         self._forwarder.end_overdue()
-        self._elector.woke()
+        self._elector.note_resumed()
         self._read_again()
 
     # ---- tasks ------------------------------------------------------------------------
@@ -400,9 +402,9 @@
                     self._elector,
                     self._dialect,
                     self._settings.lease_max_ms,
-                    self._relay.tell_map,
-                    self._relay.tell_granted,
-                    self._relay.tell_promoted,
+                    self._relay.publish_map,
+                    self._relay.publish_granted,
+                    self._relay.publish_promoted,
                 )
                 try:
                     self._leader.run()
@@ -430,14 +432,14 @@
             service: found if len(found) <= MAX_KEYS else random.sample(found, MAX_KEYS)
             for service, found in sampled.items()
         }
-        times = self._pool.take_answer_times(self._partitioned)
+        times = self._pool.collect_answer_times(self._partitioned)
         return LoadReport(
             keys,
             times,
             strength=self._elector.offered_strength,
             leaving=self.directory.leaving_ages_ms(),
-            resting=self.directory.servers.notices.backing_off(elapsed_ms()),
-            limits=self.directory.own_limits(),
+            backing_off=self.directory.servers.notices.backing_off(elapsed_ms()),
+            limits=self.directory.own_rate_limits(),
         )
 
     @property
@@ -448,10 +450,10 @@
         return frozenset(service.name for service in services if service.partitioned)
 
     def _take_load(self, report: LoadReport) -> None:
-        self.directory.hear_leaving(report.leaving, "another-node")
-        self.directory.hear_limits(report.limits, "another-node")
+        self.directory.note_leaving(report.leaving, "another-node")
+        self.directory.note_rate_limits(report.limits, "another-node")
         if self._leader is not None:
-            self._leader.take_report(report)
+            self._leader.add_report(report)
         if self._elector.should_hand_over(report.strength):
             gevent.spawn(self._elector.hand_over)
 
@@ -463,7 +465,7 @@
         table = self.directory.table
         if self._draining or table is None or not self.directory.servers_known:
             return False
-        if not self._quarantine.settled:
+        if not self._quarantine.synced:
             return False
         return all(
             service.name in self.directory.keymaps
@@ -496,9 +498,9 @@
         metrics.gauge("connections", lambda: float(self._callers.open_connections))
         metrics.gauge("shared_slots_in_use", lambda: float(self._slots.in_use))
         metrics.gauge("shared_slots_waiting", lambda: float(self._slots.waiting))
-        metrics.gauge("servers_ended_under_requests", lambda: float(self._quarantine.ends))
-        metrics.gauge("requests_held", lambda: float(self._quarantine.held))
-        metrics.gauge("requests_suspected", lambda: float(self._quarantine.known))
+        metrics.gauge("servers_ended_under_requests", lambda: float(self._quarantine.crashes))
+        metrics.gauge("requests_held", lambda: float(self._quarantine.quarantined_count))
+        metrics.gauge("requests_suspected", lambda: float(self._quarantine.known_count))
         metrics.gauge("busy", lambda: float(self._callers.busy))
         return metrics.text()
 
--- a/tests/unit/test_standing.py
+++ b/tests/unit/test_standing.py
@@ -5,7 +5,12 @@
 from hypothesis import strategies as st
 
 from ploverhatch.platform.dialect import PlatformDialect
-from ploverhatch.sharding.resting import REPORT_MS, SHEDDING_MS, WORTH_MS, RestReports
+from ploverhatch.sharding.backoff_reports import (
+    MIN_REMAINING_MS,
+    REPORT_DELAY_MS,
+    SHEDDING_MS,
+    BackoffReports,
+)
 from ploverhatch.state.server_notices import (
     LEAVING_MEMORY_MS,
     LIMIT_MEMORY_MS,
@@ -185,21 +190,21 @@
 
 
 def test_the_keys_of_a_server_that_answers_no_node_are_to_move():
-    reports = RestReports()
+    reports = BackoffReports()
     reports.add({"s0": 3000.0}, 0.0)
     assert shedding(reports, SHEDDING_MS - 1.0) == set()
     assert shedding(reports, SHEDDING_MS) == {"s0"}
-    assert shedding(reports, SHEDDING_MS, answered_ms=REPORT_MS) == set()
+    assert shedding(reports, SHEDDING_MS, answered_ms=REPORT_DELAY_MS) == set()
 
 
 def test_keys_stay_where_the_backoff_ends_sooner_than_a_move():
-    reports = RestReports()
+    reports = BackoffReports()
     reports.add({"s0": 1500.0}, 0.0)
-    assert shedding(reports, 1500.0 - WORTH_MS + 1.0) == set()
+    assert shedding(reports, 1500.0 - MIN_REMAINING_MS + 1.0) == set()
 
 
 def test_successive_backoffs_count_as_one():
-    reports = RestReports()
+    reports = BackoffReports()
     reports.add({"s0": 3000.0}, 0.0)
     reports.expire(3500.0)
     reports.add({"s0": 3000.0}, 3500.0)
