--- a/tests/unit/test_routing_decisions.py
+++ b/tests/unit/test_routing_decisions.py
@@ -199,10 +199,10 @@
     for name, fast, slow in (("a", 100, 140), ("b", 110, 150), ("c", 60, 1700)):
         times.add(name, [fast, slow] * 10, 0.0)
     times.add("few", [1, 1], 0.0)
-    work = times.service_ms(["a", "b", "c", "new", "few"])
-    assert work["c"] < work["a"] < work["b"]
-    assert work["a"] <= work["new"] <= work["b"]
-    assert work["few"] == work["new"]
+    service_ms = times.service_ms(["a", "b", "c", "new", "few"])
+    assert service_ms["c"] < service_ms["a"] < service_ms["b"]
+    assert service_ms["a"] <= service_ms["new"] <= service_ms["b"]
+    assert service_ms["few"] == service_ms["new"]
     times.keep_only(["a"])
     assert set(times.service_ms(["a"])) == {"a"}
 
