--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,9 +1,9 @@
-"""Cost that the quarantine adds to a request, as parts of the whole way through a node.
+"""Cost that the quarantine adds to a request, relative to its whole time at a node.
 
     python -m benchmarks.quarantine
 
-One process holds callers, node and server, so the whole way is longer than in service.
-Rounds of the three cases take turns; each figure is the median of its rounds.
+One process runs callers, node and server, so that a request takes longer than in production.
+Rounds of the three cases alternate; each figure is the median of its rounds.
 """
 
 import statistics
@@ -21,7 +21,7 @@
 
 
 class Case:
-    """A forwarder with some contents under suspicion, and a request that is not."""
+    """A forwarder with records of some suspect requests, and a request that is not suspect."""
 
     def __init__(self, suspects, body_bytes):
         self._bench = QuarantineBench()
@@ -29,8 +29,8 @@
         self._bench.add_life()
         self._body = b"x" * body_bytes
         for number in range(suspects):
-            end = CrashEvent(f"s{number}", b"c", "n", elapsed_ms() - 30, elapsed_ms())
-            self._bench.quarantine._ledger.merge(b"%d" % number, CrashRecord((end,)))
+            crash = CrashEvent(f"s{number}", b"c", "n", elapsed_ms() - 30, elapsed_ms())
+            self._bench.quarantine._ledger.merge(b"%d" % number, CrashRecord((crash,)))
 
     def ask(self):
         fields = [(b"Host", b"h.example"), (b"Request-Id", b"r1")]
@@ -39,7 +39,11 @@
 
 
 def ratios():
-    """Return, by size of the body, time with suspects to time without, and without twice."""
+    """Return figures by body size in bytes.
+
+    These are the time of a request without suspects in microseconds, the ratio of the time with
+    suspects to it, and the ratio of two measurements without suspects, as the noise.
+    """
     found = {}
     for size in BODIES:
         cases = {"none": Case(0, size), "again": Case(0, size), "suspects": Case(SUSPECTS, size)}
--- a/ploverhatch/quarantine/__init__.py
+++ b/ploverhatch/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the servers that run them: how they are told apart and kept away."""
+"""Quarantine of requests that crash the servers that run them."""
--- a/ploverhatch/quarantine/fingerprint.py
+++ b/ploverhatch/quarantine/fingerprint.py
@@ -1,24 +1,26 @@
-"""Tells whether two requests are the same, without keeping what they hold. Pure.
+"""Digests by which equal requests are recognized without storing their content.
 
-What a caller sends anew with each try (its id, its deadline, cookies) is left out.
+Fields that a client changes with each try (its request id, its deadline, cookies) are left out.
+This module does no I/O and reads no clock.
 """
 
-# Not from hashlib, which maps OpenSSL's library: 3.7 MB a process, measured by import.
+# Not from hashlib, which maps OpenSSL's library into the process: 3.7 MB more, measured by import.
 from _blake2 import blake2b
 from collections.abc import Iterable
 from typing import NamedTuple
 from zlib import crc32
 
-REQUEST_DIGEST_BYTES = 16  # two contents that callers choose on purpose don't collide either
+# Long enough that callers can't construct two requests with the same digest.
+REQUEST_DIGEST_BYTES = 16
 CALLER_DIGEST_BYTES = 8
-LOGGED_DIGEST_BYTES = 4  # of a digest, in logs
+LOGGED_DIGEST_BYTES = 4
 SHORT_DIGEST_BYTES = 4
 
 
 class Fingerprint(NamedTuple):
-    """Digests of what is asked for, and of who asks."""
+    """Digests of a request and of its caller."""
 
-    request_digest: bytes  # begins with the hint
+    request_digest: bytes  # begins with the short digest
     caller_digest: bytes
 
     def __str__(self) -> str:
@@ -26,28 +28,29 @@
 
 
 def format_digest(digest: bytes) -> str:
-    """Return a digest as logs show it."""
+    """Return the abbreviated form of a digest for logs, in hexadecimal."""
     return digest[-LOGGED_DIGEST_BYTES:].hex()
 
 
 def short_digest(target: bytes, body: bytes) -> bytes:
-    """Return what all equal requests share, and few others.
+    """Return a cheap digest: the same for equal requests, and different for most others.
 
-    Nodes make the digests of those requests only whose hint is that of a request under
-    which a server ended. With digests of all of them a request took 1.05 times as long,
-    one with a body of 64 KB 1.26 times (benchmarks.quarantine).
+    Nodes compute the full digests only of requests whose short digest is that of a request
+    under which a server crashed. With full digests of all requests, a request took 1.05 times
+    as long, and one with a body of 64 KB 1.26 times (benchmarks.quarantine).
     """
     return crc32(target, len(body)).to_bytes(SHORT_DIGEST_BYTES)
 
 
-def fingerprint(hint: bytes, content: Iterable[bytes], caller: Iterable[bytes]) -> Fingerprint:
+def fingerprint(prefix: bytes, content: Iterable[bytes], caller: Iterable[bytes]) -> Fingerprint:
     """Return the fingerprint of a request.
 
+    :param prefix: the short digest.
     :param content: method, host, target, key and body.
     :param caller: the address that the request came from, and its credentials.
     """
     return Fingerprint(
-        hint + _digest(content, REQUEST_DIGEST_BYTES), _digest(caller, CALLER_DIGEST_BYTES)
+        prefix + _digest(content, REQUEST_DIGEST_BYTES), _digest(caller, CALLER_DIGEST_BYTES)
     )
 
 
--- a/ploverhatch/quarantine/messages.py
+++ b/ploverhatch/quarantine/messages.py
@@ -1,6 +1,7 @@
-"""What nodes tell each other of requests that end servers. All of it may be lost or late.
+"""Messages by which nodes share crash records and trial permits.
 
-Times travel as ages in milliseconds, since the clocks of nodes have nothing in common.
+Any message may be lost, late or repeated. Times are sent as ages in milliseconds, since the
+clocks of nodes have no common origin. Encoding and decoding do no I/O and read no clock.
 """
 
 import math
@@ -13,7 +14,7 @@
 
 
 class CrashEventEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One server's end under a request."""
+    """A :class:`CrashEvent` with ages in place of times."""
 
     server: str
     caller: bytes
@@ -24,7 +25,7 @@
 
 
 class CrashRecordEntry(msgspec.Struct, array_like=True, frozen=True):
-    """All that the sender knows of a content."""
+    """The sender's whole record of one request."""
 
     request_digest: bytes
     crashes: list[CrashEventEntry]
@@ -33,16 +34,20 @@
 
 
 class CrashReport(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Records of some contents; ``whole`` where, with those before, they are all."""
+    """Records of some requests.
+
+    ``is_complete`` marks the last report of a reply that holds all of the sender's records.
+    """
 
     records: list[CrashRecordEntry]
     is_complete: bool = False
 
 
 class CrashQuery(msgspec.Struct, array_like=True, frozen=True, tag=9):
-    """Asks a node for its records, unless they come to the same ``summary``.
+    """Asks a node for its records, unless they have the same ``checksum``.
 
-    One that has just started is answered in any case, so that it knows that it knows all.
+    A node that has just started gets a reply in any case, so that it knows its records to be
+    complete.
     """
 
     checksum: int
@@ -50,9 +55,9 @@
 
 
 class TrialRequest(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """Asks whether a copy of a content under suspicion may be sent now.
+    """Asks the leader whether a copy of a suspect request may be sent now.
 
-    ``number`` names the copy at its sender.
+    ``number`` identifies the copy at its sender.
     """
 
     request_digest: bytes
@@ -60,7 +65,7 @@
 
 
 class TrialReply(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """The answer: in how many milliseconds to ask again; 0: it may be sent."""
+    """Says after how many milliseconds to ask again; 0 if the copy may be sent."""
 
     number: int
     retry_after_ms: float
@@ -76,45 +81,46 @@
 TrialMessage = TrialRequest | TrialReply | TrialFinished
 
 
-def encode(content: bytes, record: CrashRecord, now_ms: float) -> CrashRecordEntry:
-    """Return a record as it is told now."""
-    ends = [
+def encode(request_digest: bytes, record: CrashRecord, now_ms: float) -> CrashRecordEntry:
+    """Return a record with ages relative to now."""
+    crashes = [
         CrashEventEntry(
-            end.server_id,
-            end.caller,
-            end.witness,
-            now_ms - end.sent_ms,
-            now_ms - end.crashed_ms,
-            end.frozen,
+            crash.server_id,
+            crash.caller,
+            crash.witness,
+            now_ms - crash.sent_ms,
+            now_ms - crash.crashed_ms,
+            crash.frozen,
         )
-        for end in record.crashes
+        for crash in record.crashes
     ]
     answered = {caller: now_ms - at_ms for caller, at_ms in record.answered_ms.items()}
     never = math.isinf(record.last_answer_ms)
     last = NEVER_MS if never else now_ms - record.last_answer_ms
-    return CrashRecordEntry(content, ends, answered, last)
+    return CrashRecordEntry(request_digest, crashes, answered, last)
 
 
-def decode(told: CrashRecordEntry, now_ms: float, came_ms: float | None = None) -> CrashRecord:
-    """Return a record that was told just now.
+def decode(entry: CrashRecordEntry, now_ms: float, came_ms: float | None = None) -> CrashRecord:
+    """Return the record of an entry that was received just now.
 
-    :param came_ms: when it came at the earliest, where this node may have stood still since.
-        An answer clears the ends before it, so that its earliest time counts; an end that looks
-        later than it was clears nothing, and its other tellings put it right.
+    :param came_ms: the earliest time at which the entry may have arrived, if this node was
+        suspended since. Answers get that time, since an answer that looks later than it was
+        would clear crashes after it. Crashes get the time of now: a crash that looks later than
+        it was clears nothing, and the same crash in other reports corrects its time.
     """
-    ends = tuple(
+    crashes = tuple(
         CrashEvent(
-            end.server,
-            end.caller,
-            end.witness,
-            now_ms - end.sent_age_ms,
-            now_ms - end.crashed_age_ms,
-            end.frozen,
+            crash.server,
+            crash.caller,
+            crash.witness,
+            now_ms - crash.sent_age_ms,
+            now_ms - crash.crashed_age_ms,
+            crash.frozen,
         )
-        for end in told.crashes
+        for crash in entry.crashes
     )
     came_ms = now_ms if came_ms is None else came_ms
-    answered = {caller: came_ms - age_ms for caller, age_ms in told.answered_age_ms.items()}
-    never = told.last_answer_age_ms < 0
-    last_ms = -math.inf if never else came_ms - told.last_answer_age_ms
-    return CrashRecord(ends, answered, last_ms)
+    answered = {caller: came_ms - age_ms for caller, age_ms in entry.answered_age_ms.items()}
+    never = entry.last_answer_age_ms < 0
+    last_ms = -math.inf if never else came_ms - entry.last_answer_age_ms
+    return CrashRecord(crashes, answered, last_ms)
--- a/ploverhatch/quarantine/trials.py
+++ b/ploverhatch/quarantine/trials.py
@@ -1,28 +1,28 @@
-"""Who may send a request under suspicion, one copy at a time. Pure.
+"""Permits for trials: single copies of a suspect request that are sent to a server.
 
-Kept by the node that leads, so that all nodes together have one copy under way. Times
-are milliseconds of that node's elapsed clock.
+The leader grants the permits, so that all nodes together send one copy of a request at a time.
+Times are elapsed milliseconds of the leader. This module does no I/O and reads no clock.
 """
 
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-# A request that ends its server does so sooner, so that its copies don't overlap. One that
-# works for longer gets a further copy each time it is over, and a node that dies with a
-# permit holds the others up no longer than that.
+# A request that crashes its server does so sooner, so that trials of it don't overlap. For a
+# request that runs longer a further copy is sent each time a permit expires, and a node that
+# dies with a permit delays the others no longer than this.
 PERMIT_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """A copy that may be under way."""
+    """Leave to send one copy."""
 
     requester: Hashable
     until_ms: float
 
 
 class Trials:
-    """Permits by content; at most one of each."""
+    """Permits by request digest, at most one each."""
 
     def __init__(self) -> None:
         self._permits: dict[bytes, Permit] = {}
@@ -30,25 +30,25 @@
     def __len__(self) -> int:
         return len(self._permits)
 
-    def acquire(self, content: bytes, asker: Hashable, now_ms: float) -> float:
-        """Return after how many milliseconds to ask again; 0: the copy may be sent.
+    def acquire(self, request_digest: bytes, requester: Hashable, now_ms: float) -> float:
+        """Return after how many milliseconds to ask again; 0 if the copy may be sent.
 
-        One that has the permit already gets it for the whole time again.
+        The permit of a requester that holds one already is renewed for its whole time.
         """
         self._expire(now_ms)
-        held = self._permits.get(content)
-        if held is not None and held.requester != asker:
-            return held.until_ms - now_ms
-        self._permits[content] = Permit(asker, now_ms + PERMIT_MS)
+        permit = self._permits.get(request_digest)
+        if permit is not None and permit.requester != requester:
+            return permit.until_ms - now_ms
+        self._permits[request_digest] = Permit(requester, now_ms + PERMIT_MS)
         return 0.0
 
-    def release(self, content: bytes, asker: Hashable) -> None:
-        """A copy has ended; an end that is told late changes nothing for another one."""
-        held = self._permits.get(content)
-        if held is not None and held.requester == asker:
-            del self._permits[content]
+    def release(self, request_digest: bytes, requester: Hashable) -> None:
+        """Release the permit of a copy that has ended, if its requester still holds it."""
+        permit = self._permits.get(request_digest)
+        if permit is not None and permit.requester == requester:
+            del self._permits[request_digest]
 
     def _expire(self, now_ms: float) -> None:
-        over = [content for content, held in self._permits.items() if held.until_ms <= now_ms]
-        for content in over:
-            del self._permits[content]
+        expired = [digest for digest, held in self._permits.items() if held.until_ms <= now_ms]
+        for request_digest in expired:
+            del self._permits[request_digest]
