--- a/ploverhatch/admission/dispatcher.py
+++ b/ploverhatch/admission/dispatcher.py
@@ -1,15 +1,14 @@
-"""One group's slots and the requests that wait for them. Pure.
-
-A slot is given for a stated time, so that one whose node died, or whose return
-was lost, comes free by itself. Requests wait in order of priority, then those
-first that can still be answered within their objective, then in order of arrival.
-None waits beyond the time for which a slot is of use to it: one that cannot be
-expected to get a slot by then is told so at once, and one that will be late is
-told while others wait that can be in time.
-
-Nothing here is needed for a promise to callers. Two nodes may keep the queue of
-one group for a while, and nodes that hear of no dispatcher decide by themselves:
-the server then queues what is beyond its slots.
+"""The slots of one group of servers and the requests that wait for them, at its dispatcher.
+
+A slot is granted as a lease, so that it becomes free by itself if its node died or the message
+that releases it was lost. Requests wait in order of priority, then those first that can still
+be answered within their objective, then in order of arrival. No request waits longer than a
+slot is of use to it: it is rejected at once if no slot is expected by then, and a request that
+will miss its objective is rejected while others wait that can meet theirs.
+
+No guarantee to callers depends on this module. Two nodes may keep the queue of one group for a
+while, and nodes without a reachable dispatcher decide by themselves: the server then queues the
+requests in excess of its slots. This module does no I/O and reads no clock.
 """
 
 import math
@@ -20,28 +19,27 @@
 from ploverhatch.admission.request_rate import NO_BOUND, RequestRate, ServerBounds
 from ploverhatch.state.servers import ServerRecord
 
-QUEUED_AT_SERVER_FRACTION = (
-    0.5  # of the slots: hides the way of a returned slot to the next request
-)
-DEFAULT_SERVICE_MS = 150.0  # of a server that has answered nothing yet
-SERVICE_TIME_WEIGHT = 0.15  # of a new answer time
-FAILING_MS = 1000.0  # a server that failed is given to nobody for so long, while others are there
-UNRESPONSIVE_AFTER_REQUESTS = (
-    2  # requests in a row that got no answer: the server gets one at a time
-)
-# Times a server's work: so long without one answer while all its slots are in use, it is
-# taken to be silent before the requests themselves run out of time. Work varies: all of
-# three requests take four times the mean in 4 of 10,000 draws (work of a spread of 0.8, at
-# a pace that is three times slower for a fifth of the time).
+# Requests granted in excess of a server's slots, as a fraction of these. They wait at the server,
+# which hides the delay from the release of a slot to the arrival of the next request.
+QUEUED_AT_SERVER_FRACTION = 0.5
+DEFAULT_SERVICE_MS = 150.0  # used until a server of the group has answered
+SERVICE_TIME_WEIGHT = 0.15  # of a new service time in the moving average
+FAILING_MS = 1000.0  # how long a server that failed is avoided while others are free
+# A server gets one request at a time after so many requests in a row without an answer.
+UNRESPONSIVE_AFTER_REQUESTS = 2
+# In multiples of the mean service time. A server whose slots are all in use, and that has answered
+# nothing for this long, counts as unresponsive before the requests themselves time out. Service
+# times vary: all of three requests take four times the mean in 4 of 10,000 draws (spread of
+# 0.8, at a pace that is three times slower for a fifth of the time).
 UNRESPONSIVE_FACTOR = 4.0
-COLD_FACTOR = 2.0  # a server that has just started works about so much slower
-OTHER_ZONE_FACTOR = 1.6  # bytes between zones cost money: a server there has to be faster by it
-MIN_RETRY_AFTER_MS = 50.0  # what a request that is turned away is told at least
-QUEUE_PLACES_PER_SLOT = 32  # places in the queue
+COLD_FACTOR = 2.0  # how much slower a server is that has just started
+OTHER_ZONE_FACTOR = 1.6  # traffic between zones costs money, so a server there must be this faster
+MIN_RETRY_AFTER_MS = 50.0
+QUEUE_PLACES_PER_SLOT = 32
 
 
 class Requester(NamedTuple):
-    """A request: the address of its node and its number there."""
+    """Identifies a request by the address of its node and its number there."""
 
     node: tuple[str, int]
     number: int
@@ -49,21 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """What a request asks for; times are elapsed milliseconds of this node."""
+    """A node's request for a slot; times are elapsed milliseconds of the dispatcher."""
 
     requester: Requester
     priority: int
-    useful_until_ms: float  # a slot that is given by then lets the answer be in time
-    expires_ms: float  # a slot is of no use later
+    useful_until_ms: float  # a slot granted later can't meet the objective
+    expires_ms: float  # a slot granted later is of no use
     lease_ms: float
-    avoid: str = ""
-    zone: str = ""  # of the node that asks
+    avoid: str = ""  # the server that failed the request before
+    zone: str = ""  # of the node that sent the request
     excluded: frozenset[str] = frozenset()  # servers that the node may not use
 
 
 @dataclass(frozen=True, slots=True)
 class SlotGranted:
-    """A slot of a server."""
+    """A slot of a server is granted."""
 
     requester: Requester
     server_id: str
@@ -71,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotQueued:
-    """A place in the queue."""
+    """The request has a place in the queue."""
 
     requester: Requester
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRejected:
-    """No slot can be expected in time, but perhaps after a while."""
+    """No slot is expected in time; a retry may succeed after ``retry_after_ms``."""
 
     requester: Requester
     retry_after_ms: float
@@ -86,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoKnownServer:
-    """This node knows no server of the group: the request's node decides by itself."""
+    """The dispatcher knows no server of the group: the requester's node decides by itself."""
 
     requester: Requester
 
@@ -96,7 +94,7 @@
 
 @dataclass(slots=True)
 class _Server:
-    """A member of the group."""
+    """A server of the group."""
 
     server_id: str
     slots: int
@@ -111,38 +109,38 @@
 
     @property
     def capacity(self) -> int:
-        """Most slots given at once."""
+        """Maximum of slots granted at the same time."""
         return self.slots + math.floor(self.slots * QUEUED_AT_SERVER_FRACTION)
 
     def per_s(self, now_ms: float) -> float:
-        """Return how many requests a second it may be given now."""
+        """Return the bound on its requests per second now."""
         return self.bounds.per_s(self.server_id, now_ms)
 
-    def note_end(self, unanswered: bool, said_something: bool, now_ms: float) -> None:
-        """A request ended there; one that tells nothing of the server changes nothing."""
+    def note_end(self, unanswered: bool, answered: bool, now_ms: float) -> None:
+        """Record the end of a request; neither flag is set if it says nothing of the server."""
         if unanswered:
             self.unanswered += 1
-        elif said_something:
+        elif answered:
             self.unanswered = 0
             self.last_answer_ms = now_ms
 
     def is_unresponsive(self, now_ms: float) -> bool:
-        """Whether it seems to answer nobody: one request at a time then shows if it does."""
+        """Return whether it seems to answer no requests; it then gets one at a time as a probe."""
         if self.unanswered >= UNRESPONSIVE_AFTER_REQUESTS:
             return True
         full = self.service_ms > 0 and self.in_use >= self.slots
         return full and now_ms - self.last_answer_ms > UNRESPONSIVE_FACTOR * self.service_ms
 
     def accepts_request(self, now_ms: float) -> bool:
-        """Whether a request may be given to it now."""
-        room = 1 if self.is_unresponsive(now_ms) else self.capacity
-        if self.in_use >= room:
+        """Return whether a request may be sent to it now."""
+        capacity = 1 if self.is_unresponsive(now_ms) else self.capacity
+        if self.in_use >= capacity:
             return False
         self.rate.set_rate(self.per_s(now_ms), now_ms)
         return self.rate.per_s == NO_BOUND or self.rate.has_token(now_ms)
 
     def note_grant(self, now_ms: float) -> None:
-        """A request is given to it."""
+        """Count a slot granted now."""
         if not self.in_use:
             self.last_answer_ms = now_ms
         self.in_use += 1
@@ -153,11 +151,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _Lease:
-    """A slot in use; ``queued``: all slots of the server were in use when it was given."""
+    """A slot in use."""
 
     server_id: str
     until_ms: float
-    queued: bool
+    queued: bool  # all slots of the server were in use when this one was granted
 
 
 @dataclass(slots=True)
@@ -166,28 +164,28 @@
 
     _servers: dict[str, _Server] = field(default_factory=dict)
     _leases: dict[Requester, _Lease] = field(default_factory=dict)
-    _waiting: list[SlotRequest] = field(
-        default_factory=list
-    )  # in the order in which slots are given
-    # Until when the slots that other dispatchers gave are asked for; none is given before.
+    # In the order in which slots are granted.
+    _waiting: list[SlotRequest] = field(default_factory=list)
+    # No slot is granted before this time, or before the slots granted by other dispatchers are
+    # known; minus infinity if they are.
     _learning_until_ms: float = -math.inf
-    # By server; shared with other groups that this node keeps of the same servers.
+    # By server; shared with the node's other groups that have the same servers.
     rates: dict[str, RequestRate] = field(default_factory=dict)
 
     @property
     def in_use(self) -> int:
-        """Slots that are given."""
+        """Number of slots granted and not released."""
         return len(self._leases)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of requests in the queue."""
         return len(self._waiting)
 
     def set_members(
         self, records: Sequence[ServerRecord], now_ms: float, bounds: ServerBounds | None = None
     ) -> None:
-        """Take the servers that may get requests; what is known of others is kept for none."""
+        """Replace the servers that may get requests; the state of any others is dropped."""
         bounds = bounds or ServerBounds()
         ids = {record.server_id for record in records}
         for server_id in [known for known in self._servers if known not in ids]:
@@ -205,162 +203,171 @@
 
     # ---- events -------------------------------------------------------------------------
 
-    def request_slot(self, wish: SlotRequest, now_ms: float) -> list[SlotResult]:
-        """A request asks for a slot; an answer that was lost is repeated."""
-        answers = self.expire(now_ms)
-        if self._servers.keys() <= wish.excluded:
-            return [*answers, NoKnownServer(wish.requester)]
-        held = self._leases.get(wish.requester)
-        if held is not None:
-            return [*answers, SlotGranted(wish.requester, held.server_id)]
-        if any(other.requester == wish.requester for other in self._waiting):
-            return [*answers, SlotQueued(wish.requester)]
-        ahead = sum(other.priority <= wish.priority for other in self._waiting)
-        # One that waits for servers that it may not use yet keeps nobody from the others.
+    def request_slot(self, request: SlotRequest, now_ms: float) -> list[SlotResult]:
+        """Grant a slot, queue the request or reject it; return all results due now.
+
+        The result of a request that was sent before is returned again.
+        """
+        results = self.expire(now_ms)
+        if self._servers.keys() <= request.excluded:
+            return [*results, NoKnownServer(request.requester)]
+        lease = self._leases.get(request.requester)
+        if lease is not None:
+            return [*results, SlotGranted(request.requester, lease.server_id)]
+        if any(other.requester == request.requester for other in self._waiting):
+            return [*results, SlotQueued(request.requester)]
+        ahead = sum(other.priority <= request.priority for other in self._waiting)
+        # A request with excluded servers does not block those behind it from its other servers.
         rivals = [other for other in self._waiting[:ahead] if not other.excluded]
-        server_id = None if rivals else self._choose_server(wish, now_ms)
+        server_id = None if rivals else self._choose_server(request, now_ms)
         if server_id is not None:
-            return [*answers, self._grant(wish, server_id, now_ms)]
+            return [*results, self._grant(request, server_id, now_ms)]
         wait_ms = self._expected_wait_ms(ahead, now_ms)
         if now_ms < self._learning_until_ms:
-            wait_ms = 0.0  # how many slots are in use is told before
-        if wait_ms > wish.expires_ms - now_ms or len(self._waiting) >= self._capacity:
-            return [*answers, SlotRejected(wish.requester, max(wait_ms, MIN_RETRY_AFTER_MS))]
-        self._waiting.insert(ahead, wish)
-        return [*answers, SlotQueued(wish.requester)]
+            wait_ms = 0.0  # unknown until the slots of other dispatchers are
+        if wait_ms > request.expires_ms - now_ms or len(self._waiting) >= self._capacity:
+            return [*results, SlotRejected(request.requester, max(wait_ms, MIN_RETRY_AFTER_MS))]
+        self._waiting.insert(ahead, request)
+        return [*results, SlotQueued(request.requester)]
 
     def release(
         self,
-        asker: Requester,
-        took_ms: float,
+        requester: Requester,
+        service_ms: float,
         failed: bool,
         now_ms: float,
         unanswered: bool = False,
     ) -> list[SlotResult]:
-        """A request needs its slot, or its place in the queue, no more.
+        """Release a request's slot, or its place in the queue; return the results due now.
 
+        :param service_ms: how long the server worked; 0 if that says nothing of the server.
+        :param failed: whether the server was unreachable or did not answer as it should.
         :param unanswered: whether the server gave no answer at all.
         """
-        self._waiting = [wish for wish in self._waiting if wish.requester != asker]
-        lease = self._leases.pop(asker, None)
+        self._waiting = [request for request in self._waiting if request.requester != requester]
+        lease = self._leases.pop(requester, None)
         server = self._servers.get(lease.server_id) if lease else None
         if server is not None:
             server.in_use -= 1
-            server.note_end(unanswered, took_ms > 0 or failed, now_ms)
+            server.note_end(unanswered, service_ms > 0 or failed, now_ms)
             if failed:
                 server.failing_until_ms = now_ms + FAILING_MS
-            elif took_ms > 0 and lease is not None and not lease.queued:
-                before_ms = server.service_ms or took_ms
-                server.service_ms = before_ms + SERVICE_TIME_WEIGHT * (took_ms - before_ms)
+            elif service_ms > 0 and lease is not None and not lease.queued:
+                before_ms = server.service_ms or service_ms
+                server.service_ms = before_ms + SERVICE_TIME_WEIGHT * (service_ms - before_ms)
         return self.expire(now_ms)
 
     @property
     def is_learning(self) -> bool:
-        """Whether nothing is given until other dispatchers' slots are known."""
+        """Whether no slot is granted until the slots granted by other dispatchers are known."""
         return self._learning_until_ms > -math.inf
 
     def start_learning(self, until_ms: float) -> None:
-        """Give nothing until the slots are known that other dispatchers gave, or a time."""
+        """Grant no slot until :meth:`finish_learning` is called or a time has passed."""
         self._learning_until_ms = until_ms
 
-    def adopt(self, asker: Requester, server_id: str, left_ms: float, now_ms: float) -> None:
-        """Count a slot that another dispatcher gave."""
+    def adopt(self, requester: Requester, server_id: str, left_ms: float, now_ms: float) -> None:
+        """Count a slot granted by another dispatcher, with the time left of its lease."""
         server = self._servers.get(server_id)
-        if server is None or asker in self._leases:
+        if server is None or requester in self._leases:
             return
         queued = server.in_use >= server.slots
-        self._leases[asker] = _Lease(server_id, now_ms + left_ms, queued)
+        self._leases[requester] = _Lease(server_id, now_ms + left_ms, queued)
         server.in_use += 1
 
     def finish_learning(self, now_ms: float) -> list[SlotResult]:
-        """Give what is free, and turn away those who waited and can't be in time."""
+        """Grant free slots, and reject waiting requests that can't get one in time."""
         self._learning_until_ms = -math.inf
-        answers = self.expire(now_ms)
-        hopeless = [
-            wish
-            for ahead, wish in enumerate(self._waiting)
-            if self._expected_wait_ms(ahead, now_ms) > wish.expires_ms - now_ms
+        results = self.expire(now_ms)
+        unservable = [
+            request
+            for ahead, request in enumerate(self._waiting)
+            if self._expected_wait_ms(ahead, now_ms) > request.expires_ms - now_ms
         ]
-        return answers + self._reject(hopeless, now_ms)
+        return results + self._reject(unservable, now_ms)
 
     def set_bounds(self, bounds: ServerBounds) -> None:
-        """Take what bounds the servers from now on."""
+        """Replace the rate bounds of all servers."""
         for server in self._servers.values():
             server.bounds = bounds
 
     def grants_nothing(self, now_ms: float) -> bool:
-        """Whether no server may be given a request, however long one waits here."""
+        """Return whether the rate bounds allow no requests to any server."""
         return all(server.per_s(now_ms) <= 0 for server in self._servers.values())
 
     def clear_queue(self) -> list[Requester]:
-        """Empty the queue, since another node keeps it from now on; return who waited."""
-        askers = [wish.requester for wish in self._waiting]
+        """Empty the queue, which another node keeps from now on; return the requesters."""
+        requesters = [request.requester for request in self._waiting]
         self._waiting = []
-        return askers
+        return requesters
 
     def expire(self, now_ms: float) -> list[SlotResult]:
-        """Take back slots whose time is over, and give what is free to those who wait."""
+        """End expired leases, grant free slots and reject requests that are too late."""
         if -math.inf < self._learning_until_ms <= now_ms:
             return self.finish_learning(now_ms)
-        for asker in [asker for asker, held in self._leases.items() if held.until_ms <= now_ms]:
-            server = self._servers.get(self._leases.pop(asker).server_id)
+        for requester in [
+            known for known, lease in self._leases.items() if lease.until_ms <= now_ms
+        ]:
+            server = self._servers.get(self._leases.pop(requester).server_id)
             if server is not None:
                 server.in_use -= 1
-        hopeless = self._all_are_unresponsive(now_ms)
-        over = [wish for wish in self._waiting if hopeless or wish.expires_ms <= now_ms]
-        answers = self._reject(over, now_ms)
-        answers += self._grant_free_slots(now_ms)
-        if any(wish.useful_until_ms > now_ms for wish in self._waiting):
-            late = [wish for wish in self._waiting if wish.useful_until_ms <= now_ms]
-            answers += self._reject(late, now_ms)
-        return answers
+        unservable = self._all_are_unresponsive(now_ms)
+        over = [request for request in self._waiting if unservable or request.expires_ms <= now_ms]
+        results = self._reject(over, now_ms)
+        results += self._grant_free_slots(now_ms)
+        if any(request.useful_until_ms > now_ms for request in self._waiting):
+            late = [request for request in self._waiting if request.useful_until_ms <= now_ms]
+            results += self._reject(late, now_ms)
+        return results
 
     def _grant_free_slots(self, now_ms: float) -> list[SlotResult]:
-        """Give free slots in order; one that may not use what is free holds nobody up."""
-        answers: list[SlotResult] = []
+        """Grant free slots in order; a request whose free servers are excluded blocks no other."""
+        results: list[SlotResult] = []
         if now_ms < self._learning_until_ms:
-            return answers
-        self._waiting.sort(key=lambda wish: (wish.priority, wish.useful_until_ms <= now_ms))
-        for wish in list(self._waiting):
-            server_id = self._choose_server(wish, now_ms)
+            return results
+        self._waiting.sort(
+            key=lambda request: (request.priority, request.useful_until_ms <= now_ms)
+        )
+        for request in list(self._waiting):
+            server_id = self._choose_server(request, now_ms)
             if server_id is not None:
-                self._waiting.remove(wish)
-                answers.append(self._grant(wish, server_id, now_ms))
-            elif not wish.excluded:
+                self._waiting.remove(request)
+                results.append(self._grant(request, server_id, now_ms))
+            elif not request.excluded:
                 break
-        return answers
+        return results
 
-    def _reject(self, wishes: list[SlotRequest], now_ms: float) -> list[SlotResult]:
-        gone = {wish.requester for wish in wishes}
-        self._waiting = [wish for wish in self._waiting if wish.requester not in gone]
+    def _reject(self, requests: list[SlotRequest], now_ms: float) -> list[SlotResult]:
+        gone = {request.requester for request in requests}
+        self._waiting = [request for request in self._waiting if request.requester not in gone]
         after_ms = max(self._expected_wait_ms(len(self._waiting), now_ms), MIN_RETRY_AFTER_MS)
-        return [SlotRejected(wish.requester, after_ms) for wish in wishes]
+        return [SlotRejected(request.requester, after_ms) for request in requests]
 
     # ---- decisions ----------------------------------------------------------------------
 
-    def _grant(self, wish: SlotRequest, server_id: str, now_ms: float) -> SlotGranted:
+    def _grant(self, request: SlotRequest, server_id: str, now_ms: float) -> SlotGranted:
         server = self._servers[server_id]
         queued = server.in_use >= server.slots
-        self._leases[wish.requester] = _Lease(server_id, now_ms + wish.lease_ms, queued)
+        self._leases[request.requester] = _Lease(server_id, now_ms + request.lease_ms, queued)
         server.note_grant(now_ms)
-        return SlotGranted(wish.requester, server_id)
+        return SlotGranted(request.requester, server_id)
 
-    def _choose_server(self, wish: SlotRequest, now_ms: float) -> str | None:
-        """Return the server that will answer first, of those with room."""
+    def _choose_server(self, request: SlotRequest, now_ms: float) -> str | None:
+        """Return the server with a free slot that is expected to answer first; ``None`` if none."""
         if now_ms < self._learning_until_ms:
             return None
-        usual_ms = self._mean_service_ms
+        mean_ms = self._mean_service_ms
         free = [
             (server_id, server)
             for server_id, server in self._servers.items()
-            if server_id not in wish.excluded and server.accepts_request(now_ms)
+            if server_id not in request.excluded and server.accepts_request(now_ms)
         ]
         sound = [
-            item for item in free if item[1].failing_until_ms <= now_ms and item[0] != wish.avoid
+            item for item in free if item[1].failing_until_ms <= now_ms and item[0] != request.avoid
         ]
         best = min(
             sound or free,
-            key=lambda item: _expected_ms(item[1], wish.zone, usual_ms, now_ms),
+            key=lambda item: _expected_ms(item[1], request.zone, mean_ms, now_ms),
             default=None,
         )
         return best[0] if best else None
@@ -375,28 +382,28 @@
         return QUEUE_PLACES_PER_SLOT * sum(server.slots for server in self._servers.values())
 
     def _all_are_unresponsive(self, now_ms: float) -> bool:
-        """Whether all servers are silent: those who wait are told so rather than kept."""
+        """Return whether all servers are unresponsive, so that waiting requests are rejected."""
         return all(
             server.is_unresponsive(now_ms) and server.in_use for server in self._servers.values()
         )
 
     def _expected_wait_ms(self, ahead: int, now_ms: float) -> float:
-        """Return how long a request waits that has so many before it."""
-        usual_ms = self._mean_service_ms
-        per_ms = sum(_per_ms(server, usual_ms, now_ms) for server in self._servers.values())
+        """Return the expected wait of a request that has so many ahead of it in the queue."""
+        mean_ms = self._mean_service_ms
+        per_ms = sum(_per_ms(server, mean_ms, now_ms) for server in self._servers.values())
         return (ahead + 1) / per_ms if per_ms else math.inf
 
 
-def _per_ms(server: _Server, usual_ms: float, now_ms: float) -> float:
-    """Return how many requests a server runs in a millisecond."""
+def _per_ms(server: _Server, mean_ms: float, now_ms: float) -> float:
+    """Return how many requests a server completes per millisecond."""
     if server.is_unresponsive(now_ms):
         return 0.0
-    return min(server.per_s(now_ms) / 1000, server.slots / (server.service_ms or usual_ms))
+    return min(server.per_s(now_ms) / 1000, server.slots / (server.service_ms or mean_ms))
 
 
-def _expected_ms(server: _Server, zone: str, usual_ms: float, now_ms: float) -> float:
-    """Return how long a request would take there, with a preference for its own zone."""
-    work_ms = server.service_ms or usual_ms
+def _expected_ms(server: _Server, zone: str, mean_ms: float, now_ms: float) -> float:
+    """Return the expected time of a request there, weighted in favor of its own zone."""
+    service_ms = server.service_ms or mean_ms
     cold = COLD_FACTOR if server.bounds.is_cold(server.server_id, now_ms) else 1.0
     far = OTHER_ZONE_FACTOR if server.zone != zone else 1.0
-    return work_ms * cold * far * max(1.0, (server.in_use + 1) / server.slots)
+    return service_ms * cold * far * max(1.0, (server.in_use + 1) / server.slots)
--- a/ploverhatch/admission/groups.py
+++ b/ploverhatch/admission/groups.py
@@ -1,10 +1,11 @@
-"""Which servers share a queue, and which node keeps it. Pure.
-
-The servers of a service form one group, or one a zone where they are many, so
-that no node has to keep a queue of hundreds. A group's *dispatcher* is the node
-(of the zone) that ranks first by a hash of both (rendezvous hashing): nodes that
-know the same members agree on it, and a change of members moves few groups. A
-server that holds keys is a group by itself: only it can run its keys' requests.
+"""Groups of servers that share a queue, and the node that keeps it.
+
+The servers of a service form one group, or one group per zone if they are many, so that no node
+keeps a queue for hundreds of servers. A group's *dispatcher* is the node (of its zone, if the
+group has one) that ranks first by a hash of group and node (rendezvous hashing): nodes that know
+the same members agree on it, and a change of members moves few groups. A server that holds keys
+is a group by itself, since only it can run the requests for its keys. This module does no I/O
+and reads no clock.
 """
 
 from collections import Counter
@@ -14,15 +15,16 @@
 
 from ploverhatch.state.servers import ServerRecord
 
-MAX_GROUP_SERVERS = 48  # of a group of a whole service: more are divided by zone
+MAX_GROUP_SERVERS = 48  # a service with more servers is divided by zone
 
 
 @dataclass(frozen=True, slots=True)
 class GroupName:
-    """Names a group; ``zone`` is empty where it has all servers of the service.
+    """Name of a group.
 
-    ``holder`` is the server that is a group by itself; empty for other groups.
-    ``regions`` are those whose servers may be used, in order; empty for all.
+    ``zone`` is empty if the group has servers of all zones. ``holder`` is the server that is a
+    group by itself; empty for other groups. ``regions`` are the regions whose servers may be
+    used, sorted; empty for all.
     """
 
     service: str
@@ -39,7 +41,7 @@
 ) -> dict[GroupName, int]:
     """Return the groups of a service's servers that may get requests, and their sizes.
 
-    :param regions: whose servers may be used; all where none is named.
+    :param regions: regions whose servers may be used; empty for all.
     """
     usable = [record for record in records if not record.leaving and record.lies_in(regions)]
     divided = len(usable) > MAX_GROUP_SERVERS
@@ -49,7 +51,7 @@
 
 
 def members_of(name: GroupName, records: Iterable[ServerRecord]) -> list[ServerRecord]:
-    """Return the servers of a group that may get requests, of a service's records."""
+    """Return those of a service's servers that belong to a group and may get requests."""
     if name.holder:
         return [record for record in records if record.server_id == name.holder]
     return [
@@ -59,18 +61,18 @@
     ]
 
 
-def dispatcher_of(name: GroupName, nodes: Mapping[str, str], passed: Collection[str]) -> str:
-    """Return the address of the node that keeps a group's queue; empty without any.
+def dispatcher_of(name: GroupName, nodes: Mapping[str, str], skipped: Collection[str]) -> str:
+    """Return the address of the node that keeps a group's queue; empty if there is none.
 
     :param nodes: zones by address.
-    :param passed: nodes that did not answer lately.
+    :param skipped: addresses of nodes that are left out, for example for not answering.
     """
-    usable = [address for address in nodes if address not in passed]
+    usable = [address for address in nodes if address not in skipped]
     near = [address for address in usable if nodes[address] == name.zone]
     return max(near or usable, key=lambda address: _rank(name, address), default="")
 
 
 def _rank(name: GroupName, address: str) -> tuple[int, str]:
-    # Groups of different regions share servers, whose rates one node must count.
+    # Groups with different regions share servers, and one node must count a server's rate.
     everywhere = replace(name, regions=())
     return crc32(f"{everywhere}|{address}".encode()), address
--- a/ploverhatch/admission/messages.py
+++ b/ploverhatch/admission/messages.py
@@ -1,27 +1,26 @@
-"""What nodes say to each other about slots. All of it may be lost, late or repeated."""
+"""Messages between nodes about slots; any of them may be lost, late or repeated."""
 
 import msgspec
 
-# By server: requests a second that it takes from all nodes together, infinite where it names
-# no limit any more, and how many milliseconds ago it said so.
+# By server: the requests per second that it accepts from all nodes together, infinite if it no
+# longer announces a rate limit; and the age of its announcement in milliseconds.
 ReportedLimits = dict[str, tuple[float, float]]
 
 
 class SlotRequestMessage(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Ask for a slot of one of a group's servers.
-
-    ``number`` names the request at its sender. An answer is in time if the slot is
-    given within ``useful_ms``; ``wait_ms`` is how long a slot is of use at all, and
-    ``hold_ms`` for how long it is needed at most: after it the slot is free again
-    though nobody gave it back. ``avoid`` is a server that failed the request
-    before; empty for none. ``zone`` is that of the node that asks, ``group_zone``
-    that of the group, empty where it has all servers of the service. ``holder`` is
-    the server that must run the request; empty where any of the group may. ``regions``
-    are those whose servers may run it; empty for all. ``barred`` are servers that the
-    sender may not use now, whatever others may. ``limits`` are the words of the group's
-    servers on the rate that they take, so that a new dispatcher knows them from the first.
-    ``elsewhere`` says that another node gave the sender slots of the group lately, or did not
-    answer: that one's slots are not known to this dispatcher.
+    """Asks a dispatcher for a slot of one of a group's servers.
+
+    ``number`` identifies the request at its sender. A slot granted after ``useful_ms`` can't
+    meet the objective; one granted after ``wait_ms`` is of no use. The slot is needed for at
+    most ``lease_ms``, after which it is free again without a release. ``avoid`` is a server
+    that failed the request before; empty for none. ``zone`` is that of the sender;
+    ``group_zone`` that of the group, empty if it has servers of all zones. ``holder`` is the
+    server that must run the request; empty if any server of the group may. ``regions`` are the
+    regions whose servers may run it; empty for all. ``excluded`` are servers that the sender
+    may not use now. ``limits`` are the rate limits announced by the group's servers, so that a
+    new dispatcher knows them from its first request on. ``served_elsewhere`` says that another
+    node granted the sender slots of the group lately, or did not answer: this dispatcher may
+    not know of the slots granted by that node.
     """
 
     number: int
@@ -41,11 +40,11 @@
 
 
 class SlotReply(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """The answer: a server's slot, a place in the queue, or neither.
+    """Grants a slot, confirms a place in the queue, or neither.
 
-    ``server`` is the server whose slot is given. ``after_ms`` says to one that is
-    turned away when a slot can be expected. ``leaving`` says that the node is about
-    to stop and keeps no queues any more: another one is to be asked.
+    ``server`` is the server whose slot is granted; empty for none. ``retry_after_ms`` tells the
+    sender of a rejected request when a slot is expected. ``leaving`` says that the node is
+    about to stop and no longer keeps queues, so that another node must be asked.
     """
 
     number: int
@@ -56,12 +55,11 @@
 
 
 class SlotRelease(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Give a slot back, or a place in the queue.
+    """Releases a slot, or a place in the queue.
 
-    ``took_ms`` is how long the server worked, 0 where that says nothing of it;
-    ``failed`` that it could not be reached or did not answer as it should, and
-    ``unanswered`` that it said nothing at all. ``limits`` has what the server's answer said
-    of the rate that it takes.
+    ``service_ms`` is how long the server worked, 0 if that says nothing of the server;
+    ``failed`` says that it was unreachable or did not answer as it should, ``unanswered`` that
+    it gave no answer at all. ``limits`` has the rate limit announced in the server's answer.
     """
 
     number: int
@@ -76,7 +74,7 @@
 
 
 class HeldSlotsRequest(msgspec.Struct, array_like=True, frozen=True, tag=13):
-    """Asks a node which slots of a group it holds, whoever gave them."""
+    """Asks a node which slots of a group it holds, whichever dispatcher granted them."""
 
     service: str
     group_zone: str
@@ -85,7 +83,7 @@
 
 
 class HeldSlotsReply(msgspec.Struct, array_like=True, frozen=True, tag=14):
-    """The answer: of each slot its request's number, its server and the milliseconds left."""
+    """Lists the slots in use as request number, server and milliseconds left of the lease."""
 
     service: str
     group_zone: str
--- a/ploverhatch/admission/request_rate.py
+++ b/ploverhatch/admission/request_rate.py
@@ -1,15 +1,15 @@
-"""How often a server is given a request where its rate is bounded. Pure; milliseconds.
-
-A server that has just started, or came back after its caches were lost, sustains a
-rate that the configuration states, and fails well above it; one in need names a limit
-itself. Its group's dispatcher counts for all nodes; a node that hears of no dispatcher
-sends it nothing.
-
-Two nodes may take themselves for the dispatcher for a while, and a new one knows
-nothing of what the last one gave. Both together then give a cold server at most
-twice the rate and two requests in a second: 15.4 where 6.7 a second are sustained,
-and where more than 18 in one second make it fail. Of a limit that a server names a
-node that ranks behind a living dispatcher gives half (:class:`ServerBounds`).
+"""Bounds on the requests per second that servers get; times are elapsed milliseconds.
+
+A server that has just started, or came back after its caches were lost, is *cold*: it sustains
+the rate that the configuration states, and fails well above it. An overloaded server announces
+a rate limit itself. The group's dispatcher counts the requests of all nodes; a node without a
+reachable dispatcher sends such a server nothing.
+
+Two nodes may both act as the dispatcher for a while, and a new dispatcher does not know what
+the last one granted. Together they then grant a cold server at most twice the rate and two
+requests in a second: 15.4, where 6.7 per second are sustained, and where more than 18 in one
+second make the server fail. Of a rate limit that a server announces, a node that ranks behind a
+living dispatcher grants half (:class:`ServerBounds`). This module does no I/O and reads no clock.
 """
 
 import math
@@ -18,19 +18,20 @@
 
 from ploverhatch.state.standing import LEAST_LIMIT_PER_S
 
-MAX_SAVED_REQUESTS = 1.0  # requests that may be given at once: the rate holds in each second
-# Queued requests are served at a fixed tick: a smaller burst would cap rates at one a tick.
+MAX_SAVED_REQUESTS = 1.0  # burst of a low rate, so small that the rate holds in each second
+# Burst of a high rate, as time at that rate. Queued requests are served at a fixed tick, so that a
+# smaller burst would cap the rate at one request per tick.
 SAVED_S = 0.02
 NO_BOUND = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class ServerBounds:
-    """What bounds the requests a second of a service's servers, counted over all nodes.
+    """Bounds on the requests per second of a service's servers, counted over all nodes.
 
-    ``cold_until_ms`` holds by server until when each is cold; ``cold_per_s`` is how many
-    requests a second one sustains meanwhile, 0 where it is not bounded. ``limit_per_s``
-    holds the limits that servers named; ``share`` is the part of these that this node gives.
+    ``cold_until_ms`` has the time by server until which it is cold; ``cold_per_s`` is how many
+    requests per second a cold server sustains, 0 if it is not bounded. ``limit_per_s`` has the
+    rate limits that servers announced; ``share`` is the fraction of these that this node grants.
     """
 
     cold_until_ms: Mapping[str, float] = field(default_factory=dict)
@@ -39,11 +40,11 @@
     share: float = 1.0
 
     def is_cold(self, server_id: str, now_ms: float) -> bool:
-        """Whether a server is slow since it has just started, or come back."""
+        """Return whether a server is slow because it has just started, or come back."""
         return now_ms < self.cold_until_ms.get(server_id, -math.inf)
 
     def per_s(self, server_id: str, now_ms: float) -> float:
-        """Return how many requests a second a server is given at most."""
+        """Return the maximum of requests per second for a server; infinite if unbounded."""
         bound = NO_BOUND
         if self.cold_per_s > 0 and self.is_cold(server_id, now_ms):
             bound = self.cold_per_s
@@ -55,14 +56,14 @@
 
 @dataclass(slots=True)
 class RequestRate:
-    """Tokens of one server: one a request, refilled at the rate that binds."""
+    """Token bucket of one server: a request takes one token; refilled at the current rate."""
 
     per_s: float
     filled_ms: float
     _tokens: float = MAX_SAVED_REQUESTS
 
     def set_rate(self, per_s: float, now_ms: float) -> None:
-        """Take the rate that binds from now on; nothing is saved while none does."""
+        """Set the rate from now on; no tokens are added while the rate is unbounded."""
         if per_s == self.per_s:
             return
         if self.per_s < NO_BOUND:
@@ -71,12 +72,12 @@
         self.per_s = per_s
 
     def has_token(self, now_ms: float) -> bool:
-        """Whether a request may be given now."""
+        """Return whether a request may be sent now."""
         self._fill(now_ms)
         return self._tokens >= 1.0
 
     def take_token(self, now_ms: float) -> None:
-        """A request is given now."""
+        """Take the token of a request that is sent now."""
         self._fill(now_ms)
         self._tokens -= 1.0
 
