--- a/ploverhatch/admission/request_rate.py
+++ b/ploverhatch/admission/request_rate.py
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ploverhatch.state.standing import LEAST_LIMIT_PER_S
+from ploverhatch.state.server_notices import MIN_LIMIT_PER_S
 
 MAX_SAVED_REQUESTS = 1.0  # burst of a low rate, so small that the rate holds in each second
 # Burst of a high rate, as time at that rate. Queued requests are served at a fixed tick, so that a
@@ -50,7 +50,7 @@
             bound = self.cold_per_s
         limit = self.limit_per_s.get(server_id, NO_BOUND)
         if limit < NO_BOUND:
-            bound = min(bound, max(limit, LEAST_LIMIT_PER_S) * self.share)
+            bound = min(bound, max(limit, MIN_LIMIT_PER_S) * self.share)
         return bound
 
 
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -24,11 +24,17 @@
     SlotRequest,
     SlotResult,
 )
-from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, MOVE_PART, USEFUL_PART, WAIT_PART
-from ploverhatch.sharding import reading
+from ploverhatch.gateway.forwarder import (
+    HOLD_MARGIN_MS,
+    MOVE_FRACTION,
+    USEFUL_FRACTION,
+    WAIT_FRACTION,
+)
+from ploverhatch.sharding import load_estimate
 from ploverhatch.sharding.keymap import KEY_COUNT, KeyMap
 from ploverhatch.sharding.leader_core import LeaderCore
 from ploverhatch.sharding.load import WINDOW_MS, AnswerTimes, KeyLoad
+from ploverhatch.sharding.load_estimate import LoadEstimate
 from ploverhatch.sharding.messages import (
     Action,
     CallOutcome,
@@ -38,7 +44,6 @@
     StoreMap,
 )
 from ploverhatch.sharding.planner import PlanLimits
-from ploverhatch.sharding.reading import Reading
 from ploverhatch.state.servers import ServerRecord
 
 SERVICE = "claims"
@@ -170,7 +175,7 @@
         self._core = LeaderCore(limits=scenario.limits)
         self._load = KeyLoad(scenario.window_ms)
         self._times = AnswerTimes()
-        self._reading: Reading | None = None
+        self._reading: LoadEstimate | None = None
         self._revision = 0
         self._sampled: list[int] = []
         self._told = KeyMap(SERVICE)  # as nodes know it
@@ -266,8 +271,8 @@
         wish = SlotRequest(
             Requester(NODE, request.number),
             1,
-            start_ms + scenario.objective_ms * USEFUL_PART,
-            start_ms + scenario.deadline_ms * WAIT_PART,
+            start_ms + scenario.objective_ms * USEFUL_FRACTION,
+            start_ms + scenario.deadline_ms * WAIT_FRACTION,
             start_ms + scenario.deadline_ms - self.now_ms + HOLD_MARGIN_MS,
             zone="zone",
         )
@@ -288,7 +293,7 @@
         for server in self._servers.values():
             if server.group.waiting:
                 self._take(server, server.group.expire(self.now_ms))
-        limit_ms = self.scenario.objective_ms * MOVE_PART
+        limit_ms = self.scenario.objective_ms * MOVE_FRACTION
         for request in [r for r in self._waiting if self.now_ms - r.arrived_ms > limit_ms]:
             self._waiting.remove(request)
             self.tally.turned_away += 1
@@ -386,9 +391,11 @@
         records = [server.record for server in self._servers.values()]
         known = self._reading
         if known is None or self.now_ms - known.taken_ms >= READ_MS:
-            known = reading.read(SERVICE, records, self._core, self._load, self._times, self.now_ms)
+            known = load_estimate.estimate(
+                SERVICE, records, self._core, self._load, self._times, self.now_ms
+            )
             self._reading = known
-        view = ServiceView(records, known.rates, known.work_ms, silent=known.silent)
+        view = ServiceView(records, known.rates, known.service_ms, unresponsive=known.unresponsive)
         self._execute(self._core.tick(self.now_ms, {SERVICE: view}, True))
 
     def _execute(self, actions: list[Action]) -> None:
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -25,8 +25,8 @@
 )
 from ploverhatch.admission.groups import GroupName
 from ploverhatch.experiment.slots_world import SERVICE, Request, World
-from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, USEFUL_PART, WAIT_PART
-from ploverhatch.gateway.shared_slots import NEAR_PART
+from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, USEFUL_FRACTION, WAIT_FRACTION
+from ploverhatch.gateway.shared_slots import OWN_ZONE_WAIT_FRACTION
 from ploverhatch.routing import balancer
 from ploverhatch.routing.answer_time import AnswerTime
 from ploverhatch.routing.balancer import ServerLoad
@@ -166,8 +166,8 @@
         wish = SlotRequest(
             Requester((SERVICE, 0), request.number),
             priority=0,
-            useful_until_ms=request.arrived_ms + scenario.objective_ms * USEFUL_PART,
-            expires_ms=request.arrived_ms + scenario.deadline_ms * WAIT_PART,
+            useful_until_ms=request.arrived_ms + scenario.objective_ms * USEFUL_FRACTION,
+            expires_ms=request.arrived_ms + scenario.deadline_ms * WAIT_FRACTION,
             lease_ms=scenario.deadline_ms + HOLD_MARGIN_MS,
             zone=zone,
         )
@@ -175,7 +175,7 @@
 
     def _ask(self, request: Request, wish: SlotRequest, names: list[GroupName]) -> None:
         name, rest = names[0], names[1:]
-        part = NEAR_PART if rest else 1.0
+        part = OWN_ZONE_WAIT_FRACTION if rest else 1.0
         now_ms = self._world.now_ms
         until_ms = now_ms + (wish.expires_ms - now_ms) * part
         asked = replace(
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -44,8 +44,8 @@
 
 LOG = PartLogger("slots")
 
-ANSWER_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
-ASKED_TIMES = 2
+REPLY_TIMEOUT_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
+MAX_TRIES = 2
 ASKED_NODES = 4  # where the first ones are about to stop, as in a restart of all in turn
 SILENT_NODES = 2  # of these, that give no answer: each one costs the time of two answers
 LEARN_MS = 25.0  # a new dispatcher asks all nodes for the slots they hold, and waits so long
@@ -55,7 +55,8 @@
 RELEARN_MS = 1000.0  # between these questions
 ELSEWHERE_MS = 10_000.0  # slots are held for less: who gave some before then says nothing
 LATE_S = 0.02  # the way of an answer to one that waits
-NEAR_PART = 0.3  # of the time that a request waits in its own zone, if there are others
+# Of the time that a request waits, spent in its own zone where other zones have servers.
+OWN_ZONE_WAIT_FRACTION = 0.3
 REFRESH_MS = 100.0  # how old the members of a group may be at its dispatcher
 FORGET_MS = 20_000.0  # a queue that nobody asked for so long is forgotten
 DISCOVERY_MS = 6000.0  # from the start of a node until all others know it
@@ -79,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotWish:
+class SlotRequirements:
     """What a request needs; times are milliseconds from now.
 
     With a slot within ``useful_ms`` its answer is in time; within ``wait_ms`` it is
@@ -98,7 +99,7 @@
     regions: frozenset[str] = frozenset()
     barred: tuple[str, ...] = ()
 
-    def after(self, spent_ms: float) -> "SlotWish":
+    def after(self, spent_ms: float) -> "SlotRequirements":
         """Return what is left of the wish after a time."""
         return replace(
             self,
@@ -219,7 +220,7 @@
     # ---- for requests of this node ------------------------------------------------------
 
     @contextmanager
-    def hold(self, wish: SlotWish) -> Iterator[SharedSlot | None]:
+    def hold(self, wish: SlotRequirements) -> Iterator[SharedSlot | None]:
         """Hold a slot, or ``None`` where no dispatcher tells.
 
         :raises TurnedAwayError: when none can be expected in time.
@@ -238,7 +239,7 @@
             raise turned_away
         yield None
 
-    def _groups(self, wish: SlotWish) -> list[tuple[GroupName, float]]:
+    def _groups(self, wish: SlotRequirements) -> list[tuple[GroupName, float]]:
         """Return the groups to ask, and the part of the time to wait there."""
         if wish.holder is not None:
             name = GroupName(wish.service, wish.holder.zone, wish.holder.server_id)
@@ -246,7 +247,7 @@
         sizes = groups.groups_of(self._directory.servers.of_service(wish.service), wish.regions)
         near = [name for name in sizes if name.zone in {"", self._zone}]
         others = [name for name in sizes if name not in near]
-        found = [(name, NEAR_PART if others else 1.0) for name in near]
+        found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in near]
         if others:
             weights = [sizes[name] for name in others]
             found.append((random.choices(others, weights)[0], 1.0))
@@ -254,7 +255,7 @@
 
     @contextmanager
     def _hold_in(
-        self, name: GroupName, wish: SlotWish, wait_ms: float
+        self, name: GroupName, wish: SlotRequirements, wait_ms: float
     ) -> Iterator[SharedSlot | None]:
         number = next(self._numbers)
         slot = SharedSlot()
@@ -273,7 +274,7 @@
             self._give_back(number, name, slot, asked)
 
     def _await_word(
-        self, number: int, name: GroupName, wish: SlotWish, wait_ms: float, asked: list[str]
+        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: list[str]
     ) -> SlotReply | None:
         """Return a dispatcher's last word, asking the next one where one stops or is silent.
 
@@ -328,13 +329,13 @@
             slot.failed,
             slot.unanswered,
             name.regions,
-            self._directory.limits_of([slot.server_id]),
+            self._directory.rate_limits_of([slot.server_id]),
         )
         for keeper in keepers | (held.keepers if held else set()):
             self._send(back, keeper)
 
     def _ask_for(
-        self, number: int, name: GroupName, wish: SlotWish, wait_ms: float, asked: str
+        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: str
     ) -> SlotRequestMessage:
         return SlotRequestMessage(
             number,
@@ -349,7 +350,7 @@
             wish.avoid,
             name.regions,
             wish.barred,
-            self._directory.limits_of(self._limited(name)),
+            self._directory.rate_limits_of(self._limited(name)),
             self._had_others(name, asked),
         )
 
@@ -362,19 +363,19 @@
 
     def _limited(self, name: GroupName) -> list[str]:
         """Return the servers of a group that named a limit."""
-        limits = self._directory.servers.standings.limits
+        limits = self._directory.servers.notices.limits
         if not limits:
             return []
         records = self._directory.servers.of_service(name.service)
         members = groups.members_of(name, records)
         return [record.server_id for record in members if record.server_id in limits]
 
-    def _without_limited(self, name: GroupName, wish: SlotWish) -> SlotWish:
+    def _without_limited(self, name: GroupName, wish: SlotRequirements) -> SlotRequirements:
         """Return a wish that bars rate-limited servers, for a node that enforces no limits.
 
         :raises TurnedAwayError: when it is for a holder that names one.
         """
-        named = self._directory.servers.standings.limit_per_s
+        named = self._directory.servers.notices.limit_per_s
         limited = [server_id for server_id in self._limited(name) if server_id in named]
         if limited and wish.holder is not None:
             raise TurnedAwayError(UNREACHABLE_MS)
@@ -383,9 +384,9 @@
     def _ask(self, ask: SlotRequestMessage, pending: _Pending, node: str) -> SlotReply | None:
         """Return a dispatcher's answer; ``None`` when there is none in time."""
         address = pending.asked = HostPort.parse(node)
-        for _ in range(ASKED_TIMES):
+        for _ in range(MAX_TRIES):
             self._send(ask, address)
-            if pending.wait(ANSWER_S):
+            if pending.wait(REPLY_TIMEOUT_S):
                 return pending.word
         if self._choice.note_no_answer(node, elapsed_ms()):
             LOG.info(
@@ -403,7 +404,7 @@
 
     # ---- messages -----------------------------------------------------------------------
 
-    def take(self, message: SlotMessage, peer: Address) -> None:
+    def handle_message(self, message: SlotMessage, peer: Address) -> None:
         """Take a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
@@ -423,7 +424,7 @@
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
             self._send(SlotReply(ask.number, leaving=True), peer)
             return
-        self._directory.hear_limits(ask.limits, BY_ASKER)
+        self._directory.note_rate_limits(ask.limits, BY_ASKER)
         now_ms = elapsed_ms()
         is_new = name not in self._kept
         kept = self._kept.setdefault(name, _Kept(Group(rates=self._rates)))
@@ -514,7 +515,7 @@
         return ServerBounds(
             servers.cold_until_ms,
             self._directory.cold_per_s(name.service),
-            servers.standings.limit_per_s,
+            servers.notices.limit_per_s,
             0.0 if self.leaving else share,
         )
 
@@ -522,7 +523,7 @@
         return self._choice.enforces_limits(name, node, self._members(), elapsed_ms())
 
     def _take_return(self, message: SlotRelease, peer: Address) -> None:
-        self._directory.hear_limits(message.limits, BY_ASKER)
+        self._directory.note_rate_limits(message.limits, BY_ASKER)
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         kept = self._kept.get(name)
         if kept is not None:
@@ -534,7 +535,7 @@
         for answer in answers:
             self._send(_word(answer), answer.requester.node)
 
-    def dismiss_waiting(self) -> None:
+    def redirect_waiting(self) -> None:
         """Send those who wait here to the nodes that keep the queues from now on.
 
         These learn from all nodes which slots are in use.
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -7,9 +7,9 @@
 from ploverhatch.leadership import election
 from ploverhatch.leadership.election import ElectionState
 from ploverhatch.sharding import view
-from ploverhatch.sharding.holders import HOLD_MS
+from ploverhatch.sharding.holders import LEASE_MS
 from ploverhatch.sharding.keymap import Holder, KeyMap
-from ploverhatch.sharding.leader_core import STORE_AWAY_MS, LeaderCore
+from ploverhatch.sharding.leader_core import STORE_UNAVAILABLE_MS, LeaderCore
 from ploverhatch.sharding.messages import (
     Action,
     CallOutcome,
@@ -112,7 +112,7 @@
     def _leave_when_done(self) -> None:
         if self._stopping_until_ms is None or not self.state.leading:
             return
-        unfinished = self.core is not None and self.core.unfinished
+        unfinished = self.core is not None and self.core.has_unfinished_moves
         if not unfinished or self.now_ms >= self._stopping_until_ms:
             self._give_back()
 
@@ -130,7 +130,7 @@
         self._busy = True
         if self.state.leading:
             self._write_lease(self.state.seen.revision)
-        elif self.now_ms - self._looked_ms >= election.LOOK_MS:
+        elif self.now_ms - self._looked_ms >= election.READ_INTERVAL_MS:
             self._looked_ms = self.now_ms
             self.cell.store.read(self.name, LEASE, self._answer(self._lease_read))
         else:
@@ -151,7 +151,7 @@
         now_ms = self.now_ms
         if item is not None:
             self._observe(item)
-        if now_ms < self._not_before_ms or not election.wants_takeover(self.state, now_ms):
+        if now_ms < self._not_before_ms or not election.may_claim(self.state, now_ms):
             return
         self._busy = True
         self._write_lease(item.revision if item else 0)
@@ -195,7 +195,7 @@
             self.state = election.stepped_down(self.state)
             return
         lease = replace(item.value, revision=item.revision)
-        if (lease.node, lease.life) == self.state.identity and not lease.released:
+        if (lease.node, lease.incarnation) == self.state.identity and not lease.released:
             renewed_ms = self.state.renewed_ms if self.state.leading else sent_ms
             self.state = election.acquired(self.state, lease, renewed_ms)
             return
@@ -216,7 +216,7 @@
             if item is not None:
                 keymap = replace(item.value, revision=item.revision)
                 inherited_ms = max(self.state.inherited_until_ms, self.now_ms)
-                core.inherit(keymap, inherited_ms, self.now_ms, same_lives=False)
+                core.inherit(keymap, inherited_ms, self.now_ms, same_incarnations=False)
             self.core = core
 
         self._loading = True
@@ -252,10 +252,12 @@
         """Take a beacon; a paused process reads it late and knows how old it is."""
 
         def take() -> None:
-            if lease_revision < self.state.heard_revision:
+            if lease_revision < self.state.relayed_revision:
                 return
             said_ms = self.now_ms - (self.world.now_ms - sent_ms)
-            self.state = election.heard(self.state, lease_revision, said_ms - renewed_age_ms)
+            self.state = election.observe_renewal(
+                self.state, lease_revision, said_ms - renewed_age_ms
+            )
             self.granted = granted
             self._note_promoted(map_revision, promoted)
             if self.keymap.revision >= map_revision:
@@ -291,11 +293,13 @@
         records = [
             record for record in self.cell.records() if record.server_id not in self.known_ended
         ]
-        known = ServiceView(records, self.cell.rates(), {}, silent=self.cell.silent)
+        known = ServiceView(records, self.cell.rates(), {}, unresponsive=self.cell.silent)
         may_change = election.may_change(self.state, self.now_ms)
         finishing = self._stopping_until_ms is not None
-        store_away = self.now_ms - self.state.renewed_ms >= STORE_AWAY_MS
-        actions = self.core.tick(self.now_ms, {SERVICE: known}, may_change, finishing, store_away)
+        store_unavailable = self.now_ms - self.state.renewed_ms >= STORE_UNAVAILABLE_MS
+        actions = self.core.tick(
+            self.now_ms, {SERVICE: known}, may_change, finishing, store_unavailable
+        )
         self._execute(self.core, actions)
 
     def _execute(self, core: LeaderCore, actions: list[Action]) -> None:
@@ -341,7 +345,7 @@
             life = self.cell.life_at(action.holder)
             broke = self._has_broken(action.holder, life)
             if broke:
-                core.connection_broke(action.holder)
+                core.note_connection_closed(action.holder)
             if action.renewal and broke:
                 ended(CallOutcome.UNPROVEN)
                 return
@@ -359,7 +363,9 @@
             self.cell.deliver(
                 self,
                 action.holder,
-                lambda server, late: server.grant(name.first, name.last, name.token, HOLD_MS, late),
+                lambda server, late: server.grant(
+                    name.first, name.last, name.token, LEASE_MS, late
+                ),
                 lambda outcome: self.do(lambda: ended(outcome)),
             )
 
@@ -392,7 +398,7 @@
     def _send_request(self) -> None:
         key = self.world.random.choice(SAMPLE_KEYS)
         found = self.keymap.find(key)
-        trusted = view.view_is_trusted(self._contact_ms, self.now_ms)
+        trusted = view.map_is_trusted(self._contact_ms, self.now_ms)
         if found is None or not trusted:
             return
         if not found.settled and found.token not in self.granted:
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -28,7 +28,7 @@
 from ploverhatch.node.process import Node
 from ploverhatch.platform.store import PlatformStore
 from ploverhatch.quarantine.record import CrashEvent
-from ploverhatch.routing.planned_stop import READINESS_MISSES_MS
+from ploverhatch.routing.planned_stop import READINESS_DETECTION_MS
 from ploverhatch.settings.loader import load_settings
 from ploverhatch.store import kinds
 from ploverhatch.transport.http_server import HttpServer
@@ -397,8 +397,8 @@
     gevent.sleep(0.1)
     assert keeper.slots.waiting == 1
     keeper.slots.leaving = True
-    gevent.sleep(READINESS_MISSES_MS / 1000)
-    keeper.slots.dismiss_waiting()
+    gevent.sleep(READINESS_DETECTION_MS / 1000)
+    keeper.slots.redirect_waiting()
     gevent.sleep(0.05)
     keeper.stop()
     gevent.joinall([waiting, *holders], timeout=6.0)
@@ -477,16 +477,16 @@
     end that is noted in the last moment of a stop.
     """
     first, second = start_site(site, gateways=2)
-    quarantine, tell_open = first._quarantine, first._callers.tell_open
+    quarantine, log_open_requests = first._quarantine, first._callers.log_open_requests
 
     def note_an_end():
         now_ms = elapsed_ms()
         end = CrashEvent("u9", b"caller", "n", now_ms - 10.0, now_ms)
         quarantine._ledger.note_crash(b"a content 16 b.", end)
-        quarantine._changed_here(b"a content 16 b.")
-        tell_open()
+        quarantine._note_change(b"a content 16 b.")
+        log_open_requests()
 
-    first._callers.tell_open = note_an_end
+    first._callers.log_open_requests = note_an_end
     first.drain()
-    assert quarantine._untold == set()  # the process may end now
-    until(lambda: second._quarantine.known == 1)
+    assert quarantine._unreported == set()  # the process may end now
+    until(lambda: second._quarantine.known_count == 1)
