--- a/tests/unit/test_cold_servers.py
+++ b/tests/unit/test_cold_servers.py
@@ -1,4 +1,4 @@
-"""Cold servers: how many requests a second their group gives them, over all nodes."""
+"""Cold servers: how many requests per second the dispatchers of all nodes send them."""
 
 from bisect import bisect_left
 
@@ -18,7 +18,7 @@
     return ServerRecord(f"s{number}", "svc", "10.0.1.1", 9000, zone, slots, False, warmup_ms)
 
 
-def wish(number, now_ms, wait_ms=400.0):
+def slot_request(number, now_ms, wait_ms=400.0):
     return SlotRequest(
         Requester(NODE, number), 1, now_ms + wait_ms, now_ms + wait_ms, 1000.0, avoid="", zone="a"
     )
@@ -37,24 +37,27 @@
 
 
 def flood(made, start_ms, span_ms, step_ms=5.0):
-    """Ask every few milliseconds, answer at once; return when slots were given, by server."""
-    given_ms = {}
+    """Request a slot every few milliseconds; return the times of grants by server.
+
+    Each slot is released at once.
+    """
+    granted_ms = {}
     now_ms, number = start_ms, int(start_ms) * 1000
     while now_ms < start_ms + span_ms:
         number += 1
-        answers = made.request_slot(wish(number, now_ms), now_ms) + made.expire(now_ms)
-        for answer in (item for item in answers if isinstance(item, SlotGranted)):
-            given_ms.setdefault(answer.server_id, []).append(now_ms)
-            made.release(answer.requester, 0.0, False, now_ms)
+        results = made.request_slot(slot_request(number, now_ms), now_ms) + made.expire(now_ms)
+        for result in (item for item in results if isinstance(item, SlotGranted)):
+            granted_ms.setdefault(result.server_id, []).append(now_ms)
+            made.release(result.requester, 0.0, False, now_ms)
         now_ms += step_ms
-    return given_ms
+    return granted_ms
 
 
 def test_a_cold_server_gets_its_rate_and_no_more():
     made = group([record(0)], {"s0": 1e9})
     times = flood(made, 0.0, 5000.0)["s0"]
     assert most_in_a_second(times) <= SUSTAINED_PER_S + 1
-    assert len(times) >= SUSTAINED_PER_S * 5 - 1  # nor is it left idle
+    assert len(times) >= SUSTAINED_PER_S * 5 - 1  # the rate is used in full
 
 
 def test_two_nodes_that_both_keep_the_queue_do_not_overload_a_cold_server():
@@ -71,11 +74,11 @@
     assert most_in_a_second(flood(group([record(0)], {"s0": 1e9}), 0.0, 2000.0)["s0"]) > 100
 
 
-def test_warm_servers_take_what_a_cold_one_does_not_bear():
+def test_warm_servers_get_the_requests_in_excess_of_the_rate_of_a_cold_one():
     made = group([record(0), record(1)], {"s0": 1e9})
-    given_ms = flood(made, 0.0, 2000.0)
-    assert most_in_a_second(given_ms.get("s0", [])) <= SUSTAINED_PER_S + 1
-    assert len(given_ms["s1"]) > 300
+    granted_ms = flood(made, 0.0, 2000.0)
+    assert most_in_a_second(granted_ms.get("s0", [])) <= SUSTAINED_PER_S + 1
+    assert len(granted_ms["s1"]) > 300
 
 
 def test_the_bound_ends_when_the_server_is_warm():
@@ -93,18 +96,18 @@
 
 def test_without_a_bound_a_cold_server_is_merely_the_last_choice():
     made = group([record(0), record(1)], {"s0": 1e9}, per_s=0.0)
-    answers = [made.request_slot(wish(number, 0.0), 0.0)[0] for number in range(7)]
-    assert [answer.server_id for answer in answers[:2]] == ["s1", "s1"]
-    assert {answer.server_id for answer in answers} == {"s0", "s1"}
+    results = [made.request_slot(slot_request(number, 0.0), 0.0)[0] for number in range(7)]
+    assert [result.server_id for result in results[:2]] == ["s1", "s1"]
+    assert {result.server_id for result in results} == {"s0", "s1"}
 
 
 def test_a_request_waits_for_the_next_token_of_a_cold_server():
     made = group([record(0)], {"s0": 1e9})
-    assert isinstance(made.request_slot(wish(1, 0.0), 0.0)[0], SlotGranted)
-    assert isinstance(made.request_slot(wish(2, 0.0), 0.0)[0], SlotQueued)
+    assert isinstance(made.request_slot(slot_request(1, 0.0), 0.0)[0], SlotGranted)
+    assert isinstance(made.request_slot(slot_request(2, 0.0), 0.0)[0], SlotQueued)
     assert made.expire(100.0) == []
-    (answer,) = made.expire(150.0)
-    assert isinstance(answer, SlotGranted)
+    (result,) = made.expire(150.0)
+    assert isinstance(result, SlotGranted)
 
 
 @settings(max_examples=200, derandomize=True, database=None, deadline=None)
@@ -126,7 +129,7 @@
 # ---- when a server is cold ---------------------------------------------------------------
 
 
-def test_a_server_is_cold_for_as_long_as_it_says():
+def test_a_server_is_cold_for_its_announced_warm_up_time():
     servers = ServerSet()
     servers.put(record(0, warmup_ms=3000.0), 1000.0)
     assert servers.is_cold("s0", 3999.0)
@@ -135,21 +138,21 @@
     assert servers.is_cold("s0", 4099.0)
 
 
-def test_the_same_record_in_a_listing_does_not_make_it_cold_anew():
+def test_the_same_record_in_a_listing_does_not_make_a_server_cold_again():
     servers = ServerSet()
     servers.put(record(0, warmup_ms=3000.0), 0.0)
     servers.replace_all([record(0, warmup_ms=3000.0)], 2900.0)
     assert not servers.is_cold("s0", 3001.0)
 
 
-def test_a_server_that_was_warm_may_turn_cold_at_any_moment():
+def test_a_warm_server_may_become_cold_again_at_any_time():
     servers = ServerSet()
     servers.put(record(0), 0.0)
     servers.put(record(0, warmup_ms=3000.0), 60_000.0)
     assert servers.is_cold("s0", 62_000.0)
 
 
-def test_a_server_that_is_gone_leaves_nothing_behind():
+def test_a_removed_server_leaves_no_state_behind():
     servers = ServerSet()
     servers.put(record(0, warmup_ms=3000.0), 0.0)
     servers.remove("s0", 10.0)
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Slots that all nodes share: a state machine of one group, and tables of situations."""
+"""The slots of a group at its dispatcher: single cases, and a model-based state machine."""
 
 from collections import Counter
 from dataclasses import replace
@@ -26,16 +26,16 @@
 
 NODE = ("10.0.0.1", 7000)
 SLOTS = 4
-ROOM = 6  # slots and half as many queued at the server
+CAPACITY = 6  # slots, and half as many requests queued at the server
 
 
 def record(number, zone="a", slots=SLOTS, draining=False, warmup_ms=0.0):
     return ServerRecord(f"s{number}", "svc", "10.0.1.1", 9000, zone, slots, draining, warmup_ms)
 
 
-def wish(number, priority=1, until_ms=500.0, hold_ms=1000.0, avoid="", useful_ms=None):
+def slot_request(number, priority=1, until_ms=500.0, lease_ms=1000.0, avoid="", useful_ms=None):
     useful_ms = until_ms if useful_ms is None else useful_ms
-    return SlotRequest(Requester(NODE, number), priority, useful_ms, until_ms, hold_ms, avoid)
+    return SlotRequest(Requester(NODE, number), priority, useful_ms, until_ms, lease_ms, avoid)
 
 
 def group(*records):
@@ -48,168 +48,173 @@
 def full_group():
     made = group(record(0, slots=2))
     for number in range(3):
-        assert isinstance(made.request_slot(wish(number), 0.0)[0], SlotGranted)
+        assert isinstance(made.request_slot(slot_request(number), 0.0)[0], SlotGranted)
     return made
 
 
-def given_to(answers):
-    return [answer.requester.number for answer in answers if isinstance(answer, SlotGranted)]
+def granted_numbers(results):
+    return [result.requester.number for result in results if isinstance(result, SlotGranted)]
 
 
-def test_a_server_gets_no_more_than_it_has_room_for():
+def test_a_server_gets_no_more_than_its_capacity():
     made = group()
-    answers = [made.request_slot(wish(number), 0.0)[0] for number in range(ROOM + 1)]
-    assert all(isinstance(answer, SlotGranted) for answer in answers[:ROOM])
-    assert isinstance(answers[ROOM], SlotQueued)
+    results = [made.request_slot(slot_request(number), 0.0)[0] for number in range(CAPACITY + 1)]
+    assert all(isinstance(result, SlotGranted) for result in results[:CAPACITY])
+    assert isinstance(results[CAPACITY], SlotQueued)
 
 
 def test_idle_servers_come_first():
     made = group(record(0), record(1))
-    given = Counter(
-        made.request_slot(wish(number), 0.0)[0].server_id for number in range(2 * SLOTS)
+    granted = Counter(
+        made.request_slot(slot_request(number), 0.0)[0].server_id for number in range(2 * SLOTS)
     )
-    assert given == {"s0": SLOTS, "s1": SLOTS}
+    assert granted == {"s0": SLOTS, "s1": SLOTS}
 
 
 def test_the_fast_server_comes_first():
     made = group(record(0), record(1))
-    for number, took_ms in ((1, 400.0), (2, 50.0)):
-        made.request_slot(wish(number, avoid="s1" if number == 1 else "s0"), 0.0)
-        made.release(Requester(NODE, number), took_ms, False, 1.0)
-    given = [made.request_slot(wish(number), 2.0)[0].server_id for number in range(10, 10 + SLOTS)]
-    assert given == ["s1"] * SLOTS
+    for number, service_ms in ((1, 400.0), (2, 50.0)):
+        made.request_slot(slot_request(number, avoid="s1" if number == 1 else "s0"), 0.0)
+        made.release(Requester(NODE, number), service_ms, False, 1.0)
+    granted = [
+        made.request_slot(slot_request(number), 2.0)[0].server_id
+        for number in range(10, 10 + SLOTS)
+    ]
+    assert granted == ["s1"] * SLOTS
 
 
 def test_a_cold_server_comes_later():
     made = group(record(0, warmup_ms=3000.0), record(1))
-    assert made.request_slot(wish(1), 10.0)[0].server_id == "s1"
+    assert made.request_slot(slot_request(1), 10.0)[0].server_id == "s1"
 
 
-def test_a_server_that_failed_is_left_alone_for_a_while():
+def test_a_server_that_failed_is_avoided_for_a_while():
     made = group(record(0), record(1))
-    failed = made.request_slot(wish(1), 0.0)[0].server_id
+    failed = made.request_slot(slot_request(1), 0.0)[0].server_id
     made.release(Requester(NODE, 1), 0.0, True, 1.0)
-    assert made.request_slot(wish(2, avoid=""), 2.0)[0].server_id != failed
-    assert made.request_slot(wish(3, avoid=""), FAILING_MS * 2)[0].server_id in {"s0", "s1"}
+    assert made.request_slot(slot_request(2, avoid=""), 2.0)[0].server_id != failed
+    assert made.request_slot(slot_request(3, avoid=""), FAILING_MS * 2)[0].server_id in {"s0", "s1"}
 
 
 def test_the_last_server_is_tried_though_it_failed():
     made = group(record(0))
-    made.request_slot(wish(1), 0.0)
+    made.request_slot(slot_request(1), 0.0)
     made.release(Requester(NODE, 1), 0.0, True, 1.0)
-    assert isinstance(made.request_slot(wish(2), 2.0)[0], SlotGranted)
+    assert isinstance(made.request_slot(slot_request(2), 2.0)[0], SlotGranted)
 
 
 def test_the_more_urgent_goes_first():
     made = full_group()
     for number, priority in ((10, 2), (11, 0), (12, 2), (13, 0)):
         assert isinstance(
-            made.request_slot(wish(number, priority, until_ms=5000.0), 0.0)[0], SlotQueued
+            made.request_slot(slot_request(number, priority, until_ms=5000.0), 0.0)[0], SlotQueued
         )
     order = []
     for number in range(3):
-        order += given_to(made.release(Requester(NODE, number), 100.0, False, 1.0))
-    order += given_to(made.release(Requester(NODE, 11), 100.0, False, 1.0))
+        order += granted_numbers(made.release(Requester(NODE, number), 100.0, False, 1.0))
+    order += granted_numbers(made.release(Requester(NODE, 11), 100.0, False, 1.0))
     assert order == [11, 13, 10, 12]
 
 
-def test_one_that_cannot_be_in_time_is_told_at_once():
+def test_a_request_that_cannot_be_in_time_is_rejected_at_once():
     made = full_group()
-    (answer,) = made.request_slot(wish(10, until_ms=20.0), 0.0)
-    assert isinstance(answer, SlotRejected)
-    assert answer.retry_after_ms >= 50.0
+    (result,) = made.request_slot(slot_request(10, until_ms=20.0), 0.0)
+    assert isinstance(result, SlotRejected)
+    assert result.retry_after_ms >= 50.0
     assert made.waiting == 0
 
 
-def test_one_that_was_not_in_time_is_told():
+def test_a_request_that_was_not_in_time_is_rejected():
     made = full_group()
-    made.request_slot(wish(10, until_ms=200.0), 0.0)
-    (answer,) = made.expire(200.0)
-    assert answer.requester.number == 10
-    assert isinstance(answer, SlotRejected)
+    made.request_slot(slot_request(10, until_ms=200.0), 0.0)
+    (result,) = made.expire(200.0)
+    assert result.requester.number == 10
+    assert isinstance(result, SlotRejected)
 
 
-def test_one_that_can_be_in_time_goes_before_one_that_cannot():
+def test_a_request_that_can_meet_its_objective_goes_before_one_that_cannot():
     made = full_group()
-    made.request_slot(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    made.request_slot(wish(11, until_ms=900.0, useful_ms=700.0), 50.0)
-    assert given_to(made.release(Requester(NODE, 0), 10.0, False, 150.0)) == [11]
+    made.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    made.request_slot(slot_request(11, until_ms=900.0, useful_ms=700.0), 50.0)
+    assert granted_numbers(made.release(Requester(NODE, 0), 10.0, False, 150.0)) == [11]
 
 
-def test_one_that_will_be_late_waits_on_while_nobody_else_does():
+def test_a_late_request_waits_on_while_no_other_does():
     made = full_group()
-    made.request_slot(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    made.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
     assert made.expire(300.0) == []
-    assert given_to(made.release(Requester(NODE, 0), 10.0, False, 400.0)) == [10]
+    assert granted_numbers(made.release(Requester(NODE, 0), 10.0, False, 400.0)) == [10]
 
 
-def test_one_that_will_be_late_is_told_while_others_can_be_in_time():
+def test_a_late_request_is_rejected_while_others_can_meet_their_objective():
     made = full_group()
-    made.request_slot(wish(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    made.request_slot(wish(11, until_ms=900.0, useful_ms=700.0), 50.0)
-    (answer,) = made.expire(150.0)
-    assert isinstance(answer, SlotRejected)
-    assert answer.requester.number == 10
+    made.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    made.request_slot(slot_request(11, until_ms=900.0, useful_ms=700.0), 50.0)
+    (result,) = made.expire(150.0)
+    assert isinstance(result, SlotRejected)
+    assert result.requester.number == 10
 
 
-def test_work_is_learned_from_requests_that_did_not_queue_at_the_server():
+def test_service_time_is_measured_on_requests_that_did_not_queue_at_the_server():
     made = group(record(0, slots=2))
     for number in range(3):
-        made.request_slot(wish(number), 0.0)
+        made.request_slot(slot_request(number), 0.0)
     made.release(Requester(NODE, 2), 400.0, False, 400.0)  # queued behind the others
     assert made._servers["s0"].service_ms == 0.0
     made.release(Requester(NODE, 1), 200.0, False, 400.0)
     assert made._servers["s0"].service_ms == 200.0
 
 
-def test_a_slot_that_nobody_gives_back_comes_free():
+def test_a_slot_that_is_never_released_becomes_free():
     made = full_group()
-    made.request_slot(wish(10, until_ms=2000.0), 0.0)
-    assert given_to(made.expire(999.0)) == []
-    assert given_to(made.expire(1000.0)) == [10]
+    made.request_slot(slot_request(10, until_ms=2000.0), 0.0)
+    assert granted_numbers(made.expire(999.0)) == []
+    assert granted_numbers(made.expire(1000.0)) == [10]
 
 
-def test_a_repeated_question_is_answered_the_same():
+def test_a_repeated_request_gets_the_same_result():
     made = full_group()
-    assert given_to(made.request_slot(wish(0), 1.0)) == [0]
-    made.request_slot(wish(10), 1.0)
-    assert isinstance(made.request_slot(wish(10), 2.0)[0], SlotQueued)
+    assert granted_numbers(made.request_slot(slot_request(0), 1.0)) == [0]
+    made.request_slot(slot_request(10), 1.0)
+    assert isinstance(made.request_slot(slot_request(10), 2.0)[0], SlotQueued)
     assert (made.in_use, made.waiting) == (3, 1)
 
 
-def test_a_place_in_the_queue_is_given_back():
+def test_a_place_in_the_queue_is_released():
     made = full_group()
-    made.request_slot(wish(10), 0.0)
+    made.request_slot(slot_request(10), 0.0)
     made.release(Requester(NODE, 10), 0.0, False, 1.0)
-    assert given_to(made.release(Requester(NODE, 0), 10.0, False, 2.0)) == []
+    assert granted_numbers(made.release(Requester(NODE, 0), 10.0, False, 2.0)) == []
 
 
-def test_a_node_that_knows_no_server_says_so():
-    assert isinstance(Group().request_slot(wish(1), 0.0)[0], NoKnownServer)
+def test_a_group_without_servers_has_no_known_server():
+    assert isinstance(Group().request_slot(slot_request(1), 0.0)[0], NoKnownServer)
 
 
-def test_a_server_that_leaves_gets_nothing_more():
+def test_a_leaving_server_gets_no_more_requests():
     made = group(record(0), record(1))
     made.set_members([record(1)], 0.0)
-    assert {made.request_slot(wish(number), 0.0)[0].server_id for number in range(3)} == {"s1"}
+    assert {made.request_slot(slot_request(number), 0.0)[0].server_id for number in range(3)} == {
+        "s1"
+    }
 
 
-def test_slots_in_use_are_known_of_a_server_that_comes_back():
+def test_slots_in_use_still_count_when_a_server_comes_back():
     made = full_group()
     made.set_members([], 1.0)
     made.set_members([record(0, slots=2)], 2.0)
-    assert isinstance(made.request_slot(wish(10), 3.0)[0], SlotQueued)
+    assert isinstance(made.request_slot(slot_request(10), 3.0)[0], SlotQueued)
 
 
-def test_the_own_zone_comes_first_unless_it_is_much_slower():
+def test_the_own_zone_is_preferred_unless_it_is_much_slower():
     made = group(record(0, zone="a"), record(1, zone="b"))
-    far = replace(wish(1), zone="b")
+    far = replace(slot_request(1), zone="b")
     assert made.request_slot(far, 0.0)[0].server_id == "s1"
-    near = made.request_slot(replace(wish(2), zone="a"), 0.0)[0]
+    near = made.request_slot(replace(slot_request(2), zone="a"), 0.0)[0]
     assert near.server_id == "s0"
     made.release(Requester(NODE, 1), 100.0, False, 1.0)
     made.release(Requester(NODE, 2), 300.0, False, 1.0)
-    assert made.request_slot(replace(wish(3), zone="a"), 2.0)[0].server_id == "s1"
+    assert made.request_slot(replace(slot_request(3), zone="a"), 2.0)[0].server_id == "s1"
 
 
 @pytest.mark.parametrize("holder, expected", [("s1", ["s1"]), ("none", [])])
@@ -246,7 +251,7 @@
     assert {nodes[address] for address in chosen} == {"a"}
 
 
-def test_another_node_takes_over_from_one_that_is_passed_over():
+def test_another_node_takes_over_from_one_that_is_skipped():
     nodes = {"10.0.0.1:1": "a", "10.0.0.2:1": "a", "10.0.0.3:1": "b"}
     name = GroupName("svc", "a")
     first = groups.dispatcher_of(name, nodes, ())
@@ -256,7 +261,7 @@
     assert groups.dispatcher_of(name, nodes, set(nodes)) == ""
 
 
-def test_few_groups_move_when_a_node_goes():
+def test_few_groups_move_when_a_node_is_lost():
     nodes = {f"10.0.0.{number}:1": "a" for number in range(10)}
     names = [GroupName("svc", "a", f"s{number}") for number in range(200)]
     before = {name: groups.dispatcher_of(name, nodes, ()) for name in names}
@@ -265,7 +270,7 @@
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Nodes ask, return, vanish; a model of who may hold a slot is kept beside the group."""
+    """Nodes request and release slots, or are lost; a model keeps track of who may hold a slot."""
 
     @initialize()
     def start(self):
@@ -274,33 +279,33 @@
         self.records = [record(0, slots=2), record(1, slots=4)]
         self.group.set_members(self.records, self.now)
         self.number = 0
-        self.wishes = {}
-        self.held = {}  # number -> (server, until)
+        self.requests = {}
+        self.held = {}  # by number: server, end of the lease
         self.waiting = set()
 
-    def take(self, answers):
-        for answer in answers:
-            number = answer.requester.number
-            if isinstance(answer, SlotGranted):
+    def handle(self, results):
+        for result in results:
+            number = result.requester.number
+            if isinstance(result, SlotGranted):
                 known = self.held.get(number)
                 if known is None:
-                    wish_made = self.wishes[number]
-                    assert wish_made.expires_ms > self.now or number not in self.waiting
+                    wanted = self.requests[number]
+                    assert wanted.expires_ms > self.now or number not in self.waiting
                     more_urgent = [
                         other
                         for other in self.waiting - {number}
-                        if self.wishes[other].priority < wish_made.priority
-                        and self.wishes[other].expires_ms > self.now
+                        if self.requests[other].priority < wanted.priority
+                        and self.requests[other].expires_ms > self.now
                     ]
                     assert not more_urgent
-                    self.held[number] = (answer.server_id, self.now + wish_made.lease_ms)
+                    self.held[number] = (result.server_id, self.now + wanted.lease_ms)
                 self.waiting.discard(number)
-            elif isinstance(answer, SlotQueued):
+            elif isinstance(result, SlotQueued):
                 self.waiting.add(number)
             else:
                 self.waiting.discard(number)
 
-    def forget_lapsed(self):
+    def drop_expired(self):
         self.held = {n: held for n, held in self.held.items() if held[1] > self.now}
 
     @rule(
@@ -309,42 +314,42 @@
         hold=st.floats(1, 2000),
         part=st.floats(0, 1),
     )
-    def ask(self, priority, wait, hold, part):
-        self.forget_lapsed()
+    def request(self, priority, wait, hold, part):
+        self.drop_expired()
         self.number += 1
         until_ms = self.now + wait
         useful_ms = self.now + wait * part
-        made = wish(self.number, priority, until_ms, hold, useful_ms=useful_ms)
-        self.wishes[self.number] = made
-        self.take(self.group.request_slot(made, self.now))
+        made = slot_request(self.number, priority, until_ms, hold, useful_ms=useful_ms)
+        self.requests[self.number] = made
+        self.handle(self.group.request_slot(made, self.now))
 
     @rule(data=st.data())
-    def ask_again(self, data):
+    def repeat_request(self, data):
         known = sorted(self.held.keys() | self.waiting)
         if known:
-            self.forget_lapsed()
+            self.drop_expired()
             number = data.draw(st.sampled_from(known))
             if number in self.held or number in self.waiting:
-                self.take(self.group.request_slot(self.wishes[number], self.now))
+                self.handle(self.group.request_slot(self.requests[number], self.now))
 
     @rule(data=st.data(), took=st.floats(0, 900), failed=st.booleans())
-    def give_back(self, data, took, failed):
+    def release(self, data, took, failed):
         known = sorted(self.held.keys() | self.waiting)
         if known:
-            self.forget_lapsed()
+            self.drop_expired()
             number = data.draw(st.sampled_from(known))
             self.held.pop(number, None)
             self.waiting.discard(number)
-            self.take(self.group.release(Requester(NODE, number), took, failed, self.now))
+            self.handle(self.group.release(Requester(NODE, number), took, failed, self.now))
 
     @rule(span=st.floats(0, 700))
     def time_passes(self, span):
         self.now += span
-        self.forget_lapsed()
-        self.take(self.group.expire(self.now))
+        self.drop_expired()
+        self.handle(self.group.expire(self.now))
 
     @invariant()
-    def no_server_is_given_more_than_its_room(self):
+    def no_server_exceeds_its_capacity(self):
         counts = Counter(server for server, until in self.held.values() if until > self.now)
         for item in self.records:
             assert counts[item.server_id] <= item.slots + item.slots // 2
@@ -359,7 +364,7 @@
             return
         self.now += 1e6
         self.held.clear()
-        self.take(self.group.expire(self.now))
+        self.handle(self.group.expire(self.now))
         self.now += 1e6
         self.group.expire(self.now)
         assert self.group.waiting == 0
@@ -372,116 +377,124 @@
 )
 
 
-# ---- servers that answer nobody ------------------------------------------------------------
+# ---- unresponsive servers ------------------------------------------------------------------
 
 
-def silent_group(slots=2):
-    """A server that answered once in 100 ms, and then left all its requests unanswered."""
+def unresponsive_group(slots=2):
+    """Return a group whose server answered once in 100 ms, and then no request any more."""
     made = group(record(0, slots=slots))
-    made.request_slot(wish(1), 0.0)
+    made.request_slot(slot_request(1), 0.0)
     made.release(Requester(NODE, 1), 100.0, False, 100.0)
     for number in range(2, 2 + slots):
         assert isinstance(
-            made.request_slot(wish(number, until_ms=5000.0, hold_ms=3000.0), 100.0)[0], SlotGranted
+            made.request_slot(slot_request(number, until_ms=5000.0, lease_ms=3000.0), 100.0)[0],
+            SlotGranted,
         )
     return made
 
 
-def test_who_waits_for_a_server_that_fell_silent_is_told_before_its_requests_time_out():
-    made = silent_group()
-    made.request_slot(wish(8, until_ms=5000.0), 150.0)
-    made.request_slot(wish(9, until_ms=5000.0), 150.0)
+def test_requests_waiting_for_an_unresponsive_server_are_rejected_before_its_requests_time_out():
+    made = unresponsive_group()
+    made.request_slot(slot_request(8, until_ms=5000.0), 150.0)
+    made.request_slot(slot_request(9, until_ms=5000.0), 150.0)
     assert made.in_use == 3  # one is queued at the server
     assert made.expire(400.0) == []
-    (answer,) = made.expire(100.0 + 100.0 * UNRESPONSIVE_FACTOR + 1)
-    assert isinstance(answer, SlotRejected)
-    assert answer.requester.number == 9
+    (result,) = made.expire(100.0 + 100.0 * UNRESPONSIVE_FACTOR + 1)
+    assert isinstance(result, SlotRejected)
+    assert result.requester.number == 9
 
 
-def test_a_silent_server_is_asked_with_one_request_at_a_time():
-    made = silent_group()
+def test_an_unresponsive_server_gets_one_request_at_a_time():
+    made = unresponsive_group()
     for number in (2, 3):
         made.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
-    assert isinstance(made.request_slot(wish(10, until_ms=3000.0), 2100.0)[0], SlotGranted)
-    assert isinstance(made.request_slot(wish(11, until_ms=3000.0), 2100.0)[0], SlotRejected)
+    assert isinstance(made.request_slot(slot_request(10, until_ms=3000.0), 2100.0)[0], SlotGranted)
+    assert isinstance(made.request_slot(slot_request(11, until_ms=3000.0), 2100.0)[0], SlotRejected)
 
 
-def test_one_answer_ends_the_silence():
-    made = silent_group()
+def test_one_answer_makes_a_server_responsive():
+    made = unresponsive_group()
     for number in (2, 3):
         made.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
-    made.request_slot(wish(10, until_ms=3000.0), 2100.0)
+    made.request_slot(slot_request(10, until_ms=3000.0), 2100.0)
     made.release(Requester(NODE, 10), 100.0, False, 2200.0)
-    answers = [
-        made.request_slot(wish(number, until_ms=3000.0), 2200.0)[0] for number in range(20, 23)
+    results = [
+        made.request_slot(slot_request(number, until_ms=3000.0), 2200.0)[0]
+        for number in range(20, 23)
     ]
-    assert all(isinstance(answer, SlotGranted) for answer in answers)
+    assert all(isinstance(result, SlotGranted) for result in results)
 
 
-def test_a_connection_that_breaks_is_no_silence():
-    made = silent_group()
+def test_a_server_that_breaks_connections_is_not_unresponsive():
+    made = unresponsive_group()
     for number in (2, 3):
         made.release(Requester(NODE, number), 0.0, True, 150.0)
-    answers = [
-        made.request_slot(wish(number, until_ms=3000.0), 150.0)[0] for number in range(20, 23)
+    results = [
+        made.request_slot(slot_request(number, until_ms=3000.0), 150.0)[0]
+        for number in range(20, 23)
     ]
-    assert all(isinstance(answer, SlotGranted) for answer in answers)
+    assert all(isinstance(result, SlotGranted) for result in results)
 
 
-def test_a_slow_server_that_answers_now_and_then_is_not_silent():
-    made = silent_group()
+def test_a_slow_server_that_answers_sometimes_is_not_unresponsive():
+    made = unresponsive_group()
     made.release(Requester(NODE, 2), 400.0, False, 500.0)
-    assert isinstance(made.request_slot(wish(10, until_ms=3000.0), 600.0)[0], SlotGranted)
+    assert isinstance(made.request_slot(slot_request(10, until_ms=3000.0), 600.0)[0], SlotGranted)
 
 
-def test_a_silent_server_leaves_the_others_of_its_group_alone():
+def test_an_unresponsive_server_does_not_affect_the_others_of_its_group():
     made = group(record(0, slots=2), record(1, slots=2))
     for number in range(6):
-        made.request_slot(wish(number, until_ms=5000.0, hold_ms=5000.0), 0.0)
+        made.request_slot(slot_request(number, until_ms=5000.0, lease_ms=5000.0), 0.0)
     answered = [n for n in range(6) if made._leases[Requester(NODE, n)].server_id == "s1"]
     for number in answered:
         made.release(Requester(NODE, number), 100.0, False, 900.0)
-    given = [made.request_slot(wish(number, until_ms=5000.0), 900.0)[0] for number in range(10, 13)]
-    assert [answer.server_id for answer in given] == ["s1"] * 3
+    granted = [
+        made.request_slot(slot_request(number, until_ms=5000.0), 900.0)[0]
+        for number in range(10, 13)
+    ]
+    assert [result.server_id for result in granted] == ["s1"] * 3
 
 
-def test_a_queue_that_is_dismissed_is_empty_and_names_who_waited():
+def test_clearing_the_queue_returns_the_waiting_requesters():
     made = full_group()
     for number in (10, 11):
-        assert isinstance(made.request_slot(wish(number), 0.0)[0], SlotQueued)
-    assert [asker.number for asker in made.clear_queue()] == [10, 11]
+        assert isinstance(made.request_slot(slot_request(number), 0.0)[0], SlotQueued)
+    assert [requester.number for requester in made.clear_queue()] == [10, 11]
     assert (made.waiting, made.in_use) == (0, 3)
-    assert given_to(made.release(Requester(NODE, 0), 50.0, False, 1.0)) == []
+    assert granted_numbers(made.release(Requester(NODE, 0), 50.0, False, 1.0)) == []
 
 
-# ---- servers that a node may not use -------------------------------------------------------
+# ---- excluded servers ----------------------------------------------------------------------
 
 
-def barred_wish(number, *servers, until_ms=500.0):
-    return replace(wish(number, until_ms=until_ms), excluded=frozenset(servers))
+def request_excluding(number, *servers, until_ms=500.0):
+    return replace(slot_request(number, until_ms=until_ms), excluded=frozenset(servers))
 
 
-def test_a_server_that_the_node_may_not_use_is_not_given():
+def test_an_excluded_server_is_not_granted():
     made = group(record(0), record(1))
-    for number in range(ROOM):
-        (answer,) = made.request_slot(barred_wish(number, "s0"), 0.0)
-        assert answer.server_id == "s1"
-    assert isinstance(made.request_slot(barred_wish(ROOM, "s0"), 0.0)[0], SlotQueued)
+    for number in range(CAPACITY):
+        (result,) = made.request_slot(request_excluding(number, "s0"), 0.0)
+        assert result.server_id == "s1"
+    assert isinstance(made.request_slot(request_excluding(CAPACITY, "s0"), 0.0)[0], SlotQueued)
 
 
-def test_a_node_that_may_use_none_is_told_that_nobody_is_known():
+def test_a_request_that_excludes_all_servers_has_no_known_server():
     made = group(record(0))
-    assert isinstance(made.request_slot(barred_wish(0, "s0"), 0.0)[0], NoKnownServer)
+    assert isinstance(made.request_slot(request_excluding(0, "s0"), 0.0)[0], NoKnownServer)
 
 
-def test_one_that_may_not_use_what_is_free_holds_nobody_up():
+def test_a_request_with_excluded_servers_blocks_no_other():
     made = group(record(0, slots=2), record(1, slots=2))
-    given = {number: made.request_slot(wish(number), 0.0)[0].server_id for number in range(6)}
-    assert isinstance(made.request_slot(barred_wish(6, "s0"), 0.0)[0], SlotQueued)
-    assert isinstance(made.request_slot(wish(7), 0.0)[0], SlotQueued)
-    at_first = next(number for number, server_id in given.items() if server_id == "s0")
-    answers = made.release(Requester(NODE, at_first), 10.0, False, 10.0)
-    assert given_to(answers) == [7]
-    at_second = next(number for number, server_id in given.items() if server_id == "s1")
-    answers = made.release(Requester(NODE, at_second), 10.0, False, 20.0)
-    assert given_to(answers) == [6]
+    granted = {
+        number: made.request_slot(slot_request(number), 0.0)[0].server_id for number in range(6)
+    }
+    assert isinstance(made.request_slot(request_excluding(6, "s0"), 0.0)[0], SlotQueued)
+    assert isinstance(made.request_slot(slot_request(7), 0.0)[0], SlotQueued)
+    at_first = next(number for number, server_id in granted.items() if server_id == "s0")
+    results = made.release(Requester(NODE, at_first), 10.0, False, 10.0)
+    assert granted_numbers(results) == [7]
+    at_second = next(number for number, server_id in granted.items() if server_id == "s1")
+    results = made.release(Requester(NODE, at_second), 10.0, False, 20.0)
+    assert granted_numbers(results) == [6]
--- a/tests/unit/test_dispatcher_choice.py
+++ b/tests/unit/test_dispatcher_choice.py
@@ -1,4 +1,4 @@
-"""Which node is asked for slots, and which one enforces rate limits."""
+"""Choice of the node that is asked for slots, and of the one that enforces rate limits."""
 
 import pytest
 
@@ -24,13 +24,13 @@
     return [node for node in MEMBERS if choice.enforces_limits(NAME, node, MEMBERS, now_ms)]
 
 
-def test_the_first_in_rank_is_asked_and_enforces_limits():
+def test_the_first_node_in_rank_is_asked_and_enforces_limits():
     choice = DispatcherChoice()
     assert choice.choose(NAME, MEMBERS, 0.0) == FIRST
     assert enforcing(choice, 0.0) == [FIRST]
 
 
-def test_one_that_does_not_answer_once_is_passed_over_and_goes_on_to_enforce():
+def test_a_node_that_misses_one_answer_is_skipped_and_still_enforces_limits():
     choice = DispatcherChoice()
     assert choice.note_no_answer(FIRST, 0.0)
     assert choice.choose(NAME, MEMBERS, 1.0) == SECOND
@@ -38,7 +38,7 @@
     assert choice.choose(NAME, MEMBERS, SKIPPED_MS) == FIRST
 
 
-def test_one_that_stays_silent_is_replaced_until_it_answers():
+def test_a_node_that_stays_unresponsive_is_replaced_until_it_answers():
     choice = DispatcherChoice()
     choice.note_no_answer(FIRST, 0.0)
     choice.note_no_answer(FIRST, SKIPPED_MS)
@@ -50,15 +50,15 @@
     assert enforcing(choice, now_ms) == [FIRST]
 
 
-def test_one_that_stops_is_replaced_at_once():
+def test_a_node_that_stops_is_replaced_at_once():
     choice = DispatcherChoice()
     choice.note_stopping(FIRST, 0.0)
     assert choice.choose(NAME, MEMBERS, 0.0) == SECOND
     assert choice.enforces_limits(NAME, SECOND, MEMBERS, 0.0)
 
 
-# A node that is asked again after a silence was taken for one that enforces nothing.
-def test_one_that_is_asked_again_enforces_if_it_ranks_first():
+# Guards against a first node that enforces no limits when it is asked again.
+def test_a_node_that_is_asked_again_enforces_if_it_ranks_first():
     choice = DispatcherChoice()
     choice.note_no_answer(FIRST, 0.0)
     now_ms = SKIPPED_MS + UNREACHABLE_MS
@@ -66,15 +66,15 @@
     assert choice.enforces_limits(NAME, FIRST, MEMBERS, now_ms)
 
 
-def test_a_silence_is_told_once():
+def test_a_missing_answer_is_new_only_once():
     choice = DispatcherChoice()
     assert choice.note_no_answer(FIRST, 0.0)
     assert not choice.note_no_answer(FIRST, SKIPPED_MS / 2)
 
 
-@pytest.mark.parametrize("silent", [(FIRST,), (FIRST, SECOND), (FIRST, SECOND, THIRD)])
-def test_the_next_in_rank_of_those_that_answer_is_asked(silent):
+@pytest.mark.parametrize("unresponsive", [(FIRST,), (FIRST, SECOND), (FIRST, SECOND, THIRD)])
+def test_the_next_in_rank_of_those_that_answer_is_asked(unresponsive):
     choice = DispatcherChoice()
-    for node in silent:
+    for node in unresponsive:
         choice.note_no_answer(node, 0.0)
-    assert choice.choose(NAME, MEMBERS, 1.0) == in_order()[len(silent)]
+    assert choice.choose(NAME, MEMBERS, 1.0) == in_order()[len(unresponsive)]
