--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -26,7 +26,7 @@
     def __init__(self, suspects, body_bytes):
         self._bench = QuarantineBench()
         self._bench.budget.slack = 1e9
-        self._bench.add_life()
+        self._bench.add_server()
         self._body = b"x" * body_bytes
         for number in range(suspects):
             crash = CrashEvent(f"s{number}", b"c", "n", elapsed_ms() - 30, elapsed_ms())
--- a/tests/functional/test_ends_seen_later.py
+++ b/tests/functional/test_ends_seen_later.py
@@ -1,10 +1,10 @@
-"""Ends of servers that show after their requests have ended: by a dead port, or the entry."""
+"""Crashes found after the requests have ended: by a closed port, or by the server's entry."""
 
 import gevent
 import pytest
 from gevent import GreenletExit
 
-from tests.functional.test_quarantine import ENDS, QuarantineBench
+from tests.functional.test_quarantine import CRASHES, QuarantineBench
 from tests.standin.upstream import Upstream
 
 
@@ -26,25 +26,25 @@
     bench.pool.sync(bench.directory.servers.records)
 
 
-def test_a_dead_port_tells_that_a_server_ended_after_its_caller_had_left(bench):
-    upstream = bench.add_life()
+def test_a_closed_port_shows_a_crash_after_the_caller_has_left(bench):
+    upstream = bench.add_server()
     leave(bench, upstream)
     upstream.crash()
     assert bench.ask(b"/once/b").status == 503
     assert bench.quarantine.crashes == 1
 
 
-def test_another_server_at_the_address_tells_that_the_one_before_ended(bench):
-    upstream = bench.add_life()
+def test_another_server_at_the_address_shows_a_crash_of_the_one_before(bench):
+    upstream = bench.add_server()
     upstream.crashed = lambda life: Upstream("next", port=life.address.port)
-    assert bench.ask(b"/once/a", headers=ENDS).status == 502
+    assert bench.ask(b"/once/a", headers=CRASHES).status == 502
     assert bench.quarantine.crashes == 0
     bench.ask(b"/once/b")
     assert bench.quarantine.crashes == 1
 
 
-def test_a_server_that_goes_on_after_a_caller_has_left_did_not_end_of_it(bench):
-    upstream = bench.add_life()
+def test_a_server_that_answers_after_a_caller_has_left_did_not_crash_under_its_request(bench):
+    upstream = bench.add_server()
     leave(bench, upstream)
     upstream.behaviour.work_s = 0.0
     gevent.sleep(0.35)
@@ -53,8 +53,8 @@
     assert bench.quarantine.crashes == 0
 
 
-def test_a_server_that_said_that_it_leaves_did_not_end_of_a_request(bench):
-    upstream = bench.add_life()
+def test_a_server_that_announced_leaving_did_not_crash(bench):
+    upstream = bench.add_server()
     leave(bench, upstream)
     bench.directory.note_leaving({upstream.server_id: 0.0}, "a-test")
     bench.pool.sync(bench.directory.servers.records)
@@ -62,9 +62,11 @@
     assert bench.quarantine.crashes == 0
 
 
-def test_an_end_long_after_a_caller_has_left_is_not_held_against_its_request(bench, monkeypatch):
+def test_a_crash_long_after_a_caller_has_left_does_not_count_against_its_request(
+    bench, monkeypatch
+):
     monkeypatch.setattr("ploverhatch.gateway.quarantine.UNRESOLVED_KEPT_MS", 50.0)
-    upstream = bench.add_life()
+    upstream = bench.add_server()
     leave(bench, upstream)
     gevent.sleep(0.06)
     remove(bench, upstream)
@@ -73,8 +75,8 @@
     assert not bench.quarantine._unresolved
 
 
-def test_few_open_questions_are_kept_of_a_server(bench):
-    upstream = bench.add_life()
+def test_the_unresolved_copies_kept_of_a_server_are_bounded(bench):
+    upstream = bench.add_server()
     for number in range(20):
         leave(bench, upstream, b"/once/%d" % number)
     assert len(bench.quarantine._unresolved[upstream.server_id]) == 16
--- a/tests/functional/test_trial_permits.py
+++ b/tests/functional/test_trial_permits.py
@@ -1,4 +1,4 @@
-"""Nodes that have one copy of a request under suspicion under way, between them."""
+"""Trial permits: all nodes together send one copy of a suspect request at a time."""
 
 import time
 from types import SimpleNamespace
@@ -12,23 +12,23 @@
 from ploverhatch.quarantine.messages import TrialFinished, TrialReply, TrialRequest
 from ploverhatch.quarantine.trials import PERMIT_MS
 
-CONTENT = b"content"
+DIGEST = b"content"
 NODES = [("10.0.0.1", 7000 + number) for number in range(3)]
 
 
-def call(content=CONTENT):
-    return SimpleNamespace(fingerprint=SimpleNamespace(request_digest=content))
+def call(digest=DIGEST):
+    return SimpleNamespace(fingerprint=SimpleNamespace(request_digest=digest))
 
 
 class Fleet:
-    """Nodes whose datagrams arrive a little later, unless they are lost."""
+    """Nodes whose datagrams arrive after a short delay, unless they are lost."""
 
     def __init__(self):
-        self.lost = set()  # nodes that hear nothing
-        self.lose = []  # forms of the next messages that are lost
+        self.lost = set()  # nodes that receive and send nothing
+        self.lose = []  # types of the next messages that are lost
         self.sent = []
         self.leader = NODES[0]
-        self.leader_takes_s = 0.0  # until it has answered
+        self.leader_delay_s = 0.0  # until it replies
         self.permits = {node: self._make(node) for node in NODES}
 
     def _make(self, node):
@@ -43,16 +43,16 @@
         if type(message) in self.lose:
             self.lose.remove(type(message))
         elif to not in self.lost and sender not in self.lost:
-            takes_s = 0.001 + (self.leader_takes_s if to == self.leader else 0.0)
-            gevent.spawn_later(takes_s, self._deliver, sender, message, to)
+            delay_s = 0.001 + (self.leader_delay_s if to == self.leader else 0.0)
+            gevent.spawn_later(delay_s, self._deliver, sender, message, to)
 
     def _deliver(self, sender, message, to):
-        takers = {
+        handlers = {
             TrialRequest: "handle_request",
             TrialReply: "handle_reply",
             TrialFinished: "handle_finished",
         }
-        getattr(self.permits[to], takers[type(message)])(message, sender)
+        getattr(self.permits[to], handlers[type(message)])(message, sender)
 
     def nodes(self):
         """Return the permits of the leader and of the two others."""
@@ -81,7 +81,7 @@
     assert first.acquire(call()) > 0
 
 
-def test_requests_of_one_node_ask_once_while_another_node_has_it(fleet):
+def test_requests_of_one_node_ask_once_while_another_node_has_the_permit(fleet):
     _, second, third = fleet.nodes()
     second.acquire(call())
     third.acquire(call())
@@ -90,7 +90,7 @@
     assert len(fleet.sent) == before
 
 
-def test_those_who_wait_here_are_woken_when_a_copy_ends(fleet):
+def test_waiting_requests_are_woken_when_a_copy_ends(fleet):
     node = fleet.permits[NODES[0]]
     asked = call()
     node.acquire(asked)
@@ -100,15 +100,15 @@
     assert waiting.get() is True
 
 
-@pytest.mark.parametrize("form", [TrialRequest, TrialReply])
-def test_a_question_or_word_that_is_lost_is_repeated(fleet, form):
+@pytest.mark.parametrize("message_type", [TrialRequest, TrialReply])
+def test_a_lost_request_or_reply_is_repeated(fleet, message_type):
     _, second, third = fleet.nodes()
-    fleet.lose = [form]
+    fleet.lose = [message_type]
     assert second.acquire(call()) == 0.0
     assert third.acquire(call()) > 0
 
 
-def test_a_return_that_is_lost_holds_nobody_up_for_long(fleet, monkeypatch):
+def test_a_lost_release_delays_others_for_a_limited_time_only(fleet, monkeypatch):
     monkeypatch.setattr("ploverhatch.quarantine.trials.PERMIT_MS", 120.0)
     _, second, third = fleet.nodes()
     fleet.lose = [TrialFinished]
@@ -120,7 +120,7 @@
     assert third.acquire(call()) == 0.0
 
 
-def test_without_its_leader_each_node_has_one_copy_of_its_own(fleet):
+def test_without_a_leader_each_node_sends_one_copy(fleet):
     leader, second, third = fleet.nodes()
     asked = call()
     leader.acquire(call())
@@ -133,27 +133,27 @@
     second.release(asked)
     before = len(fleet.sent)
     assert second.acquire(call()) == 0.0
-    assert fleet.sent[before:] == []  # a leader that says nothing isn't asked for a second
+    assert fleet.sent[before:] == []  # an unresponsive leader is skipped for a second
 
 
 def test_a_leader_that_answers_late_is_asked_next_time(fleet):
-    """Guards against a copy at each node for a second after a leader was slow once."""
+    """Guards against a copy at each node for a second after the leader was slow once."""
     leader, second, _ = fleet.nodes()
     leader.acquire(call())
-    fleet.leader_takes_s = 0.1
+    fleet.leader_delay_s = 0.1
     asked = call()
     assert second.acquire(asked) == 0.0
     second.release(asked)
     gevent.sleep(0.1)
-    fleet.leader_takes_s = 0.0
+    fleet.leader_delay_s = 0.0
     assert second.acquire(call()) > 0
 
 
 def test_a_node_that_was_suspended_while_it_waited_asks_again(fleet):
-    """Guards against a copy at each node where the whole machine stood still."""
+    """Guards against a copy at each node if the whole machine was suspended."""
     leader, second, _ = fleet.nodes()
     leader.acquire(call())
-    fleet.leader_takes_s = 0.03
+    fleet.leader_delay_s = 0.03
     fleet.lose = [TrialRequest] * trial_permits.MAX_TRIES
     for number in range(trial_permits.MAX_TRIES):
         gevent.spawn_later(0.01 + 0.07 * number, time.sleep, 0.06)
@@ -164,20 +164,20 @@
     _, second, third = fleet.nodes()
     second.acquire(call())
     fleet.leader = NODES[2]
-    assert third.acquire(call()) == 0.0  # what the one before gave isn't known to it
+    assert third.acquire(call()) == 0.0  # it doesn't know the permits of the last leader
     gevent.sleep(PERMIT_MS / 1000)
     assert second.acquire(call()) == 0.0
     assert third.acquire(call()) > 0
 
 
-def test_many_nodes_ask_more_rarely(fleet):
+def test_nodes_ask_more_rarely_if_there_are_many(fleet):
     _, second, third = fleet.nodes()
     third._nodes = lambda: 300
     second.acquire(call())
     assert trial_permits.POLL_MS < third.acquire(call()) <= 300 * trial_permits.POLL_MS_PER_NODE
 
 
-def test_a_request_that_needs_longer_gets_its_permit_anew(fleet, monkeypatch):
+def test_a_request_that_runs_longer_renews_its_permit(fleet, monkeypatch):
     _, second, third = fleet.nodes()
     asked = call()
     second.acquire(asked)
@@ -189,7 +189,7 @@
     assert second.granted_count == 0
 
 
-def test_what_is_over_is_forgotten(fleet):
+def test_expired_permits_are_dropped(fleet):
     node = fleet.permits[NODES[1]]
     for number in range(50):
         node.acquire(call(b"%d" % number))
