--- a/ploverhatch/admission/dispatcher.py
+++ b/ploverhatch/admission/dispatcher.py
@@ -116,11 +116,14 @@
         """Return the bound on its requests per second now."""
         return self.bounds.per_s(self.server_id, now_ms)
 
-    def note_end(self, unanswered: bool, answered: bool, now_ms: float) -> None:
-        """Record the end of a request; neither flag is set if it says nothing of the server."""
+    def note_end(self, unanswered: bool, responded: bool, now_ms: float) -> None:
+        """Record the end of a request; neither flag is set if it shows nothing of the server.
+
+        A failure other than a missing answer counts as a response.
+        """
         if unanswered:
             self.unanswered += 1
-        elif answered:
+        elif responded:
             self.unanswered = 0
             self.last_answer_ms = now_ms
 
--- a/ploverhatch/admission/request_rate.py
+++ b/ploverhatch/admission/request_rate.py
@@ -18,10 +18,10 @@
 
 from ploverhatch.state.server_notices import MIN_LIMIT_PER_S
 
-MAX_SAVED_REQUESTS = 1.0  # burst of a low rate, so small that the rate holds in each second
-# Burst of a high rate, as time at that rate. Queued requests are served at a fixed tick, so that a
-# smaller burst would cap the rate at one request per tick.
-SAVED_S = 0.02
+MIN_BURST_REQUESTS = 1.0  # a larger burst at a low rate would exceed the rate in some second
+# At a high rate the burst lasts this long. Queued requests are served at a fixed tick, so that a
+# smaller burst would limit the rate to one request per tick.
+BURST_S = 0.02
 NO_BOUND = math.inf
 
 
@@ -60,7 +60,7 @@
 
     per_s: float
     filled_ms: float
-    _tokens: float = MAX_SAVED_REQUESTS
+    _tokens: float = MIN_BURST_REQUESTS
 
     def set_rate(self, per_s: float, now_ms: float) -> None:
         """Set the rate from now on; no tokens are added while the rate is unbounded."""
@@ -83,5 +83,5 @@
 
     def _fill(self, now_ms: float) -> None:
         earned = (now_ms - self.filled_ms) * self.per_s / 1000
-        self._tokens = min(max(MAX_SAVED_REQUESTS, self.per_s * SAVED_S), self._tokens + earned)
+        self._tokens = min(max(MIN_BURST_REQUESTS, self.per_s * BURST_S), self._tokens + earned)
         self.filled_ms = now_ms
--- a/ploverhatch/quarantine/ledger.py
+++ b/ploverhatch/quarantine/ledger.py
@@ -19,7 +19,7 @@
 )
 
 MAX_RECORDS = 512
-# A request that crashes servers does so soon after it is sent; others run there by chance.
+# A request that crashes servers does so soon after it is sent; others have run for longer.
 MUCH_LONGER_FACTOR = 3.0
 # A request that runs this long is under way at many crashes with other causes, each of which
 # occurs once.
@@ -69,13 +69,14 @@
     def decide(self, request: Fingerprint) -> QuarantineDecision | None:
         """Return the decision on a request, which may have expired; ``None`` if there is none.
 
-        A harmless request may be under way at each crash that another one causes: because it
-        has the same key, or runs for long. Another request explains a crash if it was at more
-        than one crash itself, and ran for a far shorter time on average until then; or if it
-        qualifies for a quarantine, and was at all of these crashes and at more. If a request
-        that qualifies was at exactly these crashes, either may be the cause, and both are
-        quarantined for a short time, after which a trial shows the cause. The same holds for a
-        decision after two crashes under many callers, if another request was at both.
+        A harmless request may be under way at each crash that another one causes, because it
+        has the same key or runs for long. Another request explains a crash if it was under way
+        at more than one crash, and ran for a far shorter time on average until then; or if it
+        qualifies for a quarantine, and was under way at all of these crashes and at more. If a
+        request that qualifies was under way at exactly these crashes, either may be the cause,
+        and both are quarantined for a short time, after which a trial shows the cause. The same
+        applies to a decision by many callers if another request was under way at all of its
+        crashes.
         """
         record = self._records.get(request.request_digest)
         decision = record.decide(request.caller_digest) if record else None
@@ -119,9 +120,9 @@
     ) -> set[str]:
         """Return the servers that may have crashed under other requests sent shortly before.
 
-        This applies only to a request that runs so long that it is there by chance. Requests
-        beside one that crashes its servers late look the same: after one crash more they no
-        longer explain its crashes.
+        This applies only to a request that runs so long that it is likely there by chance. A
+        request that crashes its servers late looks the same, so that after one crash more the
+        other requests no longer explain its crashes.
         """
         if (
             record.mean_duration_ms < LONG_DURATION_MS
@@ -144,9 +145,10 @@
     ) -> set[str]:
         """Return the servers that crashed under requests that qualified before this one.
 
-        This applies only if other requests were at the remaining crashes too: a request that
-        was alone at a crash is the cause of that one, and so of all. It no longer applies after one
-        crash more, since either of two requests that crash servers may be the first to qualify.
+        This applies only if other requests were under way at the remaining crashes too: a
+        request that was alone at a crash is the cause of that one, and so of all. It no longer
+        applies after one crash more, since either of two requests that crash servers may be the
+        first to qualify.
         """
         if len(decision.crashes) >= CRASHES_IF_AMBIGUOUS:
             return set()
@@ -236,8 +238,8 @@
     """Return whether another request ran for a far shorter time until its crashes, on average.
 
     The averages are over all crashes of each request, or over those that they share: a request
-    that crashes servers may wait in a queue first, and one that is there by chance may have
-    just arrived at some of its other crashes.
+    that crashes servers may wait in a queue first, and a harmless one may have just arrived at some
+    of its other crashes.
     """
     if other.mean_duration_ms * MUCH_LONGER_FACTOR <= record.mean_duration_ms:
         return True
--- a/ploverhatch/quarantine/trials.py
+++ b/ploverhatch/quarantine/trials.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Leave to send one copy."""
+    """Permission to send one copy."""
 
     requester: Hashable
     until_ms: float
