--- a/tests/functional/test_copies_that_end_servers.py
+++ b/tests/functional/test_copies_that_end_servers.py
@@ -112,10 +112,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_key_whose_requests_end_their_holder_is_kept_from_the_next_ones(scenario, seed):
-    killer = {"path": "/kread/killer", "key": KEY, "ends_server": True}
-    assert_few_late(scenario, send_from_many(scenario, seed, **killer))
+    request = {"path": "/kread/killer", "key": KEY, "ends_server": True}
+    assert_few_late(scenario, send_from_many(scenario, seed, **request))
 
 
 def test_few_callers_at_a_lower_rate_too(scenario):
-    killer = {"path": "/kread/killer", "key": KEY, "ends_server": True}
-    assert_few_late(scenario, send_from_many(scenario, 3, callers=16, every_s=0.25, **killer))
+    request = {"path": "/kread/killer", "key": KEY, "ends_server": True}
+    assert_few_late(scenario, send_from_many(scenario, 3, callers=16, every_s=0.25, **request))
--- a/tests/functional/test_requests_that_end_servers.py
+++ b/tests/functional/test_requests_that_end_servers.py
@@ -31,7 +31,7 @@
 SAVED_S = 2.5  # until the quarantined requests are in the store
 OTHERS = 4
 OTHERS_SERVED = 0.995
-KILLER = "killer"
+CRASHING_CALLER = "killer"
 
 
 class Scenario:
@@ -52,14 +52,14 @@
         gateways = self.site.gateways
         self.tasks = [gevent.spawn(other.ask_forever, gateways) for other in self.others]
 
-    def send_in_turn(self, killer, every_s=EVERY_S, length_s=LENGTH_S, events=()):
+    def send_in_turn(self, crashing_caller, every_s=EVERY_S, length_s=LENGTH_S, events=()):
         """Send a request repeatedly, to each gateway in turn."""
         start_s = elapsed_ms() / 1000
         later = [gevent.spawn_later(after_s, task) for after_s, task in events]
         for number in count():
             if elapsed_ms() / 1000 - start_s > length_s:
                 break
-            gevent.spawn(killer.ask, self.site.gateways[number % GATEWAYS])
+            gevent.spawn(crashing_caller.ask, self.site.gateways[number % GATEWAYS])
             gevent.sleep(every_s)
         gevent.sleep(2.5)
         gevent.joinall(later, raise_error=True)
@@ -92,21 +92,21 @@
     made.close()
 
 
-def killer_of(path="/read/killer", **changes):
-    return Caller(KILLER, path, "127.0.0.77", ends_server=True, **changes)
+def make_crashing_caller(path="/read/killer", **changes):
+    return Caller(CRASHING_CALLER, path, "127.0.0.77", ends_server=True, **changes)
 
 
-def assert_quarantined(scenario, killer):
-    late = scenario.late_arrivals(killer)
+def assert_quarantined(scenario, crashing_caller):
+    late = scenario.late_arrivals(crashing_caller)
     assert len(late) <= MAX_LATE, (
         f"{len(late)} sends late, {len(scenario.crash_times())} servers crashed"
     )
 
 
-def assert_refused_at_once(scenario, killer):
+def assert_refused_at_once(scenario, crashing_caller):
     """Assert that quarantined requests got a fast refusal that says when to retry."""
     settled_s = scenario.crash_times()[2] + PROPAGATION_S
-    late = [sent for sent in killer.asked if sent.sent_s > settled_s and sent.status]
+    late = [sent for sent in crashing_caller.asked if sent.sent_s > settled_s and sent.status]
     held = [sent for sent in late if HELD in sent.head]
     assert len(held) >= len(late) - MAX_LATE > 0
     assert {sent.status for sent in held} == {503}
@@ -122,17 +122,17 @@
 
 
 def test_a_request_is_quarantined_at_all_gateways(scenario):
-    killer = killer_of()
+    crashing_caller = make_crashing_caller()
     scenario.begin_others()
-    scenario.send_in_turn(killer)
-    assert_quarantined(scenario, killer)
-    assert_refused_at_once(scenario, killer)
+    scenario.send_in_turn(crashing_caller)
+    assert_quarantined(scenario, crashing_caller)
+    assert_refused_at_once(scenario, crashing_caller)
     assert_others_served(scenario)
 
 
 def test_gateways_that_were_restarted_or_suspended_know_of_a_quarantine(scenario):
     """One gateway is restarted and one is suspended, so that neither saw the third crash."""
-    killer = killer_of()
+    crashing_caller = make_crashing_caller()
     restarted, frozen = scenario.site.gateways[1], scenario.site.gateways[2]
 
     def restart():
@@ -141,50 +141,50 @@
         restarted.start()
 
     events = [(0.1, restart), (0.1, lambda: frozen.life.freeze(FREEZE_S))]
-    scenario.send_in_turn(killer, events=events)
-    assert_quarantined(scenario, killer)
+    scenario.send_in_turn(crashing_caller, events=events)
+    assert_quarantined(scenario, crashing_caller)
     for gateway in (restarted, frozen):
-        assert HELD in killer.ask(gateway).head
+        assert HELD in crashing_caller.ask(gateway).head
 
 
 def test_a_gateway_that_starts_without_a_leader_knows_of_a_quarantine(scenario):
-    killer = killer_of()
-    scenario.send_in_turn(killer, length_s=5.0)
+    crashing_caller = make_crashing_caller()
+    scenario.send_in_turn(crashing_caller, length_s=5.0)
     leader = scenario.site.leader()
     started = next(gateway for gateway in scenario.site.gateways if gateway is not leader)
     leader.end()
     started.end()
     started.start()
     gevent.sleep(PROPAGATION_S)
-    before = len(scenario.arrivals(killer))
-    assert killer.ask(started).status in {0, 503}
-    assert len(scenario.arrivals(killer)) == before
+    before = len(scenario.arrivals(crashing_caller))
+    assert crashing_caller.ask(started).status in {0, 503}
+    assert len(scenario.arrivals(crashing_caller)) == before
 
 
 def test_a_machine_that_has_just_started_sends_none_on(scenario):
     """The gateway gets requests as soon as it accepts connections."""
-    killer = killer_of()
-    scenario.send_in_turn(killer, length_s=4.0)
-    before = len(scenario.arrivals(killer))
+    crashing_caller = make_crashing_caller()
+    scenario.send_in_turn(crashing_caller, length_s=4.0)
+    before = len(scenario.arrivals(crashing_caller))
     for gateway in scenario.site.gateways[:2]:
         gateway.end()
         gateway.start()
         end_s = elapsed_ms() / 1000 + PROPAGATION_S
         while elapsed_ms() / 1000 < end_s:
-            gevent.spawn(killer.ask, gateway)
+            gevent.spawn(crashing_caller.ask, gateway)
             gevent.sleep(0.02)
         gevent.sleep(0.5)
-    assert len(scenario.arrivals(killer)) == before
-    assert HELD in killer.ask(scenario.site.gateways[0]).head
+    assert len(scenario.arrivals(crashing_caller)) == before
+    assert HELD in crashing_caller.ask(scenario.site.gateways[0]).head
 
 
 def test_it_is_known_after_all_machines_were_lost_at_once(scenario):
     """Guards against quarantines that are not stored, where three more servers crashed."""
-    killer = killer_of()
-    scenario.send_in_turn(killer, length_s=5.0)
-    assert HELD in killer.ask(scenario.site.gateways[0]).head
+    crashing_caller = make_crashing_caller()
+    scenario.send_in_turn(crashing_caller, length_s=5.0)
+    assert HELD in crashing_caller.ask(scenario.site.gateways[0]).head
     gevent.sleep(SAVED_S)
-    before = len(scenario.arrivals(killer))
+    before = len(scenario.arrivals(crashing_caller))
     for gateway in scenario.site.gateways:
         gateway.end()
     for gateway in scenario.site.gateways:
@@ -192,32 +192,32 @@
     scenario.await_service(scenario.others[0])
     gevent.sleep(PROPAGATION_S)
     for gateway in scenario.site.gateways:
-        assert HELD in killer.ask(gateway).head
-    assert len(scenario.arrivals(killer)) == before
+        assert HELD in crashing_caller.ask(gateway).head
+    assert len(scenario.arrivals(crashing_caller)) == before
 
 
 def test_a_quarantine_of_keyed_requests_holds_for_each_next_holder(scenario):
-    killer = killer_of(path="/kread/killer", key=1365)
+    crashing_caller = make_crashing_caller(path="/kread/killer", key=1365)
     scenario.await_service(Caller("keyed", "/kread/a", key=1365))
-    scenario.send_in_turn(killer, every_s=KEYED_EVERY_S, length_s=26.0)
-    assert scenario.late_arrivals(killer) == []
+    scenario.send_in_turn(crashing_caller, every_s=KEYED_EVERY_S, length_s=26.0)
+    assert scenario.late_arrivals(crashing_caller) == []
 
 
 def test_a_request_that_must_not_run_twice_is_not_reported_as_not_run_once_sent(scenario):
     """While it crashes servers it may have run; later it is refused before it is sent."""
-    killer = killer_of(path="/p/killer", method="POST", body=b"x")
-    scenario.send_in_turn(killer)
+    crashing_caller = make_crashing_caller(path="/p/killer", method="POST", body=b"x")
+    scenario.send_in_turn(crashing_caller)
     ran = {name for name, _ in scenario.site.ran()}
-    assert {sent.status for sent in killer.asked if sent.name in ran} <= {0, 502, 504}
-    assert_quarantined(scenario, killer)
-    assert_refused_at_once(scenario, killer)
+    assert {sent.status for sent in crashing_caller.asked if sent.name in ran} <= {0, 502, 504}
+    assert_quarantined(scenario, crashing_caller)
+    assert_refused_at_once(scenario, crashing_caller)
 
 
 def test_other_bodies_callers_and_methods_on_the_same_path_are_served(scenario):
-    killer = killer_of(body=b"one", method="POST")
-    scenario.send_in_turn(killer, length_s=5.0)
+    crashing_caller = make_crashing_caller(body=b"one", method="POST")
+    scenario.send_in_turn(crashing_caller, length_s=5.0)
     gateways = scenario.site.gateways
-    assert HELD in killer.ask(gateways[0]).head
+    assert HELD in crashing_caller.ask(gateways[0]).head
     near = [
         Caller("body", "/read/killer", "127.0.0.77", b"two", method="POST"),
         Caller("caller", "/read/killer", "127.0.0.78", b"one", method="POST"),
@@ -246,7 +246,7 @@
 
 
 def test_a_gateway_that_stops_while_others_receive_reports_loses_none(scenario):
-    killer = killer_of()
+    crashing_caller = make_crashing_caller()
     stopping = scenario.site.gateways[3]
-    scenario.send_in_turn(killer, events=[(0.6, lambda: stopping.signal(signal.SIGTERM))])
-    assert_quarantined(scenario, killer)
+    scenario.send_in_turn(crashing_caller, events=[(0.6, lambda: stopping.signal(signal.SIGTERM))])
+    assert_quarantined(scenario, crashing_caller)
