--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -1,4 +1,9 @@
-"""Task that watches the leader's lease, claims it and renews it."""
+"""Leader election: the task that reads, claims and renews the leader's lease.
+
+The lease is one object in the store, changed by compare-and-set; see
+:mod:`ploverhatch.leadership.election` for its rules. Beside it, each node keeps an object of
+its own there, from which the nodes learn of each other.
+"""
 
 import random
 from collections.abc import Callable, Collection
@@ -32,16 +37,25 @@
 
 
 class Elector:
-    """Holds this node's part in the election.
-
-    Usage: run :meth:`run` in a task; ask :attr:`state`.
+    """Takes part in the election for this node.
+
+    Run :meth:`run` in a task and read :attr:`state`.
+
+    :param node: name of this node.
+    :param incarnation: name of this incarnation of the process.
+    :param address: where this node receives reports, as ``host:port``.
+    :param store_lost: called after each call that the store does not answer.
+    :param store_regained: called when the store answers again.
+    :param covered: whether the leader's relay may be relied on for all kinds of objects.
+    :param strength: of this machine, 0 to 1: its share of the resources that leading takes.
+    :param zone: zone of this node.
     """
 
     def __init__(
         self,
         store: ObjectStore,
         node: str,
-        life: str,
+        incarnation: str,
         address: str,
         store_lost: Callable[[], None],
         store_regained: Callable[[], None],
@@ -56,26 +70,26 @@
         self._store_lost = store_lost
         self._store_regained = store_regained
         self._covered = covered
-        self._looked_ms = -1e12
+        self._read_ms = -1e12
         self._wake = Signal()
-        self._look_due = False  # another task got no answer from the store
+        self._read_due = False  # the lease is to be read although the leader announces it
         self._store_unavailable = False
-        self._failures = 0  # calls in a row that got no answer
+        self._failures = 0  # successive calls without an answer
         self._registered = False
         self._registered_revision = 0
         self._renewal = 0
         self._nodes: dict[str, VersionedObject] = {}
-        self._odd_nodes: dict[str, int] = {}  # objects that can't be read, by revision
+        self._malformed_nodes: dict[str, int] = {}  # revisions of malformed objects, by name
         self._not_before_ms = 0.0
         self._resigned_ms = -1e12
         self._stopped = False
-        self._looked = Event()  # the lease was read once, or a leader was heard
-        self.state = ElectionState(node, life, strength=strength, strongest=strength)
-        self.member_zones: dict[str, str] = {}  # of all nodes known, by address
+        self._leader_known = Event()  # the lease was read, or a leader announced itself
+        self.state = ElectionState(node, incarnation, strength=strength, strongest=strength)
+        self.member_zones: dict[str, str] = {}  # zones of all known nodes, by address
 
     @property
     def address(self) -> str:
-        """Where this node takes reports and answers other nodes."""
+        """Where this node receives reports and answers other nodes, as ``host:port``."""
         return self._address
 
     @property
@@ -90,22 +104,22 @@
 
     @property
     def leader_address(self) -> str:
-        """Where the leader takes reports; empty when there is none."""
+        """Where the leader receives reports; empty when no leader is known."""
         return self.state.leader_address
 
     @property
     def members(self) -> Collection[str]:
-        """Addresses of all nodes known."""
+        """Addresses of all known nodes."""
         return self.member_zones.keys()
 
     @property
     def store_unavailable(self) -> bool:
-        """Whether the store did not answer this task's last call."""
+        """Whether this task's last call to the store got no answer."""
         return self._store_unavailable
 
     @property
     def offered_strength(self) -> float:
-        """Strength of this machine if it is ready to take the lead from a weaker one, else 0."""
+        """Strength of this machine if it is ready to replace a weaker leader, else 0."""
         ready = not self._store_unavailable and elapsed_ms() >= self._not_before_ms
         if self._stopped or not ready or not self.state.is_strongest:
             return 0.0
@@ -113,48 +127,51 @@
 
     @property
     def node_count(self) -> int:
-        """Number of nodes that share the budgets; 1 at least."""
+        """Number of nodes that share the budgets; at least 1."""
         return max(len(self._nodes), 1)
 
     def await_leader(self, timeout_s: float) -> None:
-        """Wait until it is known who leads, if the store or a leader tells."""
-        self._looked.wait(timeout_s)
+        """Wait until the lease was read, its read failed, or a leader announced itself.
+
+        Return after ``timeout_s`` at the latest.
+        """
+        self._leader_known.wait(timeout_s)
 
     def run(self) -> None:
-        """Take part until stopped."""
+        """Take part in the election until stopped."""
         while not self._stopped:
             pause_s = self._round()
-            self._look_due = self._wake.wait(pause_s)
+            self._read_due = self._wake.wait(pause_s)
 
     def check_store_now(self) -> None:
-        """Ask the store at once: another task of this node got no answer."""
+        """Read the lease at once, since a call of another task got no answer from the store."""
         if not self._store_unavailable and not self.state.leading:
             self._wake.raise_()
 
     def note_resumed(self) -> None:
-        """The machine was suspended: renew the lease, or look who holds it, at once."""
+        """Renew or read the lease at once, after a suspension of the machine."""
         self._wake.raise_()
 
     def _round(self) -> float:
         try:
             if self.state.leading:
                 self._renew()
-            elif self._store_unavailable or self._look_due or not self._hears_leader:
-                self._look()
+            elif self._store_unavailable or self._read_due or not self._leader_announces:
+                self._read_lease()
         except StoreCallError as error:
-            self._looked.set()
-            self._note_store(error)
+            self._leader_known.set()
+            self._note_store_answer(error)
             self._failures += 1
             pause_ms = election.outage_pause_ms(self.state, self._failures, random.random())
             return pause_ms / 1000
         self._failures = 0
-        self._note_store(None)
+        self._note_store_answer(None)
         if self.state.leading:
-            self._look_for_nodes()
+            self._refresh_nodes()
             return election.RENEW_MS / 1000
         return election.look_pause_ms(self.state, elapsed_ms(), random.random()) / 1000
 
-    def _note_store(self, error: StoreCallError | None) -> None:
+    def _note_store_answer(self, error: StoreCallError | None) -> None:
         if error is not None:
             if not self._store_unavailable:
                 LOG.warning("Store does not answer.", cause=error)
@@ -167,30 +184,35 @@
             self._store_regained()
 
     @property
-    def _hears_leader(self) -> bool:
-        """Whether the leader was heard lately, so that its lease need not be read.
+    def _leader_announces(self) -> bool:
+        """Whether the leader has announced itself lately, so that its lease need not be read.
 
-        A weak leader hands over: the strongest nodes then have to see that at once.
+        The strongest nodes read the lease of a weak leader all the same: it hands over, and
+        they have to see that at once.
         """
         if self.state.leader_is_weak and self.state.is_strongest:
             return False
-        return self._covered() and elapsed_ms() - self._looked_ms < election.LOOK_COVERED_MS
+        return self._covered() and elapsed_ms() - self._read_ms < election.LOOK_COVERED_MS
 
     def note_leader(self, lease_revision: int, renewed_ms: float, address: str) -> None:
-        """The leader told of its lease: renewed at ``renewed_ms``, elapsed clock of this node."""
+        """Note a leader that announced its lease.
+
+        :param renewed_ms: when the lease was renewed, on this node's elapsed clock.
+        :param address: where that leader receives reports.
+        """
         before = self.state
         self.state = election.heard(before, lease_revision, renewed_ms, address)
-        self._looked.set()
+        self._leader_known.set()
         if before.leading and not self.state.leading:
-            LOG.warning("Another node tells that it leads.", address=address)
+            LOG.warning("Another node announced that it leads.", address=address)
 
     # ---- following --------------------------------------------------------------------
 
-    def _look(self) -> None:
+    def _read_lease(self) -> None:
         stale = self._registered
         listing = self._store.list_all(kinds.LEASES, stale=stale)
-        self._looked_ms = elapsed_ms()
-        members = self._take_nodes(listing)
+        self._read_ms = elapsed_ms()
+        members = self._apply_nodes(listing)
         strengths = [item.strength for item in members]
         strongest = max([*strengths, self.state.strength])
         rivals = max(1, strengths.count(strongest))
@@ -200,7 +222,7 @@
             self._observe(keymap_codec.decode_lease(item))
         if not leases and not stale:
             self.state = election.absent(self.state)
-        self._looked.set()
+        self._leader_known.set()
         if not self._registered:
             self._register()
         now_ms = elapsed_ms()
@@ -209,48 +231,48 @@
             gevent.sleep(delay_ms / 1000)  # stronger machines go first
             self._claim(read_again=stale or delay_ms > 0)
 
-    def _look_for_nodes(self) -> None:
-        """Look, while leading, who shares the budgets and queues, as the other nodes do.
+    def _refresh_nodes(self) -> None:
+        """Read, while leading, which nodes share the budgets and queues, as the others do.
 
-        Nodes that know other members take different ones for a queue's dispatcher. The
-        renewals of the lease don't wait for it.
+        Nodes that know different members would choose different dispatchers for a queue.
+        The read runs in a task of its own, so that it does not delay renewals of the lease.
         """
-        if elapsed_ms() - self._looked_ms >= election.LOOK_COVERED_MS:
-            self._looked_ms = elapsed_ms()
+        if elapsed_ms() - self._read_ms >= election.LOOK_COVERED_MS:
+            self._read_ms = elapsed_ms()
             gevent.spawn(self._read_nodes)
 
     def _read_nodes(self) -> None:
         try:
-            self._take_nodes(self._store.list_all(kinds.LEASES, stale=True))
+            self._apply_nodes(self._store.list_all(kinds.LEASES, stale=True))
             if not self._registered:
                 self._register()
         except StoreCallError as error:
-            LOG.warning("Nodes not read.", cause=error)
+            LOG.warning("Objects of the nodes not read.", cause=error)
 
-    def _take_nodes(self, listing: Listing) -> list[Member]:
+    def _apply_nodes(self, listing: Listing) -> list[Member]:
         self._nodes = {
             item.name: item for item in listing.items if item.name.startswith(NODE_PREFIX)
         }
         members = self._read_members()
         self.member_zones = {item.address: item.zone for item in members if item.address}
         missing = NODE_PREFIX + self.state.node not in self._nodes
-        # A stale listing may be from before the registration.
+        # A stale listing may date from before the registration.
         if self._registered and missing and listing.revision >= self._registered_revision:
-            LOG.warning("Node's own object is gone.")
+            LOG.warning("Object of this node is gone from the store.")
             self._registered = False
         return members
 
     def _read_members(self) -> list[Member]:
-        """Return the nodes' own objects; one that another writer spoilt names no node."""
-        members, odd = [], {}
+        """Return the decoded objects of the nodes, without those that are malformed."""
+        members, malformed = [], {}
         for item in self._nodes.values():
             try:
                 members.append(keymap_codec.decode_member(item))
             except UnreadableObjectError as error:
-                odd[item.name] = item.revision
-                if self._odd_nodes.get(item.name) != item.revision:
-                    LOG.error("Node's object not understood.", name=item.name, cause=error)
-        self._odd_nodes = odd
+                malformed[item.name] = item.revision
+                if self._malformed_nodes.get(item.name) != item.revision:
+                    LOG.error("Object of a node is malformed.", name=item.name, cause=error)
+        self._malformed_nodes = malformed
         return members
 
     def _observe(self, lease: LeaseObject) -> None:
@@ -260,16 +282,16 @@
             LOG.warning("Leadership lost.", to=lease.node)
 
     def _register(self) -> None:
-        """Add this node, with its address, to those that share the budgets."""
+        """Write this node's own object, so that the others count it and know its address."""
         name = NODE_PREFIX + self.state.node
         content = keymap_codec.encode_member(self._member)
         known = self._nodes.get(name)
         try:
             if known is None:
                 known = self._store.create(kinds.LEASES, name, content)
-            elif name in self._odd_nodes or keymap_codec.decode_member(known) != self._member:
+            elif name in self._malformed_nodes or keymap_codec.decode_member(known) != self._member:
                 known = self._store.replace(kinds.LEASES, name, content, known.revision)
-        except RevisionConflictError as error:  # an earlier call of this node was late
+        except RevisionConflictError as error:  # an earlier call of this node arrived late
             known = error.current
         self._registered_revision = known.revision if known is not None else 0
         self._registered = True
@@ -281,7 +303,7 @@
                 self._observe(keymap_codec.decode_lease(current))
             else:
                 self.state = election.absent(self.state)
-        now_ms = elapsed_ms()  # it may have resigned, or stopped, since the look
+        now_ms = elapsed_ms()  # this node may have resigned or stopped since the read
         if self._stopped or now_ms < self._not_before_ms:
             return
         if not election.wants_takeover(self.state, now_ms):
@@ -289,29 +311,29 @@
         predecessor = self.state.seen.node
         if self._write_lease(self.state.seen.revision):
             self._led_since_ms = elapsed_ms()
-            # Others may have started beside this node, and not have been there at its look.
-            self._looked_ms = elapsed_ms() - election.LOOK_COVERED_MS + election.LOOK_MS
+            # Nodes that start at the same time may have registered after this node's read.
+            self._read_ms = elapsed_ms() - election.LOOK_COVERED_MS + election.LOOK_MS
             LOG.info("Leadership won.", predecessor=predecessor or "-")
 
     def should_hand_over(self, offered: float) -> bool:
-        """Whether this node leads, and makes way for one that offers its strength."""
+        """Whether this node leads and should hand over to one that offers a strength."""
         led_ms = elapsed_ms() - self._led_since_ms
         return election.should_hand_over(self.state, offered, led_ms)
 
     def hand_over(self) -> None:
-        """Let a stronger node lead."""
+        """Resign in favour of a stronger node."""
         LOG.info("A stronger node is ready to lead.")
         self.resign()
 
     # ---- leading ------------------------------------------------------------------------
 
     def _renew(self) -> None:
-        held = self._write_lease(self.state.seen.revision)
-        if not held and self.state.seen.node != self.state.node:
+        renewed = self._write_lease(self.state.seen.revision)
+        if not renewed and self.state.seen.node != self.state.node:
             LOG.warning("Lease was taken over.", by=self.state.seen.node)
 
     def _write_lease(self, revision: int) -> bool:
-        """Claim or renew by compare-and-set; true when this node holds the lease."""
+        """Claim or renew the lease by compare-and-set; true when this node holds it."""
         self._renewal += 1
         sent_ms = elapsed_ms()
         lease = election.lease_to_write(self.state, self._address, sent_ms)
@@ -319,17 +341,17 @@
         try:
             written = self._put(content, revision)
         except RevisionConflictError as error:
-            return self._settle_conflict(error.current, sent_ms)
+            return self._resolve_conflict(error.current, sent_ms)
         except OutcomeUnknownError:
             current = self._store.get(kinds.LEASES, kinds.LEADER_LEASE)
-            return self._settle_conflict(current, sent_ms)
+            return self._resolve_conflict(current, sent_ms)
         return self._acquire(replace(lease, revision=written.revision), sent_ms, sent_ms)
 
     def _acquire(self, lease: LeaseObject, renewed_ms: float, sent_ms: float) -> bool:
-        """Hold a lease that the store has; false when this node resigned meanwhile."""
+        """Act on a lease that the store accepted; false when this node has resigned since."""
         if self._resigned_ms >= sent_ms:
             self.state = election.observe(self.state, lease, elapsed_ms())
-            self._give_back()
+            self._release_lease()
             return False
         self.state = election.acquired(self.state, lease, renewed_ms)
         return True
@@ -339,28 +361,28 @@
             return self._store.replace(kinds.LEASES, kinds.LEADER_LEASE, content, revision)
         return self._store.create(kinds.LEASES, kinds.LEADER_LEASE, content)
 
-    def _settle_conflict(self, current: VersionedObject | None, sent_ms: float) -> bool:
-        """Learn who holds the lease after a write that did not surely succeed."""
+    def _resolve_conflict(self, current: VersionedObject | None, sent_ms: float) -> bool:
+        """Find out who holds the lease after a conflicting write or one of unknown outcome."""
         if current is None:
-            # A store restored from a snapshot older than the first lease has none.
+            # A store that was restored from a snapshot older than the first lease has no lease.
             led, self.state = self.state.leading, election.absent(self.state)
-            return self._write_over(0) if led else False
+            return self._overwrite(0) if led else False
         lease = keymap_codec.decode_lease(current)
         if lease.is_before(self.state.seen):
             led = self.state.leading
             self._observe(lease)
-            return self._write_over(lease.revision) if led else False
+            return self._overwrite(lease.revision) if led else False
         if (lease.node, lease.life) == self.state.identity and not lease.released:
-            # Our own earlier write arrived: nobody else can have held the lease
-            # since, so it counts from when this one was sent at the latest.
+            # An earlier write of this node arrived: nobody else can have held the lease
+            # since, so it counts from when the present write was sent at the latest.
             renewed_ms = self.state.renewed_ms if self.state.leading else sent_ms
             return self._acquire(lease, renewed_ms, sent_ms)
         self._observe(lease)
         self.state = election.stepped_down(self.state)
         return False
 
-    def _write_over(self, revision: int) -> bool:
-        """Overwrite a lease of an earlier term, which a restored store has."""
+    def _overwrite(self, revision: int) -> bool:
+        """Overwrite a lease of an earlier term, as found in a restored store."""
         LOG.warning("Restored store has an older lease; overwriting it.", term=self.state.seen.term)
         sent_ms = elapsed_ms()
         self._renewal += 1
@@ -375,17 +397,20 @@
         return self._acquire(replace(lease, revision=written.revision), sent_ms, sent_ms)
 
     def step_down(self) -> None:
-        """Stop to lead without a word to the store: another leads already."""
+        """Stop leading without a write to the store, since another node leads already."""
         self.state = election.stepped_down(self.state)
 
     def resign(self, pause_ms: float = RESIGNED_PAUSE_MS) -> None:
-        """Give the lease back, so that another node takes it at once."""
+        """Release the lease, so that another node can claim it at once.
+
+        :param pause_ms: how long this node does not claim it again.
+        """
         self._resigned_ms = elapsed_ms()
         self._not_before_ms = self._resigned_ms + pause_ms
         if self.state.leading:
-            self._give_back()
+            self._release_lease()
 
-    def _give_back(self) -> None:
+    def _release_lease(self) -> None:
         revision = self.state.seen.revision
         lease = election.lease_to_write(self.state, self._address, elapsed_ms(), released=True)
         self.state = election.stepped_down(self.state)
@@ -394,9 +419,9 @@
             content = keymap_codec.encode_lease(lease, self._renewal + 1)
             self._store.replace(kinds.LEASES, kinds.LEADER_LEASE, content, revision)
         except (StoreCallError, RevisionConflictError) as error:
-            LOG.warning("Lease was not given back.", cause=error)
+            LOG.warning("Lease was not released.", cause=error)
 
     def stop(self) -> None:
-        """Take no further part."""
+        """Resign, and take no further part in the election."""
         self._stopped = True
         self.resign()
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -1,7 +1,7 @@
-"""Carries out what the pure :class:`LeaderCore` decides, while this node leads.
+"""Carries out the decisions of :class:`LeaderCore` on key ranges while this node leads.
 
-Each action runs in a task of its own. Whether a grant may still leave is asked
-again when it is about to be sent, after every wait.
+Each action runs in a task of its own. Whether a grant may still be sent is checked again
+right before it is sent, after every wait.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -53,13 +53,21 @@
 READ_RETRY_S = 0.25
 # Reports of nodes come each 0.3 s, and reading those of hundreds takes milliseconds.
 READ_EVERY_MS = 150.0
-# A holder that nobody asked for so long may be well again: only requests for its keys tell.
+# An older rate limit is left out of the plan: its server may accept more again, and only
+# requests for its keys would show that.
 PLANNED_LIMIT_MS = 5000.0
-FORGET_EVERY_MS = 10_000.0  # servers that are gone are dropped so often
+FORGET_EVERY_MS = 10_000.0  # interval at which the state of removed servers is dropped
 
 
 class KeyLeader:
-    """Acts while this node leads; a new one is made for each term."""
+    """Assigns key ranges to servers while this node leads; one instance for each term.
+
+    :param lease_max_ms: longest lease of keys that the platform allows.
+    :param publish: sends a stored map to the other nodes.
+    :param publish_granted: sends a service and the token of a grant that was acknowledged.
+    :param publish_promoted: sends a service, the revision of its map and the tokens of the
+        standbys that were promoted by it.
+    """
 
     def __init__(
         self,
@@ -79,14 +87,14 @@
         self._publish = publish
         self._publish_granted = publish_granted
         self._publish_promoted = publish_promoted
-        self._hold_ms = min(HOLD_MS, lease_max_ms)
-        self._core = LeaderCore(LeaseTiming(self._hold_ms))
+        self._lease_ms = min(HOLD_MS, lease_max_ms)
+        self._core = LeaderCore(LeaseTiming(self._lease_ms))
         self._controls: dict[str, ServerControl] = {}
         self._loads: dict[str, KeyLoad] = {}
         self._answer_times = AnswerTimes()
-        self._rests = RestReports()
+        self._backoffs = RestReports()
         self._readings: dict[str, Reading] = {}
-        self._unreadable: dict[str, int] = {}  # maps that can't be read, by revision
+        self._malformed: dict[str, int] = {}  # revisions of malformed maps, by service
         self._tasks: set[gevent.Greenlet] = set()
         self._finishing = False
         self._handlers: dict[type, Callable[..., None]] = {
@@ -98,7 +106,7 @@
             StepDown: self._step_down,
         }
 
-    # ---- life ---------------------------------------------------------------------------
+    # ---- lifecycle ----------------------------------------------------------------------
 
     def run(self) -> None:
         """Lead until the lease is lost."""
@@ -106,8 +114,8 @@
             term = self._elector.state.seen.term
             self._load_maps()
             next_forget_ms = elapsed_ms() + FORGET_EVERY_MS
-            # Authority may lapse while the store is away. The term goes on once the lease is
-            # renewed: no other node has led meanwhile.
+            # Authority may expire while the store is unreachable. The term goes on once the
+            # lease is renewed, since no other node has led meanwhile.
             while self._elector.state.leading and self._elector.state.seen.term == term:
                 if self._elector.has_authority:
                     self._tick()
@@ -121,10 +129,12 @@
                 control.close()
 
     def finish(self, limit_s: float) -> None:
-        """Begin no more moves, and wait until those that were begun are done.
+        """Begin no more moves, and wait until those under way are complete.
+
+        The next leader repeats a move that is left incomplete. Its keys are unavailable until
+        that leader has the lease and has read the map.
 
-        A move that is left half done is made again by the next leader, and its keys
-        stand still until that one has the lease and has read the map.
+        :param limit_s: longest time to wait.
         """
         self._finishing = True
         end_ms = elapsed_ms() + limit_s * 1000
@@ -151,41 +161,42 @@
                 known = self._directory.settled_keymap(keymap.service)
                 self._core.inherit(known, renewable_ms, elapsed_ms(), same_lives=False)
             for item in items:
-                if item.name not in self._unreadable and keymap_codec.predates_restore(item):
+                if item.name not in self._malformed and keymap_codec.predates_restore(item):
                     LOG.warning("Later key maps may be lost.", service=item.name)
                     self._core.distrust(item.name, others_until_ms)
             return
 
     def _read_maps(self, items: Sequence[VersionedObject]) -> list[KeyMap]:
-        """Return the maps; a service whose map can't be read is left as it is.
+        """Return the maps without the malformed ones.
 
-        Nobody knows who holds its keys, so none may be granted until it can be read.
+        Nobody knows who holds the keys of a service whose map is malformed, so none of them
+        may be granted until the map can be read.
         """
         keymaps = []
         for item in items:
             try:
                 keymaps.append(keymap_codec.decode_keymap(item))
             except UnreadableObjectError as error:
-                LOG.error("Key map not understood.", service=item.name, cause=error)
-                self._unreadable[item.name] = item.revision
+                LOG.error("Key map is malformed.", service=item.name, cause=error)
+                self._malformed[item.name] = item.revision
         return keymaps
 
-    def _is_led(self, service: str) -> bool:
+    def _has_readable_map(self, service: str) -> bool:
         """Whether the service's map could be read, at the start of the term or since."""
-        odd_revision = self._unreadable.get(service)
-        if odd_revision is None:
+        malformed_revision = self._malformed.get(service)
+        if malformed_revision is None:
             return True
         keymap = self._directory.keymaps.get(service)
-        return keymap is not None and keymap.revision > odd_revision
+        return keymap is not None and keymap.revision > malformed_revision
 
     def add_report(self, report: LoadReport) -> None:
-        """Take a node's load report."""
+        """Add a node's load report to what the next plan is based on."""
         now_ms = elapsed_ms()
         for service, keys in report.keys.items():
             self._loads.setdefault(service, KeyLoad()).add(now_ms, keys)
         for server_id, times_ms in report.answer_ms.items():
             self._answer_times.add(server_id, times_ms, now_ms)
-        self._rests.add(report.backing_off, now_ms)
+        self._backoffs.add(report.backing_off, now_ms)
 
     # ---- rounds -------------------------------------------------------------------------
 
@@ -197,7 +208,7 @@
         views = {
             service.name: self._view(service.name, now_ms)
             for service in table.services.values()
-            if service.partitioned and self._is_led(service.name)
+            if service.partitioned and self._has_readable_map(service.name)
         }
         for service in views:
             seen = self._directory.keymaps.get(service)
@@ -218,20 +229,20 @@
     def _forget_gone(self) -> None:
         known = self._core.forget_gone(self._directory.servers.records, elapsed_ms())
         self._answer_times.keep_only(known)
-        self._rests.expire(elapsed_ms())
+        self._backoffs.expire(elapsed_ms())
         for server_id in self._controls.keys() - known:
             self._controls.pop(server_id).close()
 
     def _view(self, service: str, now_ms: float) -> ServiceView:
         servers = self._directory.servers
         records = servers.of_service(service)
-        words = servers.standings.limits
+        announced = servers.standings.limits
         limits = {
-            item.server_id: word.per_s
+            item.server_id: limit.per_s
             for item in records
-            if (word := words.get(item.server_id))
-            and word.per_s < NO_LIMIT
-            and now_ms - word.said_ms < PLANNED_LIMIT_MS
+            if (limit := announced.get(item.server_id))
+            and limit.per_s < NO_LIMIT
+            and now_ms - limit.said_ms < PLANNED_LIMIT_MS
         }
         known = self._readings.get(service)
         if known is None or now_ms - known.taken_ms >= READ_EVERY_MS:
@@ -247,7 +258,7 @@
             {item.server_id for item in records if servers.is_cold(item.server_id, now_ms)},
             self._directory.cold_per_s(service),
             known.silent,
-            self._rests.shedding(self._answer_times.answered_ms, now_ms),
+            self._backoffs.shedding(self._answer_times.answered_ms, now_ms),
             limits,
         )
 
@@ -259,7 +270,7 @@
             task.link_exception(self._action_failed)
 
     def _action_failed(self, task: gevent.Greenlet) -> None:
-        """Let another node lead: an action that broke off leaves its move undone."""
+        """Let another node lead, since the move of a failed action stays incomplete."""
         LOG.error("Action failed.", error=type(task.exception).__name__, cause=task.exception)
         gevent.spawn(self._elector.resign)
 
@@ -272,7 +283,7 @@
         except RevisionConflictError:
             self._read_back(keymap.service)
         except OutcomeUnknownError as error:
-            LOG.warning("Key map: answer lost.", service=keymap.service, cause=error)
+            LOG.warning("Key map may be stored or not.", service=keymap.service, cause=error)
             self._read_back(keymap.service)
         except StoreCallError as error:
             LOG.warning("Key map not stored.", service=keymap.service, cause=error)
@@ -326,54 +337,56 @@
         return control
 
     def _send_grant(self, action: SendGrant) -> None:
-        name = action.range_id
+        range_id = action.range_id
         control = self._control(action.holder)
 
         def may_send() -> bool:
-            right = self._elector.has_authority and self._core.may_send(
-                action.holder, name, action.renewal
+            allowed = self._elector.has_authority and self._core.may_send(
+                action.holder, range_id, action.renewal
             )
-            if right:
+            if allowed:
                 self._core.grant_sent(action.holder, elapsed_ms())
-            return right
+            return allowed
 
-        call = GrantCall(name.first, name.last, name.token, self._hold_ms, action.handover)
+        call = GrantCall(
+            range_id.first, range_id.last, range_id.token, self._lease_ms, action.handover
+        )
         outcome = control.grant(call, may_send, action.renewal)
         self._note_break(action.holder)
         if outcome is CallOutcome.DONE and not action.renewal:
-            self._publish_granted(name.service, name.token)
+            self._publish_granted(range_id.service, range_id.token)
         if outcome not in {CallOutcome.DONE, CallOutcome.NOT_SENT, CallOutcome.UNPROVEN}:
             LOG.warning(
                 "Grant failed.",
                 server=action.holder.server_id,
                 outcome=outcome.value,
-                token=name.token,
+                token=range_id.token,
                 renewal=action.renewal,
             )
         self._execute(self._core.grant_ended(action, outcome, elapsed_ms()))
 
     def _note_break(self, holder: Holder) -> None:
         if self._control(holder).pop_connection_break():
-            LOG.info("Server broke a connection.", server=holder.server_id)
+            LOG.info("Control connection to a server broke.", server=holder.server_id)
             self._core.connection_broke(holder)
 
     def _send_release(self, action: SendRelease) -> None:
-        name = action.range_id
-        call = ReleaseCall(name.first, name.last, name.token)
+        range_id = action.range_id
+        call = ReleaseCall(range_id.first, range_id.last, range_id.token)
         control = self._control(action.holder)
         outcome, handover = control.release(call, lambda: self._elector.has_authority)
         self._note_break(action.holder)
         if outcome in {CallOutcome.NO_ANSWER, CallOutcome.NOT_LISTENING}:
-            LOG.warning("Release failed.", server=action.holder.server_id, token=name.token)
+            LOG.warning("Release failed.", server=action.holder.server_id, token=range_id.token)
         self._execute(self._core.release_ended(action, outcome, handover, elapsed_ms()))
 
     def _forget_server(self, action: ForgetServer) -> None:
         self._directory.note_server_replaced(action.server_id)
 
     def _resign(self, _action: Resign) -> None:
-        LOG.warning("Most servers cannot be reached from here.")
+        LOG.warning("Most servers are unreachable from this node.")
         self._elector.resign()
 
     def _step_down(self, _action: StepDown) -> None:
-        LOG.warning("A newer leader has raised a token.")
+        LOG.warning("Token of a newer leader seen; stepping down.")
         self._elector.step_down()
--- a/ploverhatch/gateway/server_control.py
+++ b/ploverhatch/gateway/server_control.py
@@ -1,4 +1,4 @@
-"""Control calls to one server: grants and releases of keys."""
+"""Control calls to one server, which grant keys to it and release them."""
 
 from collections.abc import Callable
 
@@ -29,11 +29,12 @@
 CONNECT_TIMEOUT_S = 0.3
 GRANT_TIMEOUT_S = 0.6
 RELEASE_TIMEOUT_S = 2.0
-IDLE_MARGIN_S = 0.5  # by which a server may end a connection at rest before the time it stated
+# A server may close an idle connection this much earlier than the timeout it announced.
+IDLE_MARGIN_S = 0.5
 
 
 class _NoAnswerError(ConnectionError):
-    """The call may be carried out, now or later."""
+    """The call got no usable answer; the server may still carry it out."""
 
 
 class _NotListeningError(_NoAnswerError):
@@ -41,30 +42,33 @@
 
 
 class _NotSentError(Exception):
-    """The call was no longer right when it could have been sent."""
+    """The call was not sent, since it was no longer allowed when the connection was open."""
 
 
 class ServerControl:
-    """Calls to one server; one kept connection, others as needed.
+    """Control calls to one server, over one kept connection and others as needed.
 
-    A renewal must reach the life that was granted the keys, or none: the next one at the
-    address has the same id, and would hold keys at a token that did not rise. So it is sent
-    only while no connection to that life was seen to end: the kept one, or the one whose call
-    got no answer, which stays open for that until a later call was answered.
+    A renewal must reach the incarnation of the server that was granted the keys, or none: the
+    next incarnation at the address has the same id, and would hold keys at a token that did
+    not increase. So a renewal is sent only while no connection to that incarnation was seen
+    to close. These are the kept connection and the one whose call got no answer, which stays
+    open for this purpose until a later call is answered.
 
-    ``may_send`` is asked when a connection is there and the call would leave:
-    what it says still holds then, since nothing waits in between. ``heard`` is told what
-    answers say of the server.
+    The argument ``may_send`` of a call is evaluated when a connection is open and the call
+    is about to be sent; nothing waits in between.
+
+    :param on_notice: called with the server's id and the statements about itself that it makes
+        in an answer.
     """
 
     def __init__(
-        self, holder: Holder, dialect: Dialect, heard: Callable[[str, ServerNotice], None]
+        self, holder: Holder, dialect: Dialect, on_notice: Callable[[str, ServerNotice], None]
     ) -> None:
         self._server_id = holder.server_id
         self._address = HostPort(holder.host, holder.port)
         self._host = f"{holder.host}:{holder.port}"
         self._dialect = dialect
-        self._heard = heard
+        self._on_notice = on_notice
         self._kept: HttpConnection | None = None
         self._unanswered: HttpConnection | None = None  # its call got no answer in time
         self._broken = False
@@ -72,17 +76,17 @@
     def grant(
         self, call: GrantCall, may_send: Callable[[], bool], renewal: bool = False
     ) -> CallOutcome:
-        """Grant or renew keys; a renewal only to the life that was granted them."""
+        """Grant or renew keys; a renewal goes only to the incarnation that was granted them."""
         if renewal and self._has_broken():
             return CallOutcome.UNPROVEN
         payload = self._dialect.encode_grant(call, self._server_id, self._host)
 
-        def is_right() -> bool:
-            # Connecting may have taken a while, in which another life began.
+        def still_allowed() -> bool:
+            # Another incarnation may have begun while the connection was opened.
             return may_send() and not (renewal and self._has_broken())
 
         try:
-            self._dialect.read_grant(self._call(payload, GRANT_TIMEOUT_S, is_right))
+            self._dialect.read_grant(self._call(payload, GRANT_TIMEOUT_S, still_allowed))
         except GrantRefusedError:
             return CallOutcome.REFUSED
         except OtherInstanceError:
@@ -94,7 +98,7 @@
         return CallOutcome.DONE
 
     def release(self, call: ReleaseCall, may_send: Callable[[], bool]) -> tuple[CallOutcome, str]:
-        """Take keys back; return the handover too."""
+        """Release keys; return the outcome and the server's handover value, empty for none."""
         payload = self._dialect.encode_release(call, self._server_id, self._host)
         try:
             answer = self._call(payload, RELEASE_TIMEOUT_S, may_send)
@@ -109,7 +113,7 @@
             return CallOutcome.NO_ANSWER, ""
 
     def _call(self, payload: bytes, timeout_s: float, may_send: Callable[[], bool]) -> WireAnswer:
-        connection = self._take()
+        connection = self._acquire()
         if not may_send():
             self._keep(connection)
             raise _NotSentError
@@ -123,18 +127,18 @@
             self._broken = True
             raise _NoAnswerError(str(error)) from error
         if not self._has_broken():
-            self._drop_unanswered()  # this connection shows as much from here on
+            self._drop_unanswered()  # the answered connection serves its purpose from here on
         if connection.reusable:
             self._keep(connection)
         else:
             connection.close()
-            self._connect_again()
+            self._reconnect()
         notice = self._dialect.notice(b"", self._server_id, answer)
         if notice != NOTHING:
-            self._heard(self._server_id, notice)
+            self._on_notice(self._server_id, notice)
         return answer
 
-    def _take(self) -> HttpConnection:
+    def _acquire(self) -> HttpConnection:
         if not self._has_broken() and self._kept is not None:
             connection, self._kept = self._kept, None
             return connection
@@ -149,9 +153,10 @@
         return connection
 
     def pop_connection_break(self) -> bool:
-        """Return whether the server ended a connection since this was asked last.
+        """Return whether the server closed a connection since the last call of this method.
 
-        The next life at the address has the same id, and would take a call for this one.
+        The next incarnation at the address has the same id, and would accept a call that was
+        meant for this one.
         """
         broken, self._broken = self._has_broken(), False
         return broken
@@ -160,7 +165,7 @@
         kept = self._kept
         if kept is not None and not kept.is_quiet():
             idle_s = elapsed_ms() / 1000 - kept.idle_since_s
-            # A server that keeps connections at rest for so long only has said so.
+            # The server announced that it closes connections that are idle for this long.
             announced = 0 < kept.idle_limit_s <= idle_s + IDLE_MARGIN_S
             self._broken = self._broken or not announced
             self._close_kept()
@@ -170,7 +175,7 @@
         return self._broken
 
     def _note_unanswered(self, connection: HttpConnection) -> None:
-        """Keep a connection whose call got no answer, unless an earlier one is kept."""
+        """Keep a connection whose call got no answer, unless an earlier such one is kept."""
         if self._unanswered is not None:
             connection.abort()
             return
@@ -182,10 +187,10 @@
             self._unanswered.abort()
             self._unanswered = None
 
-    def _connect_again(self) -> None:
-        """Connect at once where the answer said that its connection closes.
+    def _reconnect(self) -> None:
+        """Open a connection at once after an answer that closes its own.
 
-        The server has just answered: in the moment until then it does not start again.
+        The server has just answered, so it can hardly have been restarted in between.
         """
         connection = HttpConnection(self._address)
         try:
--- a/tests/functional/test_members.py
+++ b/tests/functional/test_members.py
@@ -61,9 +61,9 @@
         return VersionedObject(name, 20, spec)
 
 
-def look(leases, revision, elector):
+def read_lease(leases, revision, elector):
     leases.revision = revision
-    elector._look()
+    elector._read_lease()
     return leases.created.count("node-n1")
 
 
@@ -71,6 +71,6 @@
 def test_a_node_registers_again_only_where_its_object_is_surely_gone():
     leases = Leases()
     elector = Elector(leases, "n1", "life", "127.0.0.1:1", lambda: None, lambda: None)
-    assert look(leases, 10, elector) == 1
-    assert look(leases, 15, elector) == 1
-    assert look(leases, 25, elector) == 2
+    assert read_lease(leases, 10, elector) == 1
+    assert read_lease(leases, 15, elector) == 1
+    assert read_lease(leases, 25, elector) == 2
