--- a/ploverhatch/gateway/keymap_codec.py
+++ b/ploverhatch/gateway/keymap_codec.py
@@ -1,4 +1,4 @@
-"""The form of key maps and leases in the store: ours, in our own words."""
+"""Encoding of key maps, leases and node objects in the store."""
 
 from typing import TypeVar
 
@@ -21,7 +21,7 @@
 class _StoredRange(msgspec.Struct, array_like=True):
     first: int
     last: int
-    holder: int  # index into the holders
+    holder: int  # an index into the map's holders
     token: int
     settled: bool
     previous: list[int]
@@ -30,7 +30,7 @@
 
     @property
     def named(self) -> list[int]:
-        """Indices of all holders that the range names."""
+        """Indices of all holders that the range refers to."""
         standbys = [index for index, _ in self.standbys]
         return [self.holder, *self.previous, *standbys, *self.former_standbys]
 
@@ -39,13 +39,14 @@
     token: int
     holders: list[_StoredHolder]
     ranges: list[_StoredRange]
-    base: int = 0  # revision that it replaced
+    base: int = 0  # revision of the map that this one replaced
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A node's own object: where it takes datagrams, its zone, and its machine.
+    """A node's own object.
 
-    ``strength`` is how much of what leading takes the machine has, 0 to 1.
+    ``address`` is where the node receives datagrams, as ``host:port``. ``strength`` is the share
+    of the resources that leading takes which its machine has, 0 to 1.
     """
 
     address: str = ""
@@ -65,7 +66,7 @@
 
 
 def encode_keymap(keymap: KeyMap) -> object:
-    """Return the object's content."""
+    """Return the content of a key map's object."""
     holders: dict[Holder, int] = {}
     ranges = [
         _StoredRange(
@@ -88,9 +89,9 @@
 
 
 def decode_keymap(item: VersionedObject) -> KeyMap:
-    """Read a key map.
+    """Decode a key map.
 
-    :raises UnreadableObjectError: when the object has another form.
+    :raises UnreadableObjectError: when the object is malformed.
     """
     stored = _read(item, _StoredMap)
     holders = [Holder(row.server, row.host, row.port) for row in stored.holders]
@@ -117,15 +118,18 @@
 def predates_restore(item: VersionedObject) -> bool:
     """Whether a key map was written before the store was restored from a snapshot.
 
-    Later maps may have been written, of which nothing is left.
+    Maps that were written after the snapshot are lost then.
 
-    :raises UnreadableObjectError: when the object has another form.
+    :raises UnreadableObjectError: when the object is malformed.
     """
     return not same_era(_read(item, _StoredMap).base, item.revision)
 
 
 def encode_lease(lease: LeaseObject, renewal: int) -> object:
-    """Return the object's content."""
+    """Return the content of the lease's object.
+
+    :param renewal: a number that rises with each write, so that every renewal changes the object.
+    """
     return msgspec.to_builtins(
         _StoredLease(
             lease.node,
@@ -141,9 +145,9 @@
 
 
 def decode_lease(item: VersionedObject) -> LeaseObject:
-    """Read a lease.
+    """Decode a lease.
 
-    :raises UnreadableObjectError: when the object has another form.
+    :raises UnreadableObjectError: when the object is malformed.
     """
     stored = _read(item, _StoredLease)
     return LeaseObject(
@@ -164,9 +168,9 @@
 
 
 def decode_member(item: VersionedObject) -> Member:
-    """Return a node's object; its address is empty where an earlier version wrote none.
+    """Decode a node's own object; its address is empty where an earlier version wrote none.
 
-    :raises UnreadableObjectError: when the object has another form.
+    :raises UnreadableObjectError: when the object is malformed.
     """
     return _read(item, Member) if item.spec is not None else Member()
 
--- a/ploverhatch/gateway/keymap_relay.py
+++ b/ploverhatch/gateway/keymap_relay.py
@@ -1,4 +1,4 @@
-"""Key maps as they are told between nodes: what changed since the last one told."""
+"""Key maps as they are relayed between nodes: the ranges that changed since the last one."""
 
 import msgspec
 
@@ -13,18 +13,18 @@
 
 
 class KeymapRelay:
-    """Encodes and takes changes of key maps."""
+    """Encodes and applies changes of key maps."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
-        self._told: dict[str, KeyMap] = {}  # by service, as last told by this node
+        self._relayed: dict[str, KeyMap] = {}  # as last relayed by this node, by service
 
     def change_of(self, keymap: KeyMap) -> ToldChange | None:
-        """Return what to tell of a map; ``None`` when it was told already."""
-        before = self._told.get(keymap.service)
+        """Return the change to relay for a map; ``None`` when it was relayed already."""
+        before = self._relayed.get(keymap.service)
         if before is not None and before.revision >= keymap.revision:
             return None
-        self._told[keymap.service] = keymap
+        self._relayed[keymap.service] = keymap
         if before is None or keymap.service in self._directory.outdated_keymaps:
             # After a restore nodes may know different maps at one revision.
             self._directory.outdated_keymaps.discard(keymap.service)
@@ -35,12 +35,12 @@
         return ToldChange(keymap.service, keymap.revision, content, base=before.revision)
 
     def encode(self, change: ObjectChange) -> ToldChange | None:
-        """Return what to tell of a change that this node's own watch reported."""
+        """Return the change to relay for one that this node's watch reported."""
         keymap = self._directory.keymaps.get(change.object.name)
         return None if change.gone or keymap is None else self.change_of(keymap)
 
     def items(self) -> list[SnapshotItem]:
-        """Return all maps that this node knows, whole."""
+        """Return all known maps in full."""
         nothing = msgspec.Raw(msgspec.msgpack.encode(None))
         return [
             SnapshotItem(service, keymap.revision, _encoded(keymap), nothing)
@@ -48,27 +48,27 @@
         ]
 
     def apply(self, change: ToldChange) -> bool:
-        """Take a change; false when the map that it builds on is not known."""
+        """Apply a relayed change; false when the map that it is based on is not known."""
         if change.gone:
-            return True  # nobody takes a map away while its service is there
+            return True  # nobody removes a map while its service exists
         known = self._directory.keymaps.get(change.name)
         if known is not None and known.revision >= change.revision:
             return True
         try:
-            told = keymap_codec.decode_keymap(
+            relayed = keymap_codec.decode_keymap(
                 VersionedObject(change.name, change.revision, change.spec)
             )
         except UnreadableObjectError as error:
-            LOG.error("Told map not understood.", service=change.name, cause=error)
+            LOG.error("Relayed key map is malformed.", service=change.name, cause=error)
             return False
         if not change.base:
-            return self._directory.put_keymap(told)
-        whole = patched(known, told) if known and known.revision == change.base else None
+            return self._directory.put_keymap(relayed)
+        whole = patched(known, relayed) if known and known.revision == change.base else None
         return whole is not None and self._directory.put_keymap(whole)
 
     def begin_term(self) -> None:
-        """Tell what changes from here on: the others know the same maps, or ask."""
-        self._told = dict(self._directory.keymaps)
+        """Relay only changes from here on: the others know the same maps, or ask for them."""
+        self._relayed = dict(self._directory.keymaps)
 
 
 def _encoded(keymap: KeyMap) -> msgspec.Raw:
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -1,8 +1,8 @@
 """Datagrams between nodes: load reports to the leader, changes and beacons from it.
 
-All of them only save time or calls to the store: what is lost is made up for by
-asking the store. Changes carry the store's revisions, so that an old one never
-replaces a newer one.
+Messages about slots and about requests under which servers crashed travel here too. Loss of
+a datagram costs time or calls to the store, never correctness. Changes carry revisions of the
+store, so that an old one never replaces a newer one.
 """
 
 from collections.abc import Callable, Collection
@@ -37,25 +37,25 @@
 LOG = PartLogger("peer")
 
 REPORT_S = 0.3
-FIRST_REPORT_S = 0.1  # between looks for a leader to report to for the first time
-MAX_KEYS = 400  # of one report and service
-MAX_DATAGRAM = 8192
-PEER_EXPIRY_MS = 3000.0  # a node that reported within that time is told of changes
+FIRST_REPORT_S = 0.1  # interval of checks for a first leader to report to
+MAX_KEYS = 400  # in one report, for each service
+MAX_DATAGRAM = 8192  # bytes
+PEER_EXPIRY_MS = 3000.0  # a node that reported within this time is sent changes
 MEMBERS_EVERY = 4  # every fourth beacon also goes to nodes that do not report
 
 
 class LoadReport(msgspec.Struct, array_like=True, tag=1):
-    """Keys of the requests since the last report, and the answer times they saw.
+    """A node's report to the leader on the requests since the last report.
 
-    ``leaving`` holds the servers that said that they leave, and how long ago, where their
-    records don't say so; ``backing_off`` those that asked this node for a rest, and what is left
-    of it; both in milliseconds. ``limits`` are what servers' answers to this node said of the
-    rate that they take.
+    ``leaving`` holds the servers that announced that they are leaving, and how long ago, where
+    their records don't say so; ``backing_off`` those that asked this node for a backoff, and the
+    time that is left of it; both in milliseconds. ``limits`` holds the rate limits that servers
+    announced in answers to this node.
     """
 
-    keys: dict[str, list[int]]
-    answer_ms: dict[str, list[int]]  # by server
-    stamp_ms: float = 0.0  # when it was sent, on its sender's clock
+    keys: dict[str, list[int]]  # hashes of the requests' keys, by service
+    answer_ms: dict[str, list[int]]  # answer times, by server
+    stamp_ms: float = 0.0  # when the report was sent, on its sender's clock
     strength: float = 0.0  # of the sender's machine if it is ready to lead, else 0
     leaving: dict[str, float] = {}
     backing_off: dict[str, float] = {}
@@ -70,14 +70,21 @@
 
 @dataclass(frozen=True, slots=True)
 class _Peer:
-    """A node's last report: when it was sent, on its clock, and read, on ours."""
+    """A node's last report: when it was sent, on its clock, and received, on this node's."""
 
     stamp_ms: float
-    heard_ms: float
+    received_ms: float
 
 
 class PeerLink:
-    """This node's socket towards the other nodes."""
+    """This node's datagram socket to the other nodes.
+
+    :param address: where to bind the socket.
+    :param collect: returns the next report; called at each interval.
+    :param leader: returns the leader's address, empty when none is known.
+    :param handle_report: receives reports, also this node's own while it leads.
+    :param members: returns the addresses of all known nodes.
+    """
 
     def __init__(
         self,
@@ -91,15 +98,17 @@
         self._beacons = 0
         self._beacon_ms = -1e12
         self._leader_changed = Signal()
-        self._divided = 0  # messages that were longer than a datagram
+        self._divided = 0  # number of messages so far that were longer than a datagram
         self._assembly = packing.Assembly()
         self._collect = collect
         self._leader = leader
         self._handle_report = handle_report
         self._handlers: dict[type, Callable[..., None]] = {LoadReport: handle_report}
-        self._peer_handlers: dict[type, Callable[..., None]] = {}  # ... with the sender's address
+        self._peer_handlers: dict[
+            type, Callable[..., None]
+        ] = {}  # called with the sender's address
         self._own = f"{address.host}:{address.port}"
-        self._peers: dict[Address, _Peer] = {}  # reporters
+        self._peers: dict[Address, _Peer] = {}  # nodes that report to this one
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind(tuple(address))
 
@@ -108,25 +117,25 @@
         """Nodes that reported lately."""
         return frozenset(self._peers)
 
-    def add_handler(self, form: type, handler: Callable[..., None]) -> None:
-        """Have messages of a form taken by ``handler``."""
-        self._handlers[form] = handler
+    def add_handler(self, message_type: type, handler: Callable[..., None]) -> None:
+        """Pass messages of a type to ``handler``."""
+        self._handlers[message_type] = handler
 
-    def add_peer_handler(self, form: type, handler: Callable[..., None]) -> None:
-        """Have messages of a form taken by ``handler``, with their senders' addresses."""
-        self._peer_handlers[form] = handler
+    def add_peer_handler(self, message_type: type, handler: Callable[..., None]) -> None:
+        """Pass messages of a type to ``handler``, with their senders' addresses."""
+        self._peer_handlers[message_type] = handler
 
     def add_slot_handler(self, handler: Callable[[SlotMessage, Address], None]) -> None:
-        """Have messages about slots taken by ``handler``, with their senders' addresses."""
-        for form in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
-            self.add_peer_handler(form, handler)
+        """Pass all messages about slots to ``handler``, with their senders' addresses."""
+        for message_type in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
+            self.add_peer_handler(message_type, handler)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
-        """Send a message to one node."""
+        """Send a message to one node; a longer one than a datagram holds is dropped."""
         self._send(msgspec.msgpack.encode(message), to)
 
     def report_forever(self) -> None:
-        """Report to the leader at a steady pace, also when there is no load."""
+        """Report to the leader at a fixed interval, also when there is no load."""
         while not self._leader():
             gevent.sleep(FIRST_REPORT_S)
         while True:
@@ -142,15 +151,15 @@
     def publish(self, message: Told | Beacon) -> None:
         """Send a message to all nodes that reported lately.
 
-        Some beacons go to all members: a node that cannot read the lease learns
-        from them who leads, and reports there from then on.
+        Some beacons go to all members: a node that cannot read the lease learns from them
+        which node leads, and reports to it from then on.
         """
         if isinstance(message, Beacon):
-            self._call_members(message)
+            self._send_to_members(message)
         datagrams = self._datagrams(message)
         now_ms = elapsed_ms()
         for address, peer in list(self._peers.items()):
-            since_ms = now_ms - peer.heard_ms
+            since_ms = now_ms - peer.received_ms
             if since_ms >= PEER_EXPIRY_MS:
                 del self._peers[address]
                 continue
@@ -161,17 +170,17 @@
                 self._send(data, address)
 
     def _datagrams(self, message: Told | Beacon) -> list[bytes]:
-        """Encode a message; a long one is compressed and divided."""
+        """Return the datagrams of a message; a long one is compressed and divided."""
         data = msgspec.msgpack.encode(message)
         if len(data) <= MAX_DATAGRAM:
             return [data]
         self._divided += 1
         return [msgspec.msgpack.encode(part) for part in packing.divide(self._divided, data)]
 
-    def _call_members(self, beacon: Beacon) -> None:
+    def _send_to_members(self, beacon: Beacon) -> None:
         now_ms = elapsed_ms()
         if now_ms - self._beacon_ms > PEER_EXPIRY_MS:
-            self._beacons = 0  # the first one of a term goes to all
+            self._beacons = 0  # the first beacon of a term goes to all members
         self._beacon_ms = now_ms
         self._beacons += 1
         if self._beacons % MEMBERS_EVERY != 1:
@@ -188,13 +197,13 @@
                 self._socket.sendto(data, tuple(to))
 
     def receive_forever(self) -> None:
-        """Take what other nodes send."""
+        """Receive messages of other nodes and pass them to their handlers."""
         while True:
             try:
                 data, peer = self._socket.recvfrom(MAX_DATAGRAM)
                 message = self._decode(data, peer)
-            except (OSError, ValueError, RecursionError) as error:  # the last: nested deeply
-                LOG.warning("Datagram not read.", cause=error)
+            except (OSError, ValueError, RecursionError) as error:  # RecursionError: nested deeply
+                LOG.warning("Datagram not received, or malformed.", cause=error)
                 continue
             peer_handler = self._peer_handlers.get(type(message))
             if peer_handler is not None:
@@ -215,9 +224,9 @@
     def _decode(
         self, data: bytes, peer: Address
     ) -> LoadReport | Told | Beacon | SlotMessage | CrashMessage | None:
-        """Return a message; ``None`` until the last fragment of a long one came.
+        """Return a message; ``None`` until the last fragment of a long one has arrived.
 
-        :raises ValueError: when it has another form.
+        :raises ValueError: when it is malformed.
         """
         message = msgspec.msgpack.decode(data, type=Message)
         if not isinstance(message, Fragment):
--- a/ploverhatch/gateway/peer_objects.py
+++ b/ploverhatch/gateway/peer_objects.py
@@ -1,8 +1,8 @@
-"""Whole kinds of objects from the leader, for nodes that start or missed changes.
+"""Snapshots of all objects of a kind, from the leader to nodes that start or missed changes.
 
-The leader knows all objects and how current its view is, so a node need not read
-them from the store, where each call is priced and some nodes may be turned away.
-Too long for a datagram, they travel over a TCP connection to the leader.
+The leader knows all objects and how current its view is, so a node need not read them from
+the store, where each call is priced and some nodes may be rejected. Snapshots are too long
+for a datagram, so they are sent over a TCP connection to the leader.
 """
 
 from collections.abc import Callable
@@ -28,14 +28,15 @@
 PATH = b"/objects/"
 TIMEOUT_S = 0.6
 CONNECT_TIMEOUT_S = 0.2
-ASK_AGAIN_MS = 1000.0  # after a leader did not answer
+ASK_AGAIN_MS = 1000.0  # wait after a leader did not answer
 MAX_CONNECTIONS = 256
 
 
 class SnapshotServer:
-    """Answers other nodes.
+    """Serves snapshots to other nodes.
 
-    :param snapshot: returns a kind, or ``None`` where this node can't speak for it.
+    :param snapshot: returns the objects of a kind, or ``None`` where this node doesn't lead or
+        its view of the kind isn't current.
     """
 
     def __init__(self, address: HostPort, snapshot: Callable[[str], Snapshot | None]) -> None:
@@ -45,11 +46,11 @@
         )
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         self._server.stop()
 
     def _answer(self, request: CallerRequest) -> CallerReply:
@@ -62,25 +63,25 @@
 
 
 class SnapshotClient:
-    """Asks the leader.
+    """Fetches snapshots from the leader.
 
-    :param leader: its address; empty when none is known.
+    :param leader: returns the leader's address, empty when none is known.
     :param own: this node's address.
     """
 
     def __init__(self, leader: Callable[[], str], own: str) -> None:
         self._leader = leader
         self._own = own
-        self._failed: dict[str, float] = {}  # kind -> when the leader did not tell it
+        self._failed: dict[str, float] = {}  # when a fetch failed last, by kind
 
     def may_ask(self, kind: str) -> bool:
-        """Whether there is another node to ask, and it did not just fail to answer."""
+        """Whether another node leads, and did not just fail to answer for the kind."""
         leader = self._leader()
-        rested = elapsed_ms() - self._failed.get(kind, -1e12) >= ASK_AGAIN_MS
-        return bool(leader) and leader != self._own and rested
+        waited = elapsed_ms() - self._failed.get(kind, -1e12) >= ASK_AGAIN_MS
+        return bool(leader) and leader != self._own and waited
 
     def fetch(self, kind: str) -> Snapshot | None:
-        """Return all objects of a kind as the leader knows them, or ``None``."""
+        """Return all objects of a kind as the leader knows them; ``None`` after a failure."""
         connection = HttpConnection(HostPort.parse(self._leader()))
         payload = b"GET %s%s HTTP/1.1\r\nConnection: close\r\n\r\n" % (PATH, kind.encode())
         try:
@@ -96,7 +97,7 @@
             ValueError,
             RecursionError,
         ) as error:
-            LOG.info("Leader did not tell.", kind=kind, cause=error)
+            LOG.info("No snapshot received from the leader.", kind=kind, cause=error)
         finally:
             connection.close()
         self._failed[kind] = elapsed_ms()
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -1,7 +1,8 @@
-"""Between nodes: the leader tells changes and beacons, the others take them.
+"""The relay of changes between nodes, which saves calls to the store.
 
-Each node runs one; whether it tells or takes follows from who leads. What may
-be relied on is decided in :mod:`ploverhatch.relay`.
+The leader sends the changes of the store, and beacons that say how current its view is; the
+other nodes apply them. Each node runs one relay, which sends while the node leads.
+:mod:`ploverhatch.relay` decides for how long a node may rely on the leader.
 """
 
 from collections.abc import Callable, Collection, Sequence
@@ -24,23 +25,24 @@
 from ploverhatch.store import kinds
 
 BEACON_S = 0.25
-URGENT_S = 0.03  # grants that end together are told together: each telling goes to all nodes
+# Grants that are acknowledged within this time share one beacon, since each goes to all nodes.
+URGENT_S = 0.03
 FIRST_WAIT_S = 0.8
-OWN_MAPS_MS = 500.0  # until the leader asks itself again whether it still leads
-LEADER_WAIT_S = 0.5  # until it is known at the start who leads
+OWN_MAPS_MS = 500.0  # interval at which the leader checks again whether it still leads
+LEADER_WAIT_S = 0.5  # longest wait at the start for a known leader
 LONG_WAIT_S = 2.0  # shorter than key maps are trusted, and finds dead connections
-PROOF_WAIT_FRACTION = 0.65  # of how old the leader's view may be
-OVERTAKEN_S = 0.05  # a beacon may overtake the changes that it speaks of
-MAX_CHANGES = 200_000  # bytes of changes in one message; what is longer is asked for
+PROOF_WAIT_FRACTION = 0.65  # of the longest age at which the leader's view may be used
+OVERTAKEN_S = 0.05  # a beacon may arrive before the changes that it covers
+MAX_CHANGES = 200_000  # bytes of changes in one message; nodes ask for longer ones
 
 
 class Relay:
-    """One node's part.
+    """Sends or applies changes, depending on whether this node leads.
 
-    :param limit_ms: how old the leader's view may be to be relied on.
-    :param term: the term while this node leads; ``None`` while it does not.
-    :param elector: told of the leader's beacons; knows who leads.
-    :param leader: asks the leader for whole kinds.
+    :param limit_ms: longest age at which the leader's view may be used.
+    :param term: returns the term while this node leads; ``None`` while it does not.
+    :param elector: receives the leader's announcements, and knows who leads.
+    :param leader: fetches snapshots from the leader.
     :param send: sends a message to all nodes that reported lately.
     """
 
@@ -63,19 +65,20 @@
         self._leader = leader
         self._send = send
         self._tasks: dict[str, FeedTask] = {}
-        self._told_reached: dict[str, int] = {}  # by kind, in this term
-        self._urgent = False  # a beacon is about to be sent out of turn
-        self._packed: dict[str, tuple[int, bytes]] = {}  # by kind: revision, objects
+        self._sent_reached: dict[str, int] = {}  # revision sent in this term, by kind
+        self._urgent = False  # a beacon is about to be sent before its time
+        self._packed: dict[str, tuple[int, bytes]] = {}  # revision and objects, by kind
         self._leading = False
 
     def attach(self, tasks: Sequence[FeedTask]) -> None:
-        """Take the tasks that follow the kinds."""
+        """Set the feeds, one for each kind."""
         self._tasks = {task.kind: task for task in tasks}
 
     def watch_wait_s(self, kind: str) -> float:
-        """Return how long a watch waits: each answer of the leader's is a proof.
+        """Return how long a watch waits at the store.
 
-        Not for key maps, which the leader writes itself.
+        A leader's watches wait shorter, since each answer proves that its view is current. Its
+        watch of key maps does not, since it writes them itself.
         """
         if not self._leading or kind == kinds.KEYMAPS:
             return LONG_WAIT_S
@@ -87,12 +90,12 @@
         """Return until when the store need not be asked for a kind."""
         if not self._leading:
             return coverage.covered_until_ms(self._coverage, kind, cursor)
-        if kind == kinds.KEYMAPS and self._told_reached.get(kind, -1) >= 0:
-            return elapsed_ms() + OWN_MAPS_MS  # nobody else writes them
+        if kind == kinds.KEYMAPS and self._sent_reached.get(kind, -1) >= 0:
+            return elapsed_ms() + OWN_MAPS_MS  # only the leader writes key maps
         return float("-inf")
 
     def handle_beacon(self, beacon: Beacon) -> None:
-        """Take the leader's claims."""
+        """Apply a beacon of the leader."""
         now_ms = elapsed_ms()
         self._coverage = coverage.take_beacon(self._coverage, beacon)
         self._elector.note_leader(
@@ -116,7 +119,7 @@
     def _note_keymaps(self) -> None:
         """Trust the key maps for as long as if the store itself had answered.
 
-        So a node that the store turns away goes on by the leader's word.
+        So a node whose calls the store rejects goes on with the leader's relay.
         """
         task = self._tasks[kinds.KEYMAPS]
         current_ms = coverage.current_ms(self._coverage, kinds.KEYMAPS, task.cursor)
@@ -125,11 +128,11 @@
     # ---- whole kinds --------------------------------------------------------------------
 
     def await_leader(self) -> None:
-        """Wait a little until it is known who leads."""
+        """Wait for a limited time until the leader is known."""
         self._elector.await_leader(LEADER_WAIT_S)
 
     def should_ask_leader(self, kind: str, cursor: int) -> bool:
-        """Whether the leader is to be asked for a kind."""
+        """Whether the leader should be asked for all objects of a kind."""
         if self._term() is not None or not self._leader.may_ask(kind):
             return False
         return cursor < 0 or coverage.is_behind(self._coverage, kind, cursor, elapsed_ms())
@@ -140,20 +143,23 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this node tells the others."""
+        """Whether this node leads and relays changes to the others."""
         return self._leading
 
     @property
     def store_unavailable(self) -> bool:
-        """Whether the elector found that the store does not answer, and goes on asking."""
+        """Whether the store does not answer, and the elector polls it."""
         return self._elector.store_unavailable
 
     def valid_until_ms(self, current_ms: float) -> float:
-        """Return until when a view may be relied on that was surely current at a time."""
+        """Return until when a view may be used that was known to be current at a time."""
         return current_ms + self._coverage.limit_ms
 
     def snapshot(self, kind: str) -> Snapshot | None:
-        """Return a kind for another node, while this one leads and its view is current."""
+        """Return all objects of a kind for another node.
+
+        ``None`` unless this node leads and its view is current.
+        """
         task = self._tasks.get(kind)
         if task is None or self._term() is None:
             return None
@@ -164,22 +170,22 @@
         return Snapshot(kind, view.reached, age_ms, self._packed_items(task, view.reached))
 
     def _packed_items(self, task: FeedTask, reached: int) -> bytes:
-        """Return a kind's objects packed; once for all nodes that ask at a revision."""
+        """Return a kind's objects packed, which is done once for each revision."""
         known = self._packed.get(task.kind)
         if known is None or known[0] != reached:
             known = (reached, packing.pack(task.items))
             self._packed[task.kind] = known
         return known[1]
 
-    def handle_update(self, told: Told) -> None:
-        """Take changes from the leader."""
-        task = self._tasks.get(told.kind)
+    def handle_update(self, update: Told) -> None:
+        """Apply changes from the leader."""
+        task = self._tasks.get(update.kind)
         if task is not None and not self._leading:
-            task.apply_update(told)
+            task.apply_update(update)
 
     @property
     def covered(self) -> bool:
-        """Whether the leader's word may be relied on for all kinds right now."""
+        """Whether the leader's relay may be relied on for all kinds now."""
         now_ms = elapsed_ms()
         return bool(self._tasks) and all(
             self.covered_until_ms(task.kind, task.cursor) > now_ms for task in self._tasks.values()
@@ -190,33 +196,33 @@
     def publish_changes(
         self, kind: str, base: int, reached: int, changes: list[ToldChange]
     ) -> None:
-        """Tell what this node read from the store, if it leads."""
+        """Send changes that this node read from the store, if it leads."""
         if self._term() is None:
             return
-        told = self._told_reached.get(kind, -1)
-        if reached > told or changes:
-            self._tell(kind, base, reached, changes)
+        sent_reached = self._sent_reached.get(kind, -1)
+        if reached > sent_reached or changes:
+            self._send_changes(kind, base, reached, changes)
 
     def publish_map(self, keymap: KeyMap) -> None:
-        """Tell a map that this node stored."""
+        """Send a map that this node stored."""
         change = self._keymaps.change_of(keymap)
         if change is not None:
             base = self._view(kinds.KEYMAPS).reached
-            self._tell(kinds.KEYMAPS, base, keymap.revision, [change])
+            self._send_changes(kinds.KEYMAPS, base, keymap.revision, [change])
 
-    def _tell(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
-        self._told_reached[kind] = max(reached, self._told_reached.get(kind, -1))
+    def _send_changes(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+        self._sent_reached[kind] = max(reached, self._sent_reached.get(kind, -1))
         sized = [(change, len(msgspec.msgpack.encode(change))) for change in changes]
-        for told in publisher.in_parts(kind, base, reached, sized, MAX_CHANGES):
-            self._send(told)
+        for update in publisher.in_parts(kind, base, reached, sized, MAX_CHANGES):
+            self._send(update)
 
     def publish_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
-        """Tell soon which standbys were promoted by the map in the store."""
+        """Send a beacon soon, with the standbys that were promoted by the stored map."""
         if self._directory.note_promoted(service, revision, tokens):
             self._beacon_soon()
 
     def publish_granted(self, service: str, token: int) -> None:
-        """Tell soon that a moving range's new holder has it."""
+        """Send a beacon soon, with the grant that the new holder of a moving range acknowledged."""
         self._directory.note_granted(service, [token])
         self._beacon_soon()
 
@@ -226,7 +232,7 @@
             gevent.spawn_later(URGENT_S, self._beacon)
 
     def beacon_forever(self) -> None:
-        """Tell the claims at a steady pace while this node leads."""
+        """Send beacons at a fixed interval while this node leads."""
         while True:
             self._beacon()
             gevent.sleep(BEACON_S)
@@ -235,7 +241,7 @@
         self._urgent = False
         term = self._term()
         if (term is not None) != self._leading:
-            self._change_part(term is not None)
+            self._change_role(term is not None)
         if term is None:
             return
         views = {kind: self._claimed(kind) for kind in self._tasks}
@@ -256,29 +262,28 @@
         )
 
     def _claimed(self, kind: str) -> FeedView:
-        """Return what this node may claim of a kind while it leads.
+        """Return the view of a kind that this node may claim while it leads.
 
-        Only a leader writes key maps, so it knows them all for the rest of its term
-        once it has, though the store answers nobody. Another one that takes over
-        meanwhile waits until this one's authority has ended before keys move without
-        a release.
+        Only a leader writes key maps. Once it has read them it knows them for the rest of its
+        term, even while the store does not answer. Another leader that takes over meanwhile
+        waits until this one's authority has ended before it moves keys without a release.
         """
         view = self._view(kind)
         if kind != kinds.KEYMAPS:
             return view
-        reached = max(view.reached, self._told_reached.get(kind, -1))
-        self._told_reached[kind] = reached
+        reached = max(view.reached, self._sent_reached.get(kind, -1))
+        self._sent_reached[kind] = reached
         return FeedView(reached, elapsed_ms())
 
     def _view(self, kind: str) -> FeedView:
         view = self._tasks[kind].view
         if view.reached < 0:
             return view
-        return replace(view, reached=max(view.reached, self._told_reached.get(kind, -1)))
+        return replace(view, reached=max(view.reached, self._sent_reached.get(kind, -1)))
 
-    def _change_part(self, leading: bool) -> None:
+    def _change_role(self, leading: bool) -> None:
         self._leading = leading
-        self._told_reached.clear()
+        self._sent_reached.clear()
         self._packed.clear()
         self._keymaps.begin_term()
         _nudge(list(self._tasks.values()))
