--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -1,7 +1,7 @@
-"""What a gateway knows: configuration, servers and key maps, as last heard.
+"""The gateway's view of the configuration, the servers and the key maps.
 
-The feeds write it, all others read it. Each part only moves forward: an older
-configuration or key map never replaces a newer one within one life.
+The feeds write it and all other parts read it. An older configuration or key map never
+replaces a newer one while the process runs.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -20,13 +20,15 @@
 
 LOG = PartLogger("directory")
 
-OWN_LIMIT_MS = 1000.0  # a server's word is reported for so long, since reports may be lost
-MOST_LIMITS = 64  # servers whose limits one message holds
-SLOW_MOVE_MS = 400.0  # a move that takes longer waits for a lease to lapse
+# A rate limit that an answer to this node announced is repeated in its reports for this time,
+# since reports may be lost.
+OWN_LIMIT_MS = 1000.0
+MOST_LIMITS = 64  # servers whose rate limits one message holds
+SLOW_MOVE_MS = 400.0  # a move that takes longer waits until a lease expires
 
 
 class Directory:
-    """The present view; ``changed`` is raised on every change.
+    """The present view. The signal ``changed`` is raised on every change.
 
     :param zone_regions: the region of each zone.
     """
@@ -37,18 +39,20 @@
         self.keymaps: dict[str, KeyMap] = {}
         self.servers_known = False
         self.keymaps_known = False
-        self.keymaps_current_ms = elapsed_ms()  # the key maps were surely current then
-        # Services whose maps in the store, restored from a snapshot, are older than those known.
+        self.keymaps_current_ms = elapsed_ms()  # when the key maps were last known to be current
+        # Services whose maps in a restored store are older than the known ones.
         self.outdated_keymaps: set[str] = set()
         # Tokens of moving ranges whose new holder acknowledged the grant, by service.
         self.granted: dict[str, frozenset[int]] = {}
-        # Tokens of standbys that were promoted by the maps known, by service.
+        # Tokens of standbys that were promoted by the known maps, by service.
         self.promoted: dict[str, frozenset[int]] = {}
-        self._told_promoted: dict[str, tuple[int, Collection[int]]] = {}  # by a map's revision
-        self._heard_limits: dict[str, float] = {}  # by server: when it last spoke of its limit
-        self._told_limit = ""  # the last server whose word was told
+        # As the leader announced them: by service, a map's revision and the promoted tokens.
+        self._announced_promoted: dict[str, tuple[int, Collection[int]]] = {}
+        # When an answer to this node last announced a server's rate limit, by server.
+        self._own_limits_ms: dict[str, float] = {}
+        self._last_relayed_limit = ""  # the server whose rate limit was relayed last
         self._table: RouteTable | None = None
-        # Since when ranges move, by service and token.
+        # When ranges began to move, by service and token.
         self._moving_since_ms: dict[str, dict[int, float]] = {}
 
     @property
@@ -57,26 +61,26 @@
         return self._table
 
     def client_limits(self) -> ClientLimits:
-        """What callers may send."""
+        """Return the limits of requests; the defaults before the first configuration."""
         return self._table.limits if self._table else ClientLimits()
 
     def apply_table(self, table: RouteTable) -> None:
-        """Take a configuration unless a newer one is in force."""
+        """Put a configuration in force unless its version is in force or a newer one is."""
         if self._table is not None and table.version <= self._table.version:
             return
         self._table = table
-        LOG.info("Configuration taken.", version=table.version)
+        LOG.info("Configuration applied.", version=table.version)
         self.changed.raise_()
 
     def put_server(self, record: ServerRecord) -> None:
-        """Take a server's record."""
+        """Add or replace a server's record."""
         known = self.servers.records.get(record.server_id)
         before = self.servers.put(record, elapsed_ms())
         if before:
-            LOG.warning("Server has started again.", server=record.server_id, before=before)
+            LOG.warning("Server was restarted.", server=record.server_id, before=before)
         if known is None or known.draining != record.draining:
             LOG.info(
-                "Server heard of.",
+                "Server record received.",
                 server=record.server_id,
                 service=record.service,
                 draining=record.draining,
@@ -84,59 +88,67 @@
         self.changed.raise_()
 
     def remove_server(self, name: str) -> None:
-        """The record of a server is gone, by its registered name."""
+        """Remove a server whose record is gone from the store, by its registered name."""
         self.servers.remove(name, elapsed_ms())
-        LOG.info("Server record gone.", server=name)
+        LOG.info("Server record removed.", server=name)
         self.changed.raise_()
 
     def apply_notice(
         self, server_id: str, notice: ServerNotice, asked_ms: float | None = None
     ) -> None:
-        """An answer to this node says something of its server.
+        """Apply the statements of a server about itself in an answer to this node.
 
-        :param asked_ms: when the request was sent; now where that is not known.
+        :param asked_ms: when the request was sent; ``None``: now.
         """
-        news = self.servers.take_notice(server_id, notice, elapsed_ms(), asked_ms)
-        if news.leaving:
-            LOG.info("Server says that it leaves.", server=server_id, by="its-answer")
-        if news.rest_ms:
-            LOG.info("Server asks for rest.", server=server_id, for_ms=round(news.rest_ms))
+        new = self.servers.take_notice(server_id, notice, elapsed_ms(), asked_ms)
+        if new.leaving:
+            LOG.info("Server announced that it is leaving.", server=server_id, by="its-answer")
+        if new.rest_ms:
+            LOG.info("Server asked for a backoff.", server=server_id, for_ms=round(new.rest_ms))
         if notice.limit_per_s is not None and server_id in self.servers.standings.limits:
-            self._heard_limits[server_id] = elapsed_ms()
-        if news.limit_per_s is not None:
-            self._log_limit(server_id, news.limit_per_s, "its-answer")
-        if news != NOTHING:
+            self._own_limits_ms[server_id] = elapsed_ms()
+        if new.limit_per_s is not None:
+            self._log_limit(server_id, new.limit_per_s, "its-answer")
+        if new != NOTHING:
             self.changed.raise_()
 
     def _log_limit(self, server_id: str, per_s: float, by: str) -> None:
         if per_s == NO_LIMIT:
-            LOG.info("Server names no limit any more.", server=server_id, by=by)
+            LOG.info("Server announced no rate limit any more.", server=server_id, by=by)
         else:
-            LOG.info("Server names a limit.", server=server_id, per_s=f"{per_s:g}", by=by)
+            LOG.info("Server announced a rate limit.", server=server_id, per_s=f"{per_s:g}", by=by)
 
     def note_leaving(self, ages_ms: Mapping[str, float], by: str) -> None:
-        """Another node tells which servers said that they leave, and how long ago."""
+        """Note servers that announced to another node that they are leaving.
+
+        :param ages_ms: how long ago each server announced it.
+        :param by: the source of the information, for the log.
+        """
         now_ms = elapsed_ms()
         for server_id, age_ms in ages_ms.items():
             if self.servers.hear_leaving(server_id, now_ms - age_ms, now_ms):
                 LOG.info(
-                    "Server says that it leaves.",
+                    "Server announced that it is leaving.",
                     server=server_id,
                     by=by,
                     age_ms=round(age_ms),
                 )
                 self.changed.raise_()
 
-    def note_rate_limits(self, told: ToldLimits, by: str) -> None:
-        """Another node tells what servers said of the rate that they take."""
+    def note_rate_limits(self, limits: ToldLimits, by: str) -> None:
+        """Note rate limits that servers announced to another node.
+
+        :param limits: requests a second and age in milliseconds, by server.
+        :param by: the source of the information, for the log.
+        """
         now_ms = elapsed_ms()
-        for server_id, (per_s, age_ms) in told.items():
+        for server_id, (per_s, age_ms) in limits.items():
             if self.servers.hear_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
                 self._log_limit(server_id, per_s, by)
                 self.changed.raise_()
 
     def rate_limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
-        """Return what some servers said of the rate that they take, as far as is known."""
+        """Return the known rate limits of some servers, with their ages."""
         limits, now_ms = self.servers.standings.limits, elapsed_ms()
         return {
             name: (limits[name].per_s, now_ms - limits[name].said_ms)
@@ -145,26 +157,29 @@
         }
 
     def own_rate_limits(self) -> ToldLimits:
-        """Return what answers to this node said lately, for the leader."""
+        """Return the rate limits that answers to this node announced lately, for the leader."""
         now_ms = elapsed_ms()
-        self._heard_limits = {
-            name: heard_ms
-            for name, heard_ms in self._heard_limits.items()
-            if now_ms - heard_ms < OWN_LIMIT_MS
+        self._own_limits_ms = {
+            name: announced_ms
+            for name, announced_ms in self._own_limits_ms.items()
+            if now_ms - announced_ms < OWN_LIMIT_MS
         }
-        latest = sorted(self._heard_limits, key=self._heard_limits.__getitem__)
+        latest = sorted(self._own_limits_ms, key=self._own_limits_ms.__getitem__)
         return self.rate_limits_of(latest[-MOST_LIMITS:])
 
     def next_rate_limits(self) -> ToldLimits:
-        """Return the words to tell next; all are told in turn, since messages are short."""
+        """Return the rate limits to relay next; all get their turn, since messages are short."""
         known = sorted(self.servers.standings.limits)
-        after = [name for name in known if name > self._told_limit]
-        told = [*after, *known][: min(MOST_LIMITS, len(known))]
-        self._told_limit = told[-1] if told else ""
-        return self.rate_limits_of(told)
+        after = [name for name in known if name > self._last_relayed_limit]
+        chosen = [*after, *known][: min(MOST_LIMITS, len(known))]
+        self._last_relayed_limit = chosen[-1] if chosen else ""
+        return self.rate_limits_of(chosen)
 
     def leaving_ages_ms(self) -> dict[str, float]:
-        """Return the servers that said that they leave and whose records don't, and when."""
+        """Return how long ago servers announced that they are leaving.
+
+        Servers whose records say that they drain are left out.
+        """
         now_ms, records = elapsed_ms(), self.servers.records
         return {
             name: now_ms - ms
@@ -173,15 +188,16 @@
         }
 
     def replace_servers(self, records: list[ServerRecord]) -> None:
-        """Take a whole listing of servers."""
+        """Replace all servers by those of a listing."""
         self.servers.replace_all(records, elapsed_ms())
         self.servers_known = True
         self.changed.raise_()
 
     def set_evacuated(self, zones: Collection[str]) -> None:
-        """Take the zones whose servers are to get nothing.
+        """Set the zones whose servers must not be sent requests.
 
-        Servers of a zone that is taken back count as cold for as long as after a start.
+        When the evacuation of a zone is over, its servers count as cold for as long as after
+        a start.
         """
         now_ms = elapsed_ms()
         before = self.servers.evacuated
@@ -192,16 +208,16 @@
         for zone in sorted(self.servers.evacuated - before):
             LOG.info("Zone is evacuated.", zone=zone)
         for zone in sorted(before - self.servers.evacuated):
-            LOG.info("Zone is taken back.", zone=zone)
+            LOG.info("Zone is no longer evacuated.", zone=zone)
         self.changed.raise_()
 
     def cold_per_s(self, service: str) -> float:
-        """Return how many requests a second a cold server of a service sustains; 0: no bound."""
+        """Return the requests a second that a cold server of a service sustains; 0: unbounded."""
         known = self._table.services.get(service) if self._table else None
         return known.cold_per_s if known else 0.0
 
     def note_server_replaced(self, server_id: str) -> None:
-        """Another server answered at the address: this one has surely ended."""
+        """Forget the address of a server, since another server has answered there."""
         if server_id in self.servers.records:
             LOG.warning("Address belongs to another server now.", server=server_id)
             self.servers.forget_address(server_id)
@@ -209,15 +225,15 @@
 
     @property
     def keymaps_trusted(self) -> bool:
-        """Whether requests may go where the key maps say."""
+        """Whether the key maps are current enough to route requests by them."""
         return view.view_is_trusted(self.keymaps_current_ms, elapsed_ms())
 
     def note_keymaps(self, current_ms: float) -> None:
-        """The key maps were surely current at a time, on the elapsed clock."""
+        """Note that the key maps were current at a time, on the elapsed clock."""
         self.keymaps_current_ms = max(self.keymaps_current_ms, current_ms)
 
     def put_keymap(self, keymap: KeyMap) -> bool:
-        """Take a key map unless it or a newer one is known; true if it was taken."""
+        """Use a key map unless it or a newer one is known; true if it was new."""
         known = self.keymaps.get(keymap.service)
         if known is not None and keymap.revision <= known.revision:
             return False
@@ -232,16 +248,17 @@
             self.outdated_keymaps.add(keymap.service)
         self.promoted.pop(keymap.service, None)
         self._use_keymap(keymap)
-        # The leader's beacon may have overtaken the map.
-        self.note_promoted(keymap.service, *self._told_promoted.get(keymap.service, (0, ())))
+        # The leader's beacon may have arrived before the map.
+        self.note_promoted(keymap.service, *self._announced_promoted.get(keymap.service, (0, ())))
         return True
 
     def note_promoted(self, service: str, revision: int, tokens: Collection[int]) -> bool:
-        """The leader has promoted standbys by a map while the store takes none.
+        """Note standbys that the leader promoted while the store accepts no new map.
 
-        :returns: whether that is news, for the map that is known.
+        :param revision: revision of the map that names the standbys.
+        :returns: whether a promotion was new for the known map.
         """
-        self._told_promoted[service] = (revision, tokens)
+        self._announced_promoted[service] = (revision, tokens)
         keymap = self.keymaps.get(service)
         known = self.promoted.get(service, frozenset())
         if keymap is None or keymap.revision != revision or known.issuperset(tokens):
@@ -262,18 +279,18 @@
         self.changed.raise_()
 
     def note_granted(self, service: str, tokens: Iterable[int]) -> None:
-        """New holders have acknowledged ranges that move, though no map says so yet.
+        """Note moving ranges that their new holders acknowledged before a map says so.
 
-        A token names one grant for ever, so it does not matter who tells it, or when.
+        A token is used for one grant only, so this holds whoever reports it and when.
         """
         known = self.granted.get(service, frozenset())
-        news = frozenset(tokens) - known
-        if news:
-            self._keep_granted(service, known | news)
+        new = frozenset(tokens) - known
+        if new:
+            self._keep_granted(service, known | new)
             self.changed.raise_()
 
     def _keep_granted(self, service: str, tokens: frozenset[int]) -> None:
-        """Keep the tokens of ranges that move, or that are newer than the map."""
+        """Keep those of the tokens whose ranges move, or which are newer than the map."""
         keymap = self.keymaps.get(service)
         if keymap is not None:
             moving = {item.token for item in keymap.moving}
@@ -281,9 +298,9 @@
         self.granted[service] = tokens
 
     def settled_keymap(self, service: str) -> KeyMap:
-        """Return the map known, with the ranges settled that their new holders acknowledged.
+        """Return the known map, with the ranges settled that their new holders acknowledged.
 
-        A holder acknowledges a grant after all previous ones have released or lapsed.
+        A holder acknowledges a grant after all previous ones have been released or expired.
         """
         return settle(self.keymaps[service], lambda item: self.is_granted(service, item))
 
@@ -292,11 +309,11 @@
         return item.settled or item.token in self.granted.get(service, ())
 
     def moves_slowly(self, service: str, token: int) -> bool:
-        """Whether a range has moved for longer than a move takes whose holder answers."""
+        """Whether a move has taken longer than one does where the previous holder answers."""
         since_ms = self._moving_since_ms.get(service, {}).get(token)
         return since_ms is not None and elapsed_ms() - since_ms > SLOW_MOVE_MS
 
     def expire_servers(self) -> None:
-        """Drop vanished servers whose grace is over."""
+        """Drop servers without a record whose grace period is over."""
         if self.servers.expire(elapsed_ms()):
             self.changed.raise_()
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a gateway process together, and ends it in order."""
+"""Assembles the parts of a gateway process, runs its tasks and stops it."""
 
 import os
 import random
@@ -60,17 +60,21 @@
 METRICS_PATH = b"/metrics"
 HOUSEKEEPING_S = 0.25
 LEADER_POLL_S = 0.1
-INCARNATION_BYTES = 6  # of the name of one life of the process
-# A watch that has reported is asked again after a pause: the first one where it
-# told something new, the second one where all was known, as from the leader.
+INCARNATION_BYTES = 6  # random bytes in the name of one incarnation of the process
+# Changes that a watch reports and that are all known came over the leader's relay before.
 SERVERS_PAUSES = Pauses(after_new_s=0.25, after_known_s=0.25)
 KEYMAPS_PAUSES = Pauses(after_new_s=0.1, after_known_s=1.0)
-# For moves under way when their leader stops: a release ends with what its server runs.
+# For moves under way when their leader stops: a server answers a release once the requests
+# that it runs for the keys are done.
 MOVES_LIMIT_S = 1.0
 
 
 class Gateway:
-    """One gateway process."""
+    """One gateway process.
+
+    :param source: where the settings are read again on a reload.
+    :param translation: reads the platform's forms of configuration and server records.
+    """
 
     def __init__(
         self,
@@ -86,11 +90,11 @@
         self._dialect = dialect
         self._translation = translation
         self._draining = False
-        self._servers_revision = -1  # the latest that was listed
+        self._servers_revision = -1  # latest revision of a server's record
         self._stopped = Event()
         self._leader: KeyLeader | None = None
         self._tasks: list[gevent.Greenlet] = []
-        self._standstill = SuspensionWatch(self._woke)
+        self._suspension = SuspensionWatch(self._resumed)
         self.directory = Directory(settings.zone_regions)
         self._pool = UpstreamPool(settings.zone)
         self._budget = SharedRetryBudget(
@@ -112,7 +116,7 @@
             peer_address,
             self._collect_load,
             lambda: self._elector.leader_address,
-            self._take_load,
+            self._handle_load,
             lambda: self._elector.members,
         )
         self._slots = SharedSlots(
@@ -133,7 +137,7 @@
             self._elector.await_leader,
             lambda: self.leads,
             permits,
-            lambda: self._standstill.ran_until_ms,
+            lambda: self._suspension.ran_until_ms,
         )
         self._held_requests = HeldRequests(store, self._quarantine, lambda: self.leads)
         self._peers.add_peer_handler(TrialAsk, permits.take_ask)
@@ -166,7 +170,7 @@
         self._peers.add_handler(Beacon, self._relay.handle_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
-            for feed in self._followed(keymap_relay)
+            for feed in self._make_feeds(keymap_relay)
         ]
         self._relay.attach(self._feeds)
         self._callers = CallerServer(
@@ -181,7 +185,7 @@
             settings.readiness, self._answer_readiness, self.directory.client_limits
         )
 
-    # ---- life -------------------------------------------------------------------------
+    # ---- lifecycle --------------------------------------------------------------------
 
     def run(self) -> None:
         """Serve until stopped by SIGTERM."""
@@ -197,35 +201,35 @@
         self._stopped.wait()
 
     def _jobs(self) -> list[tuple[str, Callable[[], None], Callable[[], None] | None]]:
-        """Return each task's name, its work, and what to do when it fails."""
+        """Return each task's name, its function, and a function to call when it fails."""
         return [
             *((f"feed-{feed.kind}", feed.run, None) for feed in self._feeds),
             ("beacons", self._relay.beacon_forever, None),
             ("elector", self._elector.run, None),
-            # Another node leads while this one cannot.
+            # After a failure another node should lead.
             ("leader", self._lead_when_elected, self._elector.resign),
             ("reports", self._peers.report_forever, None),
             ("datagrams", self._peers.receive_forever, None),
             ("slots", self._slots.expire_forever, None),
             ("quarantine", self._quarantine.ask_forever, None),
             ("held-requests", self._held_requests.run, None),
-            ("suspension", self._standstill.run, None),
-            ("housekeeping", self._keep_house, None),
+            ("suspension", self._suspension.run, None),
+            ("housekeeping", self._run_housekeeping, None),
             ("pool", self._sync_pool, None),
         ]
 
     def reload(self) -> None:
-        """Read the settings again; wrong ones change nothing.
+        """Read the settings again; invalid ones change nothing.
 
-        Addresses and names hold for the life of the process.
+        Addresses and names stay as they are while the process runs.
         """
         try:
             settings = self._source.read()
         except SettingsError as error:
-            LOG.error("Settings not taken.", cause=error)
+            LOG.error("Settings not applied.", cause=error)
             return
         if settings != self._settings:
-            LOG.info("Settings taken.")
+            LOG.info("Settings applied.")
         self._settings = settings
         self._callers.keep_alive_s = caller_rest_s(settings.grace_s * 1000)
         self._budget.ratio = settings.retry_ratio
@@ -234,11 +238,11 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this node leads right now."""
+        """Whether this node leads now."""
         return self._elector.has_authority
 
     def abort(self) -> None:
-        """End at once, as a kill would, for tests within one process."""
+        """Stop at once without a drain, as after a kill; for tests within one process."""
         gevent.killall(self._tasks)
         self._callers.stop()
         self._readiness.stop()
@@ -247,39 +251,39 @@
         self._stopped.set()
 
     def drain(self) -> None:
-        """Stop as planned."""
+        """Carry out a planned stop (graceful shutdown)."""
         if self._draining:
             return
         self._draining = True
         plan = PlannedStop.after_standing(
-            elapsed_ms(), self._standstill.ran_until_ms, self._settings.grace_s * 1000
+            elapsed_ms(), self._suspension.ran_until_ms, self._settings.grace_s * 1000
         )
         stop = StopSequence(plan, self._callers, self._forwarder, self._slots, self._leave)
         try:
             stop.run()
-            # What the last requests showed is known to this node alone until it is told.
+            # Only this node knows of the crashes under its last requests until it reports them.
             self._quarantine.tell_now()
-        finally:  # a fault in between must not keep the process
+        finally:  # the process must end also after an error
             self._stopped.set()
 
     def _leave(self) -> None:
-        """Finish the moves of keys that were begun, then give the lease back."""
+        """Complete the moves of keys that were begun, then release the leader's lease."""
         if self._leader is not None:
             self._leader.finish(MOVES_LIMIT_S)
         self._elector.stop()
 
     # ---- feeds ------------------------------------------------------------------------
 
-    def _followed(self, keymap_relay: KeymapRelay) -> list[Feed]:
-        evacuations = Feed(kinds.EVACUATIONS, self._take_evacuations, self._change_evacuation)
+    def _make_feeds(self, keymap_relay: KeymapRelay) -> list[Feed]:
+        evacuations = Feed(kinds.EVACUATIONS, self._apply_evacuations, self._change_evacuation)
         return [
-            # A kind costs calls to the store, so it is followed only where it is in use.
+            # A feed costs calls to the store, so this one runs only where it is in use.
             *([evacuations] if self._settings.evacuate_ms else []),
-            Feed(kinds.CONFIGURATION, self._take_configurations, self._change_configuration),
-            Feed(kinds.SERVERS, self._take_servers, self._change_server, SERVERS_PAUSES),
+            Feed(kinds.CONFIGURATION, self._apply_configurations, self._change_configuration),
+            Feed(kinds.SERVERS, self._apply_servers, self._change_server, SERVERS_PAUSES),
             Feed(
                 kinds.KEYMAPS,
-                self._take_keymaps,
+                self._apply_keymaps,
                 self._change_keymap,
                 KEYMAPS_PAUSES,
                 keymap_relay.encode,
@@ -297,7 +301,7 @@
             return None
         return Term(state.seen.revision, state.renewed_ms)
 
-    def _take_configurations(self, items: tuple[VersionedObject, ...]) -> None:
+    def _apply_configurations(self, items: tuple[VersionedObject, ...]) -> None:
         for item in items:
             table = self._translation.configuration(item)
             if table is not None:
@@ -305,10 +309,10 @@
 
     def _change_configuration(self, change: ObjectChange) -> bool:
         if not change.gone:
-            self._take_configurations((change.object,))
+            self._apply_configurations((change.object,))
         return True
 
-    def _take_servers(self, items: tuple[VersionedObject, ...]) -> None:
+    def _apply_servers(self, items: tuple[VersionedObject, ...]) -> None:
         self._note_servers_revision(max((item.revision for item in items), default=-1))
         records = [self._translation.server(item) for item in items]
         self.directory.replace_servers([record for record in records if record is not None])
@@ -326,11 +330,11 @@
         if record is not None:
             self.directory.put_server(record)
         else:
-            # Another writer's entry in place of a server's names none to send requests to.
+            # The record is gone, or replaced by an entry of a foreign writer.
             self.directory.remove_server(change.object.name)
         return True
 
-    def _take_evacuations(self, items: tuple[VersionedObject, ...]) -> None:
+    def _apply_evacuations(self, items: tuple[VersionedObject, ...]) -> None:
         self.directory.set_evacuated({item.name for item in items})
 
     def _change_evacuation(self, change: ObjectChange) -> bool:
@@ -339,20 +343,20 @@
         self.directory.set_evacuated(zones - zone if change.gone else zones | zone)
         return True
 
-    def _take_keymaps(self, items: tuple[VersionedObject, ...]) -> None:
+    def _apply_keymaps(self, items: tuple[VersionedObject, ...]) -> None:
         for item in items:
-            self._take_keymap(item)
+            self._apply_keymap(item)
         self.directory.keymaps_known = True
 
     def _change_keymap(self, change: ObjectChange) -> bool:
-        return change.gone or self._take_keymap(change.object)
+        return change.gone or self._apply_keymap(change.object)
 
-    def _take_keymap(self, item: VersionedObject) -> bool:
-        """Take a map; one that can't be read leaves the last one in force."""
+    def _apply_keymap(self, item: VersionedObject) -> bool:
+        """Use a map; a malformed one leaves the last one in force."""
         try:
             return self.directory.put_keymap(keymap_codec.decode_keymap(item))
         except UnreadableObjectError as error:
-            LOG.error("Key map not understood.", service=item.name, cause=error)
+            LOG.error("Key map is malformed.", service=item.name, cause=error)
             return True
 
     def _store_lost(self) -> None:
@@ -370,8 +374,8 @@
         for feed in self._feeds:
             feed.wake()
 
-    def _woke(self) -> None:
-        """The machine was suspended: what waited for a time that is over goes on."""
+    def _resumed(self) -> None:
+        """End waits whose time has passed during a suspension of the machine."""
         self._forwarder.end_overdue()
         self._elector.note_resumed()
         self._read_again()
@@ -383,7 +387,7 @@
             self._pool.sync(self.directory.servers.records)
             self.directory.changed.wait(HOUSEKEEPING_S)
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         while True:
             gevent.sleep(HOUSEKEEPING_S)
             self.directory.expire_servers()
@@ -411,10 +415,10 @@
             gevent.sleep(LEADER_POLL_S)
 
     def _other_nodes(self) -> set[Address]:
-        """Return the addresses of all nodes known: by the store, by themselves, as leader."""
+        """Return the addresses of all known nodes: from the store, of reporters, the leader's."""
         known = {*self._elector.members, self._elector.leader_address} - {"", self._elector.address}
-        named = {HostPort.parse(address) for address in known}
-        return {(address.host, address.port) for address in named} | self._peers.peers
+        parsed = {HostPort.parse(address) for address in known}
+        return {(address.host, address.port) for address in parsed} | self._peers.peers
 
     def _other_leader(self) -> Address | None:
         """Return the leader's address, unless there is none or this node leads."""
@@ -442,12 +446,12 @@
 
     @property
     def _partitioned(self) -> frozenset[str]:
-        """Services that are divided by key."""
+        """Names of the services whose servers own keys."""
         table = self.directory.table
         services = table.services.values() if table else ()
         return frozenset(service.name for service in services if service.partitioned)
 
-    def _take_load(self, report: LoadReport) -> None:
+    def _handle_load(self, report: LoadReport) -> None:
         self.directory.note_leaving(report.leaving, "another-node")
         self.directory.note_rate_limits(report.limits, "another-node")
         if self._leader is not None:
@@ -459,7 +463,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers can be served."""
+        """Whether this node can serve callers."""
         table = self.directory.table
         if self._draining or table is None or not self.directory.servers_known:
             return False
--- a/ploverhatch/gateway/supervisor.py
+++ b/ploverhatch/gateway/supervisor.py
@@ -1,7 +1,7 @@
-"""Keeps the tasks of a process running, whatever one of them runs into.
+"""Restarts tasks of the process that fail.
 
-A task that ends by an unexpected error is a fault of ours. The rest of the
-process still serves callers, so it is logged and the task starts anew.
+A task that ends by an unexpected error is a programming error. The rest of the process still
+serves callers, so the error is logged and the task starts again.
 """
 
 from collections.abc import Callable
@@ -18,10 +18,9 @@
 def run_forever(
     name: str, job: Callable[[], None], failed: Callable[[], None] | None = None
 ) -> None:
-    """Run a job; run it again after a pause when it raises.
+    """Run a job until it returns, and run it again after a pause each time it raises.
 
-    :param name: for the log.
-    :param job: ends only when it should.
+    :param name: name of the task in the log.
     :param failed: called after each failure, before the pause.
     """
     while True:
--- a/ploverhatch/gateway/suspension.py
+++ b/ploverhatch/gateway/suspension.py
@@ -1,8 +1,9 @@
-"""Notices that the process stood still, alone or with its machine.
+"""Detects that the process was suspended, alone or with its machine.
 
-Timers stand still while the machine does, so each is late by as long as it slept. What
-holds for other machines is judged by the elapsed clock, whenever it is used; this only
-wakes those who would sleep on. A signal that was sent meanwhile is handled afterwards.
+Timers do not advance while the machine is suspended, so each is late by the length of the
+suspension. Times that also hold for other machines are read from the elapsed clock, which
+counts suspensions; this module only wakes tasks that would otherwise wait on. A signal that
+was sent during a suspension is handled after it.
 """
 
 from collections.abc import Callable
@@ -14,46 +15,49 @@
 
 LOG = PartLogger("suspension")
 
-LOOK_S = 0.1
-LEAST_MS = 50.0  # shorter than the waits that it would end
-STILL_MS = 400.0  # between looks: a busy process is late by less
-JUST_MS = 200.0  # a signal that waited is handled so soon after
+CHECK_INTERVAL_S = 0.1
+MIN_SUSPENSION_MS = 50.0  # shorter than the waits that a suspension prolongs
+STALL_MS = 400.0  # between checks; those of a busy process are late by less
+SIGNAL_DELAY_MS = 200.0  # within which a pending signal is handled after a suspension
 
 
 class SuspensionWatch:
     """Compares the clock that counts suspensions with the one that does not.
 
-    :param woke: called after each suspension of the machine.
+    :param resumed: called after each suspension of the machine.
     """
 
-    def __init__(self, woke: Callable[[], None]) -> None:
-        self._woke = woke
-        self._known_ms = suspended_ms()
-        self._looked_ms = elapsed_ms()
-        self._stood_ms = (0.0, 0.0)  # from when until when the process stood still last
+    def __init__(self, resumed: Callable[[], None]) -> None:
+        self._resumed = resumed
+        self._suspended_ms = suspended_ms()
+        self._checked_ms = elapsed_ms()
+        self._last_stall_ms = (0.0, 0.0)  # begin and end of the process's last suspension
 
     @property
     def ran_until_ms(self) -> float:
-        """Until when the process surely ran before it stood still, if it just did; else now."""
+        """Last time at which the process is known to have run.
+
+        After a suspension that has just ended this is the last check before it, else now.
+        """
         now_ms = elapsed_ms()
-        if now_ms - self._looked_ms > STILL_MS:
-            return self._looked_ms
-        begun_ms, over_ms = self._stood_ms
-        return begun_ms if now_ms - over_ms < JUST_MS else now_ms
+        if now_ms - self._checked_ms > STALL_MS:
+            return self._checked_ms
+        begun_ms, over_ms = self._last_stall_ms
+        return begun_ms if now_ms - over_ms < SIGNAL_DELAY_MS else now_ms
 
     def run(self) -> None:
-        """Watch forever."""
+        """Check for suspensions forever."""
         while True:
-            gevent.sleep(LOOK_S)
-            self._look()
+            gevent.sleep(CHECK_INTERVAL_S)
+            self._check()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now_ms = elapsed_ms()
-        if now_ms - self._looked_ms > STILL_MS:
-            self._stood_ms = self._looked_ms, now_ms
-        self._looked_ms = now_ms
-        before_ms, self._known_ms = self._known_ms, suspended_ms()
-        slept_ms = self._known_ms - before_ms
-        if slept_ms >= LEAST_MS:
-            LOG.warning("Machine was suspended.", for_ms=round(slept_ms))
-            self._woke()
+        if now_ms - self._checked_ms > STALL_MS:
+            self._last_stall_ms = self._checked_ms, now_ms
+        self._checked_ms = now_ms
+        before_ms, self._suspended_ms = self._suspended_ms, suspended_ms()
+        suspension_ms = self._suspended_ms - before_ms
+        if suspension_ms >= MIN_SUSPENSION_MS:
+            LOG.warning("Machine was suspended.", for_ms=round(suspension_ms))
+            self._resumed()
