--- a/tests/functional/test_dropped_history.py
+++ b/tests/functional/test_dropped_history.py
@@ -1,14 +1,15 @@
-"""A store that drops history again and again."""
+"""A store that drops its history repeatedly."""
 
 import gevent
 
 from tests.standin.site import StandinSite
 
 JUDGED_S = 2.0
-MOST_LISTINGS = 15 * JUDGED_S  # of one kind, each second and node
+MOST_LISTINGS = 15 * JUDGED_S  # 15 a second, of one kind and by one node
 
 
-# Nodes that were told again and again that history is dropped listed the kind 60 times a second.
+# Nodes whose watches were answered repeatedly with dropped history listed the kind 60 times a
+# second.
 def test_a_store_whose_listings_do_not_help_is_not_flooded():
     site = StandinSite(gateways=1, keyed=1, plain=1)
     try:
--- a/tests/functional/test_members.py
+++ b/tests/functional/test_members.py
@@ -1,4 +1,4 @@
-"""All nodes know the same members, among which queues and budgets are shared."""
+"""All nodes know the same members, which share queues and retry budgets."""
 
 import re
 
@@ -35,8 +35,8 @@
     return int(found[1]) if found else 0
 
 
-# The leader of a site that starts knew no other node for its whole term: it shared no slots with
-# them, and took the retry budget of all for its own.
+# The leader of a starting site read the members before the others had registered, and not again
+# in its term: it shared no slots with them, and used the retry budget of all nodes alone.
 def test_the_leader_knows_the_nodes_that_start_beside_it(site):
     known = []
     with gevent.Timeout(KNOWN_S, False):
@@ -47,7 +47,7 @@
 
 
 class Leases:
-    """A store whose listings a test lays down."""
+    """A store whose listings are empty, at a revision that the test sets."""
 
     def __init__(self):
         self.revision = 10
@@ -67,7 +67,7 @@
     return leases.created.count("node-n1")
 
 
-# A node registered again and again where stale listings were older than its registration.
+# A node registered repeatedly where stale listings were older than its registration.
 def test_a_node_registers_again_only_where_its_object_is_surely_gone():
     leases = Leases()
     elector = Elector(leases, "n1", "life", "127.0.0.1:1", lambda: None, lambda: None)
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes: reports, changes, beacons, and what must not matter."""
+"""Datagrams between nodes: reports, changes and beacons; malformed ones are dropped."""
 
 import random
 
@@ -15,7 +15,7 @@
 from tests.functional.test_gateway import until
 from tests.standin.site import free_port
 
-TOLD = Told("kind", 4, 5, [ToldChange("a", 5, {"x": 1})])
+UPDATE = Told("kind", 4, 5, [ToldChange("a", 5, {"x": 1})])
 BEACON = Beacon(9, 20.0, {"kind": Claim(5, 10.0)})
 UNSENT = {Beacon: {"sent_ms": BEACON.sent_ms}}
 
@@ -25,15 +25,15 @@
         self.address = HostPort("127.0.0.1", free_port())
         self.leader = leader or f"127.0.0.1:{self.address.port}"
         self.reports = []
-        self.taken = []
+        self.received = []
         self.link = PeerLink(
             self.address,
             lambda: LoadReport({"svc": [1, 2]}, {"s1": [10, 9]}),
             lambda: self.leader,
             self.reports.append,
         )
-        self.link.add_handler(Told, self.taken.append)
-        self.link.add_handler(Beacon, self.taken.append)
+        self.link.add_handler(Told, self.received.append)
+        self.link.add_handler(Beacon, self.received.append)
         self.tasks = [
             gevent.spawn(self.link.report_forever),
             gevent.spawn(self.link.receive_forever),
@@ -63,13 +63,13 @@
     assert {"s1": [10, 9]} in [report.answer_ms for report in leader.reports]
 
 
-@pytest.mark.parametrize("message", [TOLD, BEACON], ids=["told", "beacon"])
+@pytest.mark.parametrize("message", [UPDATE, BEACON], ids=["told", "beacon"])
 def test_messages_reach_the_nodes_that_report_and_nobody_else(pair, message):
     leader, follower = pair
     leader.link.publish(message)
     gevent.sleep(0.02)
-    assert [replace(item, **UNSENT.get(type(item), {})) for item in follower.taken] == [message]
-    assert leader.taken == []
+    assert [replace(item, **UNSENT.get(type(item), {})) for item in follower.received] == [message]
+    assert leader.received == []
 
 
 def test_a_beacon_says_when_it_was_sent_on_the_clock_of_its_reader(pair):
@@ -79,7 +79,7 @@
     before_ms = elapsed_ms()
     leader.link.publish(BEACON)
     gevent.sleep(0.02)
-    (beacon,) = follower.taken
+    (beacon,) = follower.received
     assert before_ms - 10.0 <= beacon.sent_ms <= elapsed_ms()
 
 
@@ -90,61 +90,63 @@
 @pytest.mark.parametrize("content", ["x" * 90_000, incompressible(90_000)], ids=["one", "many"])
 def test_a_message_longer_than_a_datagram_arrives_whole(pair, content):
     leader, follower = pair
-    told = Told("kind", 4, 5, [ToldChange("a", 5, content)])
-    leader.link.publish(told)
+    update = Told("kind", 4, 5, [ToldChange("a", 5, content)])
+    leader.link.publish(update)
     gevent.sleep(0.05)
-    assert follower.taken == [told]
+    assert follower.received == [update]
 
 
 def test_a_message_that_is_far_too_long_is_not_sent(pair):
     leader, follower = pair
     leader.link.publish(Told("kind", 4, 5, [ToldChange("a", 5, incompressible(900_000))]))
     gevent.sleep(0.02)
-    assert follower.taken == []
+    assert follower.received == []
 
 
-def test_a_new_leader_calls_all_members_and_is_reported_to_at_once(monkeypatch):
+def test_a_new_leader_sends_beacons_to_all_members_and_gets_reports_at_once(monkeypatch):
     monkeypatch.setattr("ploverhatch.gateway.peer_link.REPORT_S", 60.0)
     leader, node = Node(), Node()
     leader.link._members = lambda: [leader.leader, node.leader]
     node.link.add_handler(Beacon, lambda beacon: setattr(node, "leader", beacon.address))
     leader.link.publish(replace(BEACON, address=leader.leader))
-    until(lambda: tuple(node.address) in leader.link.peers)  # reports come once a minute
+    until(
+        lambda: tuple(node.address) in leader.link.peers
+    )  # sooner than the report interval of a minute
     assert node.leader == leader.leader
     leader.close()
     node.close()
 
 
-def test_nodes_that_fell_silent_are_forgotten(pair, monkeypatch):
+def test_nodes_that_stopped_reporting_are_forgotten(pair, monkeypatch):
     leader, follower = pair
     gevent.killall(follower.tasks)
     monkeypatch.setattr("ploverhatch.gateway.peer_link.PEER_EXPIRY_MS", 0.0)
     gevent.sleep(0.05)
-    leader.link.publish(TOLD)
+    leader.link.publish(UPDATE)
     assert leader.link.peers == frozenset()
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x93\x01\x02", b"[1]", b"\x92\x05\x01"])
-def test_odd_datagrams_end_nothing(pair, data):
+def test_malformed_datagrams_are_dropped(pair, data):
     leader, follower = pair
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         sender.sendto(data, tuple(follower.address))
     gevent.sleep(0.02)
-    leader.link.publish(TOLD)
+    leader.link.publish(UPDATE)
     gevent.sleep(0.02)
-    assert follower.taken == [TOLD]
+    assert follower.received == [UPDATE]
 
 
-def test_a_datagram_that_is_nested_deeply_is_passed_over():
+def test_a_deeply_nested_datagram_is_dropped():
     node = Node()
     try:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             for data in (
                 b"\x94\x0b\x01\x01" + b"\x91" * 8000 + b"\x01",
-                msgspec.msgpack.encode(TOLD),
+                msgspec.msgpack.encode(UPDATE),
             ):
                 sender.sendto(data, tuple(node.address))
         gevent.sleep(0.1)
-        assert node.taken == [TOLD]
+        assert node.received == [UPDATE]
     finally:
         node.close()
--- a/tests/functional/test_server_control.py
+++ b/tests/functional/test_server_control.py
@@ -1,4 +1,7 @@
-"""Control calls to a server that breaks connections: when a renewal may go to another life."""
+"""Control calls to a server that closes connections.
+
+A renewal must not reach another incarnation of the server than the one that was granted keys.
+"""
 
 from contextlib import suppress
 
@@ -20,13 +23,13 @@
 DONE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 LEAVING = b"HTTP/1.1 200 OK\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n"
 CLOSING = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-RESTS_SHORTLY = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 0\r\n\r\n"
+SHORT_KEEP_ALIVE = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 0\r\n\r\n"
 CALL = GrantCall(0, 9, 1, 4000.0)
 
 
-def control_of(upstream, heard=lambda server_id, notice: None):
+def control_of(upstream, on_notice=lambda server_id, notice: None):
     holder = Holder("i-1", upstream.address.host, upstream.address.port)
-    return ServerControl(holder, PlatformDialect(), heard)
+    return ServerControl(holder, PlatformDialect(), on_notice)
 
 
 def grant(control, renewal=False):
@@ -39,7 +42,7 @@
             gevent.sleep(0.01)
 
 
-def test_a_connection_that_lasts_proves_the_same_life():
+def test_renewals_go_out_while_the_connection_lasts():
     control = control_of(RawUpstream(DONE, DONE, DONE))
     assert grant(control) is CallOutcome.DONE
     assert [grant(control, renewal=True) for _ in range(2)] == [CallOutcome.DONE] * 2
@@ -58,9 +61,9 @@
     assert grant(control, renewal=True) is CallOutcome.DONE
 
 
-def test_an_end_that_the_server_has_stated_is_none():
-    """Else one that keeps no connection at rest between renewals would be granted all anew."""
-    upstream = RawUpstream(RESTS_SHORTLY, close=True)
+def test_a_close_that_the_server_announced_is_no_break():
+    """Otherwise a server that keeps no idle connections would get new grants all the time."""
+    upstream = RawUpstream(SHORT_KEEP_ALIVE, close=True)
     control = control_of(upstream)
     grant(control)
     gevent.sleep(0.6)
@@ -69,7 +72,7 @@
     assert grant(control, renewal=True) is CallOutcome.DONE
 
 
-def test_an_answer_that_is_cut_and_a_dead_port_are_ends_too():
+def test_a_truncated_answer_and_a_refused_connection_are_breaks_too():
     upstream = RawUpstream(None)
     control = control_of(upstream)
     assert grant(control) is CallOutcome.NO_ANSWER
@@ -79,7 +82,7 @@
     assert control.pop_connection_break()
 
 
-def test_a_connection_that_an_answer_closes_is_made_again_at_once():
+def test_a_connection_that_an_answer_closes_is_replaced_at_once():
     upstream = RawUpstream(CLOSING, DONE)
     control = control_of(upstream)
     assert grant(control) is CallOutcome.DONE
@@ -87,18 +90,18 @@
     assert not control.pop_connection_break()
 
 
-def test_what_an_answer_says_of_its_server_is_heard():
-    heard = []
-    control = control_of(RawUpstream(LEAVING), lambda *word: heard.append(word))
+def test_a_servers_notice_in_an_answer_is_passed_on():
+    notices = []
+    control = control_of(RawUpstream(LEAVING), lambda *arguments: notices.append(arguments))
     grant(control)
-    assert heard == [("i-1", ServerNotice(leaving=True))]
+    assert notices == [("i-1", ServerNotice(leaving=True))]
 
 
-class Life:
-    """One life of a server at a port; it may fall silent, and ends with its connections."""
+class Incarnation:
+    """One incarnation of a server at a port, which can stop answering."""
 
     def __init__(self, port=0):
-        self.silent = False
+        self.unresponsive = False
         self.calls = 0
         self._sockets = []
         self._server = StreamServer(("127.0.0.1", port), self._serve)
@@ -110,10 +113,11 @@
         with suppress(ConnectionResetError):
             while sock.recv(65536):
                 self.calls += 1
-                if not self.silent:
+                if not self.unresponsive:
                     sock.sendall(DONE)
 
     def end(self):
+        """Close the listener and all connections."""
         self._server.stop()
         for sock in self._sockets:
             with suppress(OSError):  # ended already
@@ -126,38 +130,38 @@
     monkeypatch.setattr(server_control, "GRANT_TIMEOUT_S", 0.1)
 
 
-def test_a_renewal_after_a_call_without_an_answer_reaches_no_later_life(short_calls):
-    """It went over a new connection unasked, since the node itself had ended the one before.
+def test_a_renewal_after_a_call_without_an_answer_reaches_no_later_incarnation(short_calls):
+    """A restarted server held keys at the token of its previous incarnation.
 
-    A server that fell silent and was back at its address within its lease took it, and held
-    the keys at the token of the life before.
+    The node had closed the connection of the call without an answer itself, and sent the next
+    renewal over a new one. A server that was back at its address within its lease accepted it.
     """
-    life = Life()
-    control = control_of(life)
+    server = Incarnation()
+    control = control_of(server)
     assert grant(control) is CallOutcome.DONE
-    life.silent = True
+    server.unresponsive = True
     assert grant(control, renewal=True) is CallOutcome.NO_ANSWER
-    life.end()
-    later = Life(life.address.port)
+    server.end()
+    later = Incarnation(server.address.port)
     gevent.sleep(0.02)
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
     assert later.calls == 0
     assert control.pop_connection_break()
-    assert grant(control) is CallOutcome.DONE  # anew, at a higher token
+    assert grant(control) is CallOutcome.DONE  # a new grant, at a higher token
     assert grant(control, renewal=True) is CallOutcome.DONE
 
 
-def test_a_life_that_ends_while_a_renewal_connects_is_noticed(short_calls):
-    life = Life()
-    control = control_of(life)
+def test_a_restart_while_a_renewal_connects_is_noticed(short_calls):
+    server = Incarnation()
+    control = control_of(server)
     grant(control)
-    life.silent = True
+    server.unresponsive = True
     grant(control, renewal=True)
     ended = []
 
     def may_send():
-        life.end()
-        ended.append(Life(life.address.port))
+        server.end()
+        ended.append(Incarnation(server.address.port))
         gevent.sleep(0.02)
         return True
 
@@ -166,28 +170,28 @@
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
 
 
-def test_a_life_that_was_silent_for_a_while_is_renewed_at_its_token(short_calls):
-    """A raised token would take its keys out of service for each answer that is lost."""
-    life = Life()
-    control = control_of(life)
+def test_a_server_that_was_unresponsive_for_a_while_is_renewed_at_its_token(short_calls):
+    """A higher token would make its keys unavailable after each answer that is lost."""
+    server = Incarnation()
+    control = control_of(server)
     grant(control)
     for _ in range(3):
-        life.silent = True
+        server.unresponsive = True
         assert grant(control, renewal=True) is CallOutcome.NO_ANSWER
         assert grant(control, renewal=True) is CallOutcome.NO_ANSWER
-        life.silent = False
+        server.unresponsive = False
         assert grant(control, renewal=True) is CallOutcome.DONE
         assert not control.pop_connection_break()
-    life.end()
+    server.end()
     gevent.sleep(0.02)
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
 
 
-def test_closed_for_good_it_leaves_no_connection(short_calls):
-    life = Life()
-    control = control_of(life)
+def test_close_leaves_no_connection(short_calls):
+    server = Incarnation()
+    control = control_of(server)
     grant(control)
-    life.silent = True
+    server.unresponsive = True
     grant(control, renewal=True)
     grant(control, renewal=True)
     control.close()
--- a/tests/functional/test_supervision.py
+++ b/tests/functional/test_supervision.py
@@ -1,4 +1,4 @@
-"""Unexpected errors and unreadable objects: the process goes on."""
+"""Unexpected errors and malformed objects of the store don't end the process."""
 
 import gevent
 import msgspec
@@ -63,12 +63,12 @@
 
 
 @pytest.mark.parametrize("spec", UNREADABLE_MAPS.values(), ids=UNREADABLE_MAPS.keys())
-def test_a_map_of_another_form_is_told_as_such(spec):
+def test_a_malformed_map_is_reported(spec):
     with pytest.raises(UnreadableObjectError):
         decode_keymap(VersionedObject("keyed", 1, spec))
 
 
-def test_a_lease_of_another_form_is_told_as_such():
+def test_a_malformed_lease_is_reported():
     with pytest.raises(UnreadableObjectError):
         decode_lease(VersionedObject("leader", 1, {"node": 7}))
 
@@ -78,7 +78,7 @@
     known = gateway.directory.keymaps["keyed"]
     site.store.put("keymaps", "keyed", {"token": "x"})
     site.store.put("keymaps", "other", msgspec.to_builtins({"token": "y"}))
-    gevent.sleep(1.5)  # the watch is asked again within a second
+    gevent.sleep(1.5)  # the watch is repeated within a second
     assert gateway.directory.keymaps["keyed"].ranges == known.ranges
     assert not any(task.ready() for task in gateway._tasks)
 
@@ -94,7 +94,7 @@
             gevent.sleep(0.05)
 
 
-def test_a_leader_whose_action_breaks_off_lets_another_lead(site, monkeypatch):
+def test_a_leader_whose_action_fails_lets_another_lead(site, monkeypatch):
     gateway = started(site)
     leader = gateway._leader
 
@@ -108,7 +108,7 @@
     assert site.store.objects["leases", "leader"]["spec"]["released"]
 
 
-def test_a_fault_of_ours_is_answered_as_unknown(monkeypatch):
+def test_an_internal_error_is_answered_as_unknown(monkeypatch):
     bench = Bench()
     bench.add(RawUpstream(WHOLE), "u1")
 
@@ -136,6 +136,6 @@
 
 
 class Unsettled:
-    """Stands for a map that is not there yet."""
+    """A range of a map that does not exist yet."""
 
     settled = False
--- a/tests/functional/test_suspension.py
+++ b/tests/functional/test_suspension.py
@@ -1,15 +1,9 @@
-"""What a machine promises for a time ends with that time, also where it was suspended.
+"""Leases and deadlines expire on time, also while the machine is suspended.
 
-Seen: nothing yet; the platform's machines may be suspended for seconds from now on.
-
-How it would come about: a leader stands still for nine seconds, and another one has taken
-its place. Its own clock shows that no time has passed since it renewed its lease, so it
-leads on; requests that were under way wait for the rest of a time that is over.
-
-Cause: elapsed time was read from a clock that doesn't count the time in which the machine
-is suspended. Timers don't count it either.
-
-Proof: these tests move the counting clock alone, as a suspension does.
+Guards against two failures after a suspension of some seconds: a leader leads on though
+another one has replaced it, and requests under way wait although their deadlines have passed.
+Both come about where elapsed time is read from a clock, or timers go by one, that does not
+count suspensions. The tests advance only the clock that counts them, as a suspension does.
 """
 
 import gevent
@@ -42,7 +36,7 @@
     assert 5000 <= clock.elapsed_ms() - before_ms < 5500
 
 
-def test_a_leader_that_was_suspended_for_long_leads_no_more(machine, site):
+def test_a_leader_that_was_suspended_for_long_has_lost_its_lead(machine, site):
     (gateway,) = start_site(site)
     assert gateway.leads
     machine.suspend(AUTHORITY_MS / 1000)
@@ -72,7 +66,7 @@
     assert clock.elapsed_ms() - begun_ms < gateway.settings.grace_s * 1000
 
 
-def test_what_waits_for_the_store_asks_again(machine, site):
+def test_calls_to_the_store_are_repeated_after_a_suspension(machine, site):
     (gateway,) = start_site(site)
     gevent.sleep(0.3)
     before = len(site.store.calls)
@@ -80,10 +74,12 @@
     gevent.sleep(NOTICED_S)
     kinds_asked = {kind for _, kind, _, _ in site.store.calls[before:]}
     assert {"config", "servers", "leases"} <= kinds_asked
-    assert any(method == "PUT" for method, *_ in site.store.calls[before:])  # the lease
+    assert any(
+        method == "PUT" for method, *_ in site.store.calls[before:]
+    )  # the renewal of the lease
 
 
-def test_a_short_rest_of_the_process_is_no_suspension(machine, site):
+def test_a_short_pause_of_the_process_is_no_suspension(machine, site):
     (gateway,) = start_site(site)
     before = len(site.store.calls)
     machine.suspend(0.001)
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes: callers, nodes, platform, back ends."""
+"""End to end, with separate processes: callers, nodes, platform and back ends."""
 
 from tests.processes import Cell
 
--- a/tests/unit/test_under_way.py
+++ b/tests/unit/test_under_way.py
@@ -1,4 +1,4 @@
-"""An error from outside ends a request, and nothing that its task does afterwards."""
+"""An error thrown from outside ends a request, but not what its task does afterwards."""
 
 import gevent
 from gevent.event import Event
@@ -8,12 +8,12 @@
 
 
 class Task:
-    """Serves one request until it is let go, then does something else."""
+    """Serves one request until ``finish`` is set, then does something else."""
 
     def __init__(self, requests, deadline_ms=100.0):
         self._requests = requests
         self._deadline_ms = deadline_ms
-        self.let_go = Event()
+        self.finish = Event()
         self.ended_by = []
         self.later = []
         self.greenlet = gevent.spawn(self._run)
@@ -23,7 +23,7 @@
         try:
             with self._requests.serve() as under_way:
                 under_way.deadline_ms = self._deadline_ms
-                self.let_go.wait()
+                self.finish.wait()
         except (ProcessEndsError, DeadlineOverError) as error:
             self.ended_by.append(type(error))
         try:
@@ -44,10 +44,10 @@
     assert task.later == []
 
 
-def test_one_that_is_over_when_the_error_comes_is_not_ended():
+def test_a_request_that_is_over_when_the_error_comes_is_not_ended():
     requests = RequestsUnderWay()
     task = Task(requests)
-    task.let_go.set()  # its task runs before the error is raised
+    task.finish.set()  # its task runs before the error is raised
     assert requests.end_all(ProcessEndsError) == 1
     task.greenlet.join()
     assert (task.ended_by, task.later) == ([], [])
@@ -60,4 +60,4 @@
     gevent.sleep(0.01)
     assert early.ended_by == [DeadlineOverError]
     assert late.ended_by == []
-    late.let_go.set()
+    late.finish.set()
