--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -1,7 +1,7 @@
-"""One caller's HTTP/1.1 connection, on gevent and httptools' parser.
+"""One caller's HTTP/1.1 connection, on gevent and the parser of httptools.
 
-Its task reads whole requests, has each answered in turn, and notices when the
-caller leaves meanwhile.
+Its task reads whole requests, has them answered in order, and notices when the caller
+disconnects meanwhile.
 """
 
 import socket as stdlib_socket
@@ -35,9 +35,14 @@
 READ_SIZE = 65_536
 WRITE_TIMEOUT_S = 10.0
 LINGER_S = 1.0
-REST_PART = 0.8  # of the idle time: what callers send until then still comes in time
-CROSSING_S = 0.05  # from our close until all that crossed it has come: a round trip to callers
-_CLOSED_AT_REST = b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+# Of the idle timeout: a request that a caller sends until then still arrives before the close.
+KEEP_ALIVE_FRACTION = 0.8
+# From a close until all requests that were sent before its caller saw it have arrived: a round
+# trip to callers.
+CROSSING_S = 0.05
+_CLOSED_WHILE_IDLE = (
+    b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
 _PEEK = stdlib_socket.MSG_PEEK | stdlib_socket.MSG_DONTWAIT
 
 HTTP_1_0 = "1.0"
@@ -46,7 +51,7 @@
 
 
 class RequestRejectedError(Exception):
-    """A request that can't be read; the connection closes after the answer."""
+    """A request is malformed or exceeds a limit; the connection closes after the answer."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -66,7 +71,7 @@
     method: bytes = b""
     headers_done: bool = False
     keep_alive: bool = False
-    takes_interim: bool = False  # answers before the final one: since HTTP/1.1
+    accepts_interim: bool = False  # whether interim answers may be sent: since HTTP/1.1
     expects_continue: bool = False
 
 
@@ -81,9 +86,9 @@
         self._ready: deque[_Incoming] = deque()
         self._incoming: _Incoming | None = None
         self._parser = HttpRequestParser(self)
-        self._rejected: RequestRejectedError | None = None  # nothing after it can be read
-        self._request: CallerRequest | None = None  # that is being served or answered
-        self._answers: list[SentAnswer] = []  # since the process was told to stop
+        self._rejected: RequestRejectedError | None = None  # later bytes can't be parsed
+        self._request: CallerRequest | None = None  # the one that is being served or answered
+        self._answers: list[SentAnswer] = []  # sent since a planned stop began
         self._closing = False
         self._lingering = False
         self._served = 0
@@ -106,13 +111,13 @@
         return self._incoming
 
     def on_url(self, url: bytes) -> None:
-        """A part of the target came."""
+        """A part of the target has arrived."""
         incoming = self._current()
         incoming.target += url
         self._count_header(incoming, len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header field came, or a trailer."""
+        """A header field or a trailer field has arrived."""
         incoming = self._current()
         self._count_header(incoming, len(name) + len(value) + 4)
         if incoming.headers_done:
@@ -127,15 +132,15 @@
             raise RequestRejectedError(431)
 
     def on_headers_complete(self) -> None:
-        """The header fields are whole."""
+        """The header fields are complete."""
         incoming = self._current()
         incoming.headers_done = True
         incoming.method = self._parser.get_method()
         incoming.keep_alive = self._parser.should_keep_alive()
-        incoming.takes_interim = self._parser.get_http_version() != HTTP_1_0
+        incoming.accepts_interim = self._parser.get_http_version() != HTTP_1_0
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body came."""
+        """A part of the body has arrived."""
         incoming = self._current()
         incoming.body.append(body)
         incoming.body_bytes += len(body)
@@ -143,7 +148,7 @@
             raise RequestRejectedError(413)
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """The request is complete."""
         incoming = self._current()
         self._incoming = None
         self._ready.append(incoming)
@@ -155,12 +160,12 @@
         try:
             self._serve_all()
         except CallerGoneError:
-            pass  # told with the request
+            pass  # logged with the request
         except (OSError, DeadlineOverError, ProcessEndsError, gevent.Timeout) as error:
-            self._tell_broken(error)
-        except Exception as error:  # a fault of ours: the connection ends, the process goes on
+            self._log_broken(error)
+        except Exception as error:  # a programming error: only this connection ends
             LOG.error("Connection failed.", cause=repr(error))
-            self._tell_broken(error)
+            self._log_broken(error)
         finally:
             self.record_answers()
             with suppress(OSError):
@@ -176,15 +181,15 @@
             self._send(CallerReply(error.status), b"", close=True)
             self._linger()
 
-    def _tell_broken(self, error: BaseException) -> None:
-        """Tell whose answer the end of the connection cost; resting ones may end as they like."""
+    def _log_broken(self, error: BaseException) -> None:
+        """Log the requests that the end of the connection leaves without an answer, if any."""
         if self._request is not None:
             self.log_unanswered(repr(error))
         elif self._incoming is not None or self._ready:
-            LOG.info("Request not read.", whole=len(self._ready), cause=repr(error))
+            LOG.info("Request not served.", whole=len(self._ready), cause=repr(error))
 
     def log_unanswered(self, cause: str) -> None:
-        """Tell that the request which is being served, if there is one, gets no whole answer."""
+        """Log that the request which is being served, if any, gets no complete answer."""
         if self._request is not None:
             name, took_ms = self._request.name, elapsed_ms() - self._request.received_ms
             LOG.warning(
@@ -192,7 +197,7 @@
             )
 
     def record_answers(self) -> None:
-        """Tell whether the answers of a process that stops were taken."""
+        """Record whether the caller acknowledged the answers sent during a planned stop."""
         answers, self._answers = self._answers, []
         if answers:
             self._server.answers.note(answers, unacknowledged_bytes(self._socket))
@@ -210,7 +215,7 @@
         self._server.count_request(first=self._served == 1)
         self._request = request
         try:
-            with DisconnectWatch(self._socket, incoming.takes_interim):
+            with DisconnectWatch(self._socket, incoming.accepts_interim):
                 reply = self._server.handler(request)
             close = not incoming.keep_alive or self._closes_with_answer()
             self._deliver(reply, incoming.method, close)
@@ -222,10 +227,10 @@
         return not close
 
     def _closes_with_answer(self) -> bool:
-        """Whether the process stops and this answer is the last one here.
+        """Whether a planned stop has begun and this answer is the connection's last.
 
-        It is not while more requests have come: they would be dropped behind it, and their
-        caller couldn't tell whether they ran.
+        It is not the last while further requests have arrived: they would be dropped after it,
+        and their caller couldn't tell whether they ran.
         """
         if not self._server.draining:
             return False
@@ -238,9 +243,9 @@
             self._answers.append(SentAnswer(self._request.name, reply.status, size))
 
     def _next_request(self) -> _Incoming | None:
-        """Return the next whole request; ``None`` when the connection is over.
+        """Return the next complete request; ``None`` when the connection is over.
 
-        :raises RequestRejectedError: when what comes next can't be read.
+        :raises RequestRejectedError: when the next request can't be read.
         """
         while not self._ready:
             if self._rejected is not None:
@@ -254,7 +259,7 @@
                     return None  # idle for as long as is allowed
                 raise RequestRejectedError(408) from error
             if self._closing:
-                self._leave_untaken(bool(data))
+                self._drop_crossing(bool(data))
                 return None
             if not data:
                 return None
@@ -275,11 +280,11 @@
         return max(left_ms / 1000, 0.001)
 
     def _feed(self, data: bytes) -> None:
-        """Parse bytes; what can't be read is rejected in its turn, after what was whole."""
+        """Parse bytes; a malformed request is rejected after the complete ones before it."""
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
-            self._ready.pop()  # the request that asks for it, which is whole
+            self._ready.pop()  # the complete request that asks for the upgrade
             self._rejected = RequestRejectedError(400)
         except HttpParserError as error:
             cause = error.__context__
@@ -288,37 +293,40 @@
             self._rejected = cause
 
     def _send(self, reply: CallerReply, method: bytes, close: bool) -> int:
-        """Write an answer; return its bytes."""
+        """Write an answer; return its size in bytes."""
         rows = [b"HTTP/1.1 %d %s" % (reply.status, _reason(reply.status))]
         rows += [name + b": " + value for name, value in reply.headers]
         if reply.status not in {204, 304}:
             rows.append(b"Content-Length: %d" % len(reply.body))
         if close:
             rows.append(b"Connection: close")
-        elif rest_s := self._rest_s():
+        elif keep_alive_s := self._keep_alive_s():
             rows.append(b"Connection: keep-alive")
-            rows.append(b"Keep-Alive: timeout=%d" % rest_s)
+            rows.append(b"Keep-Alive: timeout=%d" % keep_alive_s)
         head = b"\r\n".join(rows) + b"\r\n\r\n"
         self._socket.settimeout(WRITE_TIMEOUT_S)
         payload = head if method == b"HEAD" else head + reply.body
         self._socket.sendall(payload)
         return len(payload)
 
-    def _rest_s(self) -> int:
-        """Return how long the caller may rest on the connection, in whole seconds."""
+    def _keep_alive_s(self) -> int:
+        """Return the idle time to announce to the caller, in whole seconds; 0: none."""
         idle_s = self._limits().idle_timeout_ms / 1000
-        return min(self._server.keep_alive_s, int(idle_s * REST_PART))
+        return min(self._server.keep_alive_s, int(idle_s * KEEP_ALIVE_FRACTION))
 
     def _linger(self) -> None:
-        """Let the caller read the last answer: unread bytes would reset it."""
+        """Let the caller read the last answer before the close.
+
+        Bytes that are unread at the close would reset the connection and lose the answer.
+        """
         self._lingering = True
         with suppress(OSError), gevent.Timeout(LINGER_S, False):
             self._socket.shutdown(stdlib_socket.SHUT_WR)
             while self._socket.recv(READ_SIZE):
                 pass
 
-    def close_if_idle(self, rest_s: float) -> None:
-        """Close a connection that has been at rest for some time."""
+    def close_if_idle(self, idle_s: float) -> None:
+        """Close the connection if it has been idle for at least ``idle_s``."""
         if (
             self._closing
             or self._lingering
@@ -327,26 +335,27 @@
             or self._ready
         ):
             return
-        if elapsed_ms() - self._used_ms < rest_s * 1000 or self._has_unread():
+        if elapsed_ms() - self._used_ms < idle_s * 1000 or self._has_unread():
             return
         self._closing = True
         self._server.stop_counts.closed += 1
         with suppress(OSError):
-            # A request that crosses the close finds this as its answer: not run, and it may
-            # be sent again (RFC 9110, 15.5.9). Callers at rest drop a connection that speaks.
-            self._socket._sock.send(_CLOSED_AT_REST, stdlib_socket.MSG_DONTWAIT)
+            # A request that crosses the close finds this as its answer: it did not run and may
+            # be sent again (RFC 9110, 15.5.9). Callers without a request under way drop a
+            # connection on which an answer arrives.
+            self._socket._sock.send(_CLOSED_WHILE_IDLE, stdlib_socket.MSG_DONTWAIT)
             self._socket.shutdown(stdlib_socket.SHUT_WR)
         gevent.spawn_later(CROSSING_S, self._end_closing)
 
     def _end_closing(self) -> None:
-        """End a close at rest that nothing has crossed."""
+        """Complete the close of an idle connection that no request has crossed."""
         if not self._lingering:
             with suppress(OSError):
                 self._socket.shutdown(stdlib_socket.SHUT_RDWR)
 
-    def _leave_untaken(self, came: bool) -> None:
-        """Leave what crossed the close unread by us, and let its caller read why."""
-        if came:
+    def _drop_crossing(self, arrived: bool) -> None:
+        """Drop a request that crossed the close, and let its caller read the reason."""
+        if arrived:
             self._server.stop_counts.crossed += 1
             self._linger()
 
--- a/ploverhatch/gateway/caller_server.py
+++ b/ploverhatch/gateway/caller_server.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 server for callers: one address, one task for each connection.
+"""HTTP/1.1 server for callers at one address, with one task for each connection.
 
-gevent's own WSGI server is not used here: it costs 6 MB more per process and hides
-the connection (docs/decisions/0007-gateway-on-a-platform.md).
+gevent's own WSGI server is not used: it costs 6 MB more per process and hides the
+connection (docs/decisions/0007-gateway-on-a-platform.md).
 """
 
 from collections.abc import Callable
@@ -25,20 +25,22 @@
 
 BACKLOG = 1024
 MAX_CONNECTIONS = 2048
-FIRST_REQUEST_S = 0.5  # callers send within a round trip of connecting; then one is at rest
+# Callers send within a round trip of connecting. A connection without a request after this
+# time is idle.
+FIRST_REQUEST_S = 0.5
 
 Handler = Callable[[CallerRequest], CallerReply]
 
 
 @dataclass(slots=True)
 class StopCounts:
-    """What came in, and what was closed, since a planned stop began."""
+    """Counts of connections and requests since a planned stop began."""
 
-    opened: int = 0  # connections that were taken
+    opened: int = 0  # connections that were accepted
     first: int = 0  # requests that were the first ones of their connections
     later: int = 0  # requests on connections that had served one before
-    closed: int = 0  # connections that were closed at rest
-    crossed: int = 0  # of these, the ones on which a request was already under way
+    closed: int = 0  # idle connections that were closed
+    crossed: int = 0  # closed idle connections on which a request arrived after the close
 
 
 class CallerServer:
@@ -53,43 +55,47 @@
         max_connections: int = MAX_CONNECTIONS,
         keep_alive_s: int = 0,
     ) -> None:
-        """Prepare to serve.
-
-        :param keep_alive_s: how long callers are told to rest on a connection at most;
-            0: nothing is told.
+        """Prepare to serve; :meth:`start` begins to listen.
+
+        :param handler: called with each request; returns its reply.
+        :param limits: returns the limits of requests that are in force.
+        :param rejected: called with the status of each request that can't be read.
+        :param max_connections: connections beyond this number are closed at once.
+        :param keep_alive_s: longest idle time of a connection that answers announce;
+            0: none is announced.
         """
         self.handler = handler
         self.keep_alive_s = keep_alive_s
         self._max_connections = max_connections
         self.limits = limits
         self.rejected = rejected
-        self.draining = False  # the process stops: answers close connections
-        self.ending = False  # the last answers leave: no connection goes on
+        self.draining = False  # a planned stop has begun: answers close connections
+        self.ending = False  # the last answers are sent: no connection is kept
         self.stop_counts = StopCounts()
         self.answers = AnswerRecord()
         self._connections: set[CallerConnection] = set()
-        self._opened_ms = elapsed_ms()  # when a connection was taken last
+        self._opened_ms = elapsed_ms()  # when a connection was accepted last
         self._server = StreamServer(tuple(address), self._accepted, backlog=BACKLOG)
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to listen; open connections go on, also those that wait to be taken."""
+        """Stop listening; open connections and those in the backlog are still served."""
         if not self._server.closed:
-            self._take_waiting()
+            self._accept_backlog()
         self._server.close()
-        gevent.sleep(0)  # the tasks of what was just taken begin, and are counted
+        gevent.sleep(0)  # lets the tasks of connections just accepted begin and be counted
 
-    def _take_waiting(self) -> None:
-        """Take the connections that wait: closing the listener would reset them."""
+    def _accept_backlog(self) -> None:
+        """Accept the connections in the backlog: closing the listener would reset them."""
         self._server.stop_accepting()
         for _ in range(BACKLOG):
             try:
                 waiting = self._server.do_read()
             except OSError as error:
-                LOG.warning("Connection not taken.", cause=repr(error))
+                LOG.warning("Connection not accepted.", cause=repr(error))
                 return
             if not waiting:
                 return
@@ -107,7 +113,7 @@
 
     @property
     def quiet_ms(self) -> float:
-        """Time since a connection was taken last."""
+        """Time since a connection was last accepted."""
         return elapsed_ms() - self._opened_ms
 
     @property
@@ -116,14 +122,14 @@
         return sum(connection.busy for connection in self._connections)
 
     def log_open_requests(self) -> None:
-        """Tell what became of the requests whose connections the end of the process closes."""
+        """Log the outcome of the requests whose connections the end of the process closes."""
         for connection in list(self._connections):
             connection.record_answers()
             connection.log_unanswered("process-ends")
         self.answers.flush()
 
     def count_request(self, first: bool) -> None:
-        """Count a request, if it came after a planned stop began.
+        """Count a request if a planned stop has begun.
 
         :param first: whether it is the first one of its connection.
         """
@@ -131,18 +137,18 @@
             self.stop_counts.first += first
             self.stop_counts.later += not first
 
-    def close_idle(self, rest_s: float = 0.0) -> None:
-        """Close the connections on which nothing is under way.
+    def close_idle(self, idle_s: float = 0.0) -> None:
+        """Close idle connections.
 
-        :param rest_s: how long they must have been at rest. A connection that was
-            just opened is: its first request is on its way.
+        :param idle_s: how long they must have been idle. A connection that was just opened
+            counts as idle although its first request may be on its way.
         """
         for connection in list(self._connections):
-            connection.close_if_idle(rest_s)
+            connection.close_if_idle(idle_s)
 
     def _accepted(self, sock: Any, address: tuple[str, int]) -> None:
         if len(self._connections) >= self._max_connections:
-            # Nothing was read: the caller knows that nothing ran.
+            # Nothing was read, so the caller knows that no request ran.
             sock.close()
             return
         with suppress(OSError):
--- a/ploverhatch/gateway/disconnect.py
+++ b/ploverhatch/gateway/disconnect.py
@@ -1,4 +1,4 @@
-"""Notices that a caller has left while its request is served."""
+"""Detects that a caller has disconnected while its request is served."""
 
 import math
 import select
@@ -11,54 +11,56 @@
 from ploverhatch.gateway.messages import CallerGoneError
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# Looks for a caller's reset, which takes one round trip after the question: 2 to 6 ms where
-# it is near. Servers are to be at work for 0.5 s at most for a caller that has left (the
-# platform's pages).
-FIRST_LOOK_S = 0.01
-LOOK_S = 0.05
-ASK_AGAIN_MS = 350.0  # a caller that read on when it was asked may leave later
+# Checks for a caller's reset, which arrives one round trip after the interim answer: 2 to 6 ms
+# where the caller is near. The platform allows servers to work for a caller that has
+# disconnected for 0.5 s at most.
+FIRST_CHECK_S = 0.01
+CHECK_INTERVAL_S = 0.05
+# A caller that accepted an interim answer may disconnect later, so it is sent another one.
+PROBE_INTERVAL_MS = 350.0
 _READ_EVENT = 1  # libev's number for "readable"
 _RESET = select.POLLERR | select.POLLHUP
 _PEEK = stdlib_socket.MSG_PEEK | stdlib_socket.MSG_DONTWAIT
 
 
 class DisconnectWatch:
-    """Raises :class:`CallerGoneError` into the task when the caller has left.
+    """Context manager that raises :class:`CallerGoneError` when the caller has disconnected.
 
-    The callbacks run in the hub while the task waits, and throw into it at once, as
-    ``gevent.Timeout`` does; after ``__exit__`` none can arrive.
+    The error is raised in the task that enters the context. The callbacks run in the hub while
+    that task waits, and throw into it at once, as ``gevent.Timeout`` does; after ``__exit__``
+    no error can arrive.
 
-    While more of its bytes wait, as a further request, their end isn't read: it is looked for
-    at a steady pace.
+    While unread bytes of a further request wait, the end of the caller's bytes can't be read.
+    It is then checked for at a fixed interval.
 
-    The end of a caller's bytes is no proof that it left: it may have ended its sending side
-    and read on, and would be cut with its answer under way. It is asked by an interim answer,
-    which every HTTP/1.1 caller passes over (RFC 9110, 15.2): one that has left resets the
-    connection.
+    The end of the caller's bytes does not prove that the caller disconnected: it may have shut
+    down its sending side only, and still wait for its answer. So it is probed with an interim
+    answer, which every HTTP/1.1 caller ignores (RFC 9110, 15.2) and to which a caller that has
+    disconnected replies with a reset.
 
-    :param may_ask: whether the caller takes interim answers. One that doesn't is served to
-        the end.
+    :param may_probe: whether the caller accepts interim answers. Where it doesn't, its request
+        is served to the end.
     """
 
-    def __init__(self, sock: Any, may_ask: bool) -> None:
+    def __init__(self, sock: Any, may_probe: bool) -> None:
         self._socket = sock
-        self._may_ask = may_ask
+        self._may_probe = may_probe
         self._task = gevent.getcurrent()
         loop = gevent.get_hub().loop
         self._readable = loop.io(sock.fileno(), _READ_EVENT)
-        self._looks = loop.timer(FIRST_LOOK_S, LOOK_S)
-        self._asked_ms = -math.inf
+        self._checks = loop.timer(FIRST_CHECK_S, CHECK_INTERVAL_S)
+        self._probed_ms = -math.inf
 
     def __enter__(self) -> None:
-        self._readable.start(self._came)
+        self._readable.start(self._on_readable)
 
     def __exit__(self, *_: object) -> None:
-        for watcher in (self._readable, self._looks):
+        for watcher in (self._readable, self._checks):
             watcher.stop()
             watcher.close()
 
-    def _came(self) -> None:
-        """Bytes came, or their end."""
+    def _on_readable(self) -> None:
+        """Bytes, or their end, have arrived."""
         try:
             ended = not self._socket._sock.recv(1, _PEEK)
         except BlockingIOError:
@@ -68,41 +70,44 @@
             return
         self._readable.stop()
         if ended:
-            self._ask()
-        self._looks.start(self._look)
+            self._probe()
+        self._checks.start(self._check)
 
-    def _ask(self) -> None:
-        if not self._may_ask or elapsed_ms() - self._asked_ms < ASK_AGAIN_MS:
+    def _probe(self) -> None:
+        if not self._may_probe or elapsed_ms() - self._probed_ms < PROBE_INTERVAL_MS:
             return
-        self._asked_ms = elapsed_ms()
+        self._probed_ms = elapsed_ms()
         try:
             self._socket._sock.send(CONTINUE, stdlib_socket.MSG_DONTWAIT)
         except BlockingIOError:
-            return  # it has answers to read, so it is there, or a send will find out
+            return  # answers wait unread: the caller is connected, or a later send will fail
         except OSError:
             self._throw()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         events = _events(self._socket)
         if events & _RESET:
             self._throw()
         elif events & select.POLLRDHUP:
-            self._ask()
+            self._probe()
 
     def _throw(self) -> None:
         self._readable.stop()
-        self._looks.stop()
+        self._checks.stop()
         self._task.throw(CallerGoneError())
 
 
 def is_reset(sock: Any) -> bool:
-    """Whether the other end has reset a connection; the end of its bytes alone is no reset."""
+    """Whether the other end has reset a connection, or it is closed here.
+
+    The end of the other end's bytes alone is no reset.
+    """
     return bool(_events(sock) & _RESET)
 
 
 def _events(sock: Any) -> int:
     fd = sock.fileno()
-    if fd < 0:  # closed here, as by the end of the process
+    if fd < 0:  # closed by this process, as at its end
         return int(select.POLLHUP)
     poll = select.poll()
     poll.register(fd, select.POLLRDHUP)
--- a/ploverhatch/gateway/settings.py
+++ b/ploverhatch/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway process, in the product's own terms."""
+"""Settings of a gateway process, independent of the platform's form of them."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
@@ -6,22 +6,19 @@
 
 from ploverhatch.transport.http_connection import HostPort
 
-RELAY_PART = 0.65  # of the time within which a change must be in force
-LEADER_CORES = 0.5  # what leading some hundreds of machines takes
+RELAY_FRACTION = 0.65  # of the time within which a change must be in force
+LEADER_CORES = 0.5  # share of a core that leading some hundreds of machines takes
 LEADER_LINK_MBPS = 50.0
-CALLERS_PART = 0.6  # of the descriptors
+CALLERS_FRACTION = 0.6  # of the file descriptors
 
 
 class SettingsError(ValueError):
-    """The settings cannot be read, or are wrong; the text says where."""
+    """The settings cannot be read or are invalid; the message names the place."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Where a gateway runs, whom it serves and which bounds it keeps.
-
-    Times end in their unit; addresses are IP numbers.
-    """
+    """Addresses, names and limits of one gateway. Addresses are numeric IP addresses."""
 
     node: str
     zone: str
@@ -37,42 +34,47 @@
     retry_slack: float = 50.0
     retry_window_s: float = 10.0
     lease_max_ms: float = 10_000.0
-    evacuate_ms: float = 0.0  # until an evacuated zone gets nothing; 0: none is ever evacuated
+    evacuate_ms: float = (
+        0.0  # until an evacuated zone is sent nothing; 0: zones are never evacuated
+    )
     zone_regions: Mapping[str, str] = field(default_factory=dict)  # the region of each zone
     max_descriptors: int = 4096
-    cores: float = 1.0  # share of a core that the machine gives
+    cores: float = 1.0  # processor time that the machine provides, in cores
     link_mbps: float = 1000.0
 
     @property
     def max_caller_connections(self) -> int:
-        """How many callers may be connected; the other descriptors are for servers and files."""
-        return max(1, int(self.max_descriptors * CALLERS_PART))
+        """Largest number of callers' connections.
+
+        The other descriptors are for connections to servers and for files.
+        """
+        return max(1, int(self.max_descriptors * CALLERS_FRACTION))
 
     @property
     def strength(self) -> float:
-        """How much of what leading takes this machine has: 0 to 1."""
+        """Share of the resources that leading takes which this machine has, 0 to 1."""
         return min(self.cores / LEADER_CORES, self.link_mbps / LEADER_LINK_MBPS, 1.0)
 
     @property
     def relay_limit_ms(self) -> float:
-        """How old the leader's view may be while others rely on it.
+        """Longest age of the leader's view at which other nodes rely on it.
 
-        A part of the shortest time within which a change must be in force, so
-        that a node that then asks the store itself is still in time.
+        It is a fraction of the shortest time within which a change must be in force, so that
+        a node that asks the store itself after it is still in time.
         """
-        return min(self.drain_ms, self.config_apply_ms) * RELAY_PART
+        return min(self.drain_ms, self.config_apply_ms) * RELAY_FRACTION
 
 
 class SettingsSource(ABC):
-    """Where settings come from."""
+    """Source of the settings."""
 
     @abstractmethod
     def read(self) -> GatewaySettings:
-        """Read and check the settings.
+        """Read and validate the settings.
 
-        :raises SettingsError: when they are wrong.
+        :raises SettingsError: when they cannot be read or are invalid.
         """
 
     @abstractmethod
     def changed(self) -> bool:
-        """Whether they have changed since they were read."""
+        """Whether the settings have changed since they were last read."""
--- a/ploverhatch/gateway/stop_sequence.py
+++ b/ploverhatch/gateway/stop_sequence.py
@@ -1,4 +1,4 @@
-"""Carries a planned stop out, in the order and at the times of its plan."""
+"""Carries out a planned stop (graceful shutdown) in the order and at the times of its plan."""
 
 from collections.abc import Callable
 
@@ -13,13 +13,13 @@
 
 LOG = PartLogger("gateway")
 
-POLL_S = 0.1  # between looks at the callers' connections
+POLL_S = 0.1  # interval of checks of the callers' connections
 
 
 class StopSequence:
-    """One stop: what callers still send is served, then the rest is answered.
+    """One stop: serves what callers still send, then answers the requests that are left.
 
-    :param leave: gives up this node's duties towards the other nodes.
+    :param leave: ends this node's duties towards the other nodes, such as leading.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._leave = leave
 
     def run(self) -> None:
-        """Return when the process may end."""
+        """Carry out the stop; return when the process may end."""
         callers = self._callers
         self._forwarder.planned_stop = self._plan
         callers.draining = True
@@ -47,10 +47,9 @@
         leaving = gevent.spawn(self._leave)
         self._sleep_until(self._plan.last_call_ms)
         self._await_empty(self._plan.listening_until_ms)
-        # While new connections come the process is never empty, and it would end
-        # with requests under way.
-        # Where connections still come, some are on their way through their handshakes: the
-        # machine resets these, and nothing tells how many they are.
+        # While new connections arrive, the process never has none, and it would end with
+        # requests under way. So it stops listening here. Where connections still arrive,
+        # the kernel resets those whose handshakes are under way, and their number is unknown.
         quiet_ms = callers.quiet_ms
         callers.stop()
         self._await_empty(self._plan.answered_by_ms)
@@ -58,23 +57,26 @@
         given_up = self._forwarder.end_under_way()
         self._await_empty(self._plan.end_ms)
         leaving.join(self._left_s(self._plan.end_ms))
-        self._tell(given_up, quiet_ms)
+        self._log_stopped(given_up, quiet_ms)
 
     def _left_s(self, until_ms: float) -> float:
         return max(0.0, (until_ms - elapsed_ms()) / 1000)
 
     def _sleep_until(self, until_ms: float) -> None:
-        """Sleep in short pieces: the platform's time goes on while the machine is suspended."""
+        """Sleep in short intervals, since a suspension of the machine delays timers.
+
+        The platform's time for the stop also counts suspensions.
+        """
         while elapsed_ms() < until_ms:
             gevent.sleep(min(POLL_S, self._left_s(until_ms)))
 
     def _await_empty(self, until_ms: float) -> None:
-        """Close connections at rest until no caller is connected, or the time has come."""
+        """Close idle connections until no caller is connected, or until the given time."""
         while elapsed_ms() < until_ms and self._callers.open_connections:
             self._callers.close_idle(FIRST_REQUEST_S)
             gevent.sleep(POLL_S)
 
-    def _tell(self, given_up: int, quiet_ms: float) -> None:
+    def _log_stopped(self, given_up: int, quiet_ms: float) -> None:
         self._callers.log_open_requests()
         counts, answers = self._callers.stop_counts, self._callers.answers
         LOG.info(
--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -1,21 +1,11 @@
-"""Who sent a whole request gets a whole answer, also around a planned stop.
-
-Seen: a process of an earlier landing was told to stop, and four requests that it had read and
-sent to servers, orders among them, ended with a closed connection.
-
-How it came about, as far as runs on that landing's code show: connections kept coming to the
-process while it stopped. It answered them until nine tenths of its grace time were over, and
-ended with whatever was under way then.
-
-Cause: a stop bounded how long it waits for requests, not which ones it still takes; that was
-mended before the incident was told. What was left of the class: a caller that ended its
-sending side and read on was taken for gone; requests that were sent at once were dropped
-behind the answer that closes their connection; an error that ends a request could strike its
-answer.
-
-Proof: on the code of the record (see ``CODE_VARIABLE``) each of the stops below loses
-requests, all at the end of their process. The other tests of this page failed on the code on
-which the incident was worked.
+"""A caller that sent a complete request gets a complete answer, also around a planned stop.
+
+Guards against requests that a process has read and sent to servers, and that then end with a
+closed connection. This comes about where a process that stops keeps accepting connections
+until its grace time is over (see ``CODE_VARIABLE`` for how to run code that did), where a
+caller that ended its sending side is taken for disconnected, where pipelined requests are
+dropped after the answer that closes their connection, and where an error that ends a request
+interrupts its answer.
 """
 
 import gevent
@@ -51,7 +41,7 @@
 
 
 class FewHabits(Load):
-    """Clients of some habits only, that seek processes that stop."""
+    """Clients of some habits only, which prefer processes that stop."""
 
     def __init__(self, site, habits):
         super().__init__(site, "habits")
@@ -61,21 +51,26 @@
         return self.habits[number % len(self.habits)]
 
 
-def keeper_of(site):
-    """Return the gateway that keeps the queue of the service that anyone may serve."""
+def dispatcher_of(site):
+    """Return the gateway that dispatches the queue of the service without keys."""
     zones = {f"127.0.0.1:{gateway.internal[0]}": "z1" for gateway in site.gateways}
     address = groups.dispatcher(GroupName(PLAIN, ""), zones, ())
     return next(g for g in site.gateways if f"127.0.0.1:{g.internal[0]}" == address)
 
 
 def one(site):
-    """Return a gateway with no other duty, where there is one."""
-    duties = site.leader(), keeper_of(site)
+    """Return a gateway that is neither leader nor dispatcher, if there is one."""
+    duties = site.leader(), dispatcher_of(site)
     return [gateway for gateway in site.gateways if gateway not in duties][:1]
 
 
-def leader_and_keeper(site):
-    return list({site.leader().name: site.leader(), keeper_of(site).name: keeper_of(site)}.values())
+def leader_and_dispatcher(site):
+    return list(
+        {
+            site.leader().name: site.leader(),
+            dispatcher_of(site).name: dispatcher_of(site),
+        }.values()
+    )
 
 
 def all_but_one(site):
@@ -87,7 +82,7 @@
 
 
 def serve_around_stop(site, habits, chosen):
-    """Keep clients going while some processes stop; return the requests and their clients."""
+    """Run clients while some processes stop; return the load with its requests."""
     load = FewHabits(site, habits)
     with gevent.Timeout(START_LIMIT_S):
         while not all(
@@ -109,7 +104,7 @@
 
 
 def unanswered(site, load):
-    """Return the requests that got no whole answer though a server received them."""
+    """Return the requests that got no complete answer although a server received them."""
     arrived = {name for name, _, _ in site.arrivals()}
     ended = [sent for sent in load.requests if sent.end is not None]
     return [
@@ -120,7 +115,7 @@
 
 
 def cut_short(ended):
-    """Return the requests that got no whole answer, whether a server received them or not."""
+    """Return the requests that got no complete answer, whether a server received them or not."""
     return [
         f"{sent.name} {sent.end.value} {sent.sent_s - (sent.life.stop_s or 0.0):+.2f}"
         f" to {sent.end_s - (sent.life.stop_s or 0.0):+.2f} s, kept: {sent.kept}"
@@ -129,8 +124,8 @@
     ]
 
 
-@pytest.mark.parametrize("chosen", [one, leader_and_keeper, all_but_one, whole_zone])
-def test_no_request_that_a_server_got_is_left_without_its_answer(standin, chosen):
+@pytest.mark.parametrize("chosen", [one, leader_and_dispatcher, all_but_one, whole_zone])
+def test_no_request_that_a_server_received_is_left_without_its_answer(standin, chosen):
     load = serve_around_stop(standin, [Habit.ONCE, Habit.KEEPS], chosen)
     assert unanswered(standin, load) == []
     assert sum(sent.status == 200 for sent in load.requests) > 100
@@ -139,20 +134,17 @@
 
 
 def test_a_caller_that_ends_its_sending_side_gets_its_answer(standin):
-    """It was cut at once, at a stop or not: the end of its bytes was taken for its leaving.
-
-    Proof: of all such callers each request ends in the moment in which it is sent.
-    """
+    """Its connection was closed at once, since the end of its bytes was taken for a disconnect."""
     load = serve_around_stop(standin, [Habit.ENDS_SENDING], one)
     ended = [sent for sent in load.requests if sent.end is not None]
     assert cut_short(ended) == []
     assert sum(sent.status == 200 for sent in ended) > 100
 
 
-def test_requests_that_are_sent_at_once_are_answered_by_a_process_that_stops(standin):
-    """The second one was dropped behind the answer that closes the connection.
+def test_pipelined_requests_are_answered_by_a_process_that_stops(standin):
+    """The second one was dropped after the answer that closes the connection.
 
-    It reached no server, but its caller can't know that. Proof: pairs around one stop.
+    It reached no server, but its caller can't know that.
     """
     load = serve_around_stop(standin, [Habit.PAIRS], one)
     stopped = next(gateway for gateway in standin.gateways if gateway.lives[0].stop_s)
@@ -173,7 +165,7 @@
 
 
 def large_answer_while(gateway, end):
-    """Return the bytes of an answer that leaves when ``end`` has every request ended."""
+    """Return the bytes of an answer that is decided just before ``end`` ends all requests."""
     forwarder, decided = gateway._forwarder, gevent.event.Event()
 
     def run(_call):
@@ -184,7 +176,7 @@
     with socket.create_connection(tuple(gateway.settings.callers), timeout=5.0) as caller:
         caller.sendall(b"GET /p/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n")
         until(lambda: forwarder._under_way)
-        decided.set()  # in the same turn of the loop, before its task runs
+        decided.set()  # in the same iteration of the event loop, before the request's task runs
         end(forwarder)
         gevent.sleep(0.1)
         data = b""
@@ -199,11 +191,12 @@
     forwarder.end_overdue()
 
 
-def test_an_answer_that_leaves_is_not_cut_by_what_ends_requests(site):
-    """The end of a process, or of a suspension, was thrown into tasks some moments later.
+def test_an_answer_that_is_being_sent_is_not_cut_by_the_end_of_requests(site):
+    """A task that was already sending its answer ended there, without a log line.
 
-    A task that had gone on to its answer meanwhile ended there, without a line. Proof: the
-    answer is decided in the turn of the loop in which all requests are ended.
+    The error that ends requests, at the end of a process or of a suspension, is thrown into
+    their tasks a moment later. Here the answer is decided in the same iteration of the event
+    loop in which all requests are ended.
     """
     (gateway,) = start_site(site)
     for end in (lambda forwarder: forwarder.end_under_way(), end_overdue):
--- a/tests/functional/test_caller_server.py
+++ b/tests/functional/test_caller_server.py
@@ -1,4 +1,4 @@
-"""The callers' server: framing, limits, departures and planned stops."""
+"""The server for callers: framing, limits, disconnects and planned stops."""
 
 import re
 import socket as stdlib_socket
@@ -22,7 +22,7 @@
 
 
 class Application:
-    """Echoes, waits on demand, and remembers."""
+    """Echoes the target and the body after ``wait_s``, and records the requests."""
 
     def __init__(self):
         self.requests = []
@@ -53,7 +53,7 @@
 
 
 def talk(server, data, wait_s=1.0):
-    """Send bytes; return all that comes until the end or ``wait_s``."""
+    """Send bytes; return all that arrives until the connection ends or ``wait_s`` has passed."""
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(data)
     return read(sock, wait_s)
@@ -127,10 +127,10 @@
 def test_a_request_is_answered_before_the_one_behind_it_is_rejected(
     server, application, name, draining
 ):
-    """It was dropped, and its caller took the rejection for its answer.
+    """A complete request was dropped, and its caller took the rejection for its answer.
 
-    Seen by reading for what ends a connection without an answer. Cause: what can't be read
-    was rejected when it was found, in the turn of the whole requests that came with it.
+    A malformed request was rejected as soon as it was parsed, before the complete requests that
+    arrived with it were answered.
     """
     data, status = FOLLOWING[name]
     server.draining = draining
@@ -157,7 +157,7 @@
         assert sock.recv(1) == b""
 
 
-def test_a_caller_that_leaves_is_noticed_at_once(server, application):
+def test_a_caller_that_disconnects_is_noticed_at_once(server, application):
     application.wait_s = 5.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("version", HALF_CLOSED)
 def test_a_caller_that_ended_its_sending_side_gets_its_answer(server, application, version):
-    """Callers of HTTP/1.0 know no interim answers, so they aren't asked whether they left."""
+    """Callers of HTTP/1.0 know no interim answers, so they aren't probed with one."""
     data, heads = HALF_CLOSED[version]
     application.wait_s = 0.3
     sock = socket.create_connection(("127.0.0.1", server.port))
@@ -187,7 +187,7 @@
     assert application.gone == 0
 
 
-def test_a_caller_that_ended_its_sending_side_and_leaves_is_noticed(server, application):
+def test_a_caller_that_ended_its_sending_side_and_disconnects_is_noticed(server, application):
     application.wait_s = 5.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -224,7 +224,7 @@
         assert is_reset(sock)
 
 
-def test_bytes_of_a_next_request_are_not_a_departure(server, application):
+def test_bytes_of_a_next_request_are_not_a_disconnect(server, application):
     application.wait_s = 0.15
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
@@ -247,7 +247,7 @@
 
 
 def test_an_unread_request_keeps_its_connection_open(server, application):
-    """Found by the bench (LOST on trouble-2): it was read and then cut off."""
+    """A request that had arrived unread was read, and then its connection was closed."""
     sock = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
     server.draining = True
@@ -274,10 +274,10 @@
     assert application.requests == []
 
 
-def test_a_request_that_crosses_a_close_is_told_that_it_was_not_taken(server, application):
+def test_a_request_that_crosses_a_close_is_answered_as_not_run(server, application):
     """Its caller got a reset, and couldn't tell whether it had run.
 
-    Proof: the request is sent before the caller has read the close.
+    The request is sent before the caller has read the close.
     """
     sock = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
@@ -291,8 +291,8 @@
     assert application.requests == []
 
 
-def test_a_connection_that_is_closed_at_rest_ends_soon(server):
-    """Though its caller neither reads nor closes."""
+def test_an_idle_connection_that_is_closed_ends_soon(server):
+    """The caller neither reads nor closes."""
     sock = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
     server.close_idle()
@@ -301,8 +301,8 @@
     sock.close()
 
 
-def test_what_comes_during_a_planned_stop_is_counted(server):
-    """The first requests of connections and later ones are told apart."""
+def test_requests_during_a_planned_stop_are_counted(server):
+    """The first requests of connections and later ones are counted apart."""
     kept = socket.create_connection(("127.0.0.1", server.port))
     kept.sendall(b"GET / HTTP/1.1\r\n\r\n")
     gevent.sleep(0.05)
@@ -317,19 +317,19 @@
 
 def test_a_request_that_crosses_a_close_is_counted(server, application):
     crossing = socket.create_connection(("127.0.0.1", server.port))
-    resting = socket.create_connection(("127.0.0.1", server.port))
+    idle = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
     server.draining = True
     server.close_idle()
     crossing.sendall(b"GET / HTTP/1.1\r\n\r\n")
-    resting.close()
+    idle.close()
     gevent.sleep(0.2)
     assert (server.stop_counts.closed, server.stop_counts.crossed) == (2, 1)
     assert application.requests == []
 
 
-def test_connections_that_wait_to_be_taken_are_served_when_listening_ends(server):
-    """A caller was connected, as far as it could see: closing the listener reset it."""
+def test_connections_in_the_backlog_are_served_when_listening_ends(server):
+    """They are connected as far as their callers can see; closing the listener reset them."""
     sock = stdlib_socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /waiting HTTP/1.1\r\n\r\n")
     server.stop()
@@ -337,12 +337,12 @@
     assert b"X-Target: /waiting" in answer
 
 
-def test_a_kept_connection_states_how_long_it_may_rest(application):
-    """A close at rest crosses no request if the caller no longer uses the connection.
+def test_a_kept_connection_announces_its_idle_timeout(application):
+    """No request crosses the close of an idle connection that its caller no longer uses.
 
-    Seen: of 9,210 connections that stopping processes closed at rest, 34 had a request on
-    its way, whose caller got no answer. Callers that are told a time of rest shorter than
-    the time from the stop's begin to these closes send nothing on them.
+    Of 9,210 idle connections that stopping processes closed, 34 had a request on its way, whose
+    caller got no answer. Where the announced idle time is shorter than the time from the begin
+    of the stop to these closes, callers send nothing on such connections.
     """
     running = CallerServer(
         HostPort("127.0.0.1", 0), application, lambda: PATIENT_LIMITS, keep_alive_s=2
@@ -357,7 +357,7 @@
     running.stop()
 
 
-def test_no_longer_rest_is_stated_than_the_configuration_allows(application):
+def test_no_longer_idle_timeout_is_announced_than_the_configuration_allows(application):
     allowed = replace(PATIENT_LIMITS, idle_timeout_ms=1500.0)
     running = CallerServer(HostPort("127.0.0.1", 0), application, lambda: allowed, keep_alive_s=2)
     running.start()
@@ -365,12 +365,12 @@
     running.stop()
 
 
-def test_where_less_than_a_second_is_allowed_nothing_is_stated(server):
-    """The field has whole seconds; 0 would forbid to keep the connection at all."""
+def test_an_idle_timeout_below_one_second_is_not_announced(server):
+    """The field has whole seconds; 0 would forbid keeping the connection at all."""
     assert b"Keep-Alive" not in talk(server, b"GET / HTTP/1.1\r\n\r\n", 0.1)
 
 
-def test_a_connection_whose_last_answer_is_being_read_is_not_closed_as_resting(server):
+def test_a_connection_whose_last_answer_is_being_read_is_not_closed_as_idle(server):
     server.draining = True
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -380,7 +380,7 @@
 
 
 def test_a_server_that_stops_closes_with_the_last_of_the_answers(server, application):
-    """Also where a part of the next request has come."""
+    """This also holds where only a part of the next request has arrived."""
     application.wait_s = 0.1
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\nGET /3 HTT")
@@ -406,8 +406,10 @@
 
 
 @pytest.mark.parametrize("further", [b"GET /next HTTP/1.1\r\n\r\n", b"GET /ne"])
-def test_a_caller_that_sends_a_further_request_and_leaves_is_noticed(server, application, further):
-    """Its first request was served to the end, since its leaving came behind unread bytes."""
+def test_a_caller_that_sends_a_further_request_and_disconnects_is_noticed(
+    server, application, further
+):
+    """Its first request was served to the end, since unread bytes hid the disconnect."""
     application.wait_s = 2.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
@@ -430,8 +432,8 @@
     assert application.gone == 0
 
 
-def test_a_caller_that_read_on_and_leaves_later_is_noticed(server, application):
-    """It had ended its sending side, was asked whether it left, and read on for a while."""
+def test_a_caller_that_read_on_and_disconnects_later_is_noticed(server, application):
+    """It ends its sending side, accepts an interim answer, and disconnects after a while."""
     application.wait_s = 2.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
@@ -445,8 +447,8 @@
     assert application.gone == 1
 
 
-def test_how_long_no_new_connection_has_come_is_known(server):
-    """Listening that ends while they come resets those whose handshake is under way."""
+def test_the_time_since_the_last_new_connection_is_known(server):
+    """If listening ends while connections arrive, those in their handshakes are reset."""
     gevent.sleep(0.1)
     assert server.quiet_ms >= 100.0
     socket.create_connection(("127.0.0.1", server.port))
@@ -454,8 +456,8 @@
     assert 20.0 < server.quiet_ms < 90.0
 
 
-def test_a_connection_that_was_closed_here_is_none_to_ask():
-    """As where a process ends: the look must not fail in the loop of the process."""
+def test_a_connection_that_was_closed_here_counts_as_reset():
+    """This happens as a process ends; the check must not raise in the event loop."""
     ours, theirs = stdlib_socket.socketpair()
     assert not is_reset(ours)
     ours.close()
--- a/tests/functional/test_planned_stop.py
+++ b/tests/functional/test_planned_stop.py
@@ -1,20 +1,13 @@
-"""A planned stop gives up no request that it took.
+"""A planned stop (graceful shutdown) answers every request that it accepted.
 
-Seen: machines were stopped and started in turn. One of them got new connections until its
-process ended, 5.4 s after SIGTERM; two requests that it had sent to servers then ended with
-a closed connection, one of them although its server had answered well.
+Guards against requests that end with a closed connection because new connections keep arriving
+while a process stops. The platform does this where fewer than half of a zone's machines are
+ready: it then sends new connections to all of them, also to those that are stopping. The
+process waited until it had no connection, kept accepting new ones, and ended at nine tenths
+of its grace time with requests under way. So a stop must bound which requests it still accepts,
+not only how long it waits for them.
 
-How it came about: fewer than half of its zone's machines were ready, and then the platform
-hands new connections to all of them, also to those that are stopping. The process closed
-resting connections and waited until it had none, but it went on to take new ones, so it
-never had none, and ended at nine tenths of its grace time with requests under way.
-
-Cause: the stop bounded how long it waits for requests, not which requests it still takes.
-
-Proof: a caller that opens connection after connection reproduces it each time.
-
-Beside it: a new connection was closed as resting before its first request had come, so that
-its caller lost a try. Callers that send a moment after they connected reproduce it.
+Another guard is against closing a new connection as idle before its first request has arrived.
 """
 
 import signal
@@ -36,7 +29,7 @@
 UNANSWERED = "sent, no answer"
 START_LIMIT_S = 15.0
 STOP_LIMIT_S = 8.0
-STOOD_S = 1.5
+SUSPENDED_S = 1.5
 
 
 @pytest.fixture
@@ -47,7 +40,7 @@
 
 
 class Callers:
-    """Ask on a new connection each time, as long as the process takes any."""
+    """Callers that send each request on a new connection while the process accepts any."""
 
     def __init__(self, port, pause_s=0.0, deadline_ms=1500):
         self._deadline_ms = deadline_ms
@@ -60,8 +53,8 @@
     def ask(self):
         """Return the status of one request.
 
-        :raises ConnectionRefusedError: when no connection is taken. One that is reset before
-            it is made, as its listener closes, isn't either: nothing was sent on it.
+        :raises ConnectionRefusedError: when no connection is accepted, or it is reset before it
+            is established, since its listener closes: nothing was sent on it then.
         """
         self._count += 1
         name = b"r%d" % self._count
@@ -87,7 +80,7 @@
 
 
 def _exchange(sock, payload):
-    """Return the head of the answer; nothing when the connection ends before it."""
+    """Return the head of the answer; empty when the connection ends before it is complete."""
     answer = b""
     try:
         sock.sendall(payload)
@@ -113,7 +106,7 @@
 
 
 def stop(gateway):
-    """Stop a process as planned; return how long that took."""
+    """Send SIGTERM and wait for the process to end; return the time that took, in seconds."""
     start_s = elapsed_ms() / 1000
     gateway.signal(signal.SIGTERM)
     with gevent.Timeout(STOP_LIMIT_S):
@@ -123,7 +116,7 @@
 
 
 def ask_during_a_stop(site, work_s, pause_s):
-    """Let callers ask on new connections until a process that is stopped takes no more."""
+    """Send requests on new connections until a process that is stopped accepts no more."""
     (gateway,) = site.gateways
     callers = Callers(gateway.front, pause_s)
     await_service(callers)
@@ -138,18 +131,18 @@
 
 
 @pytest.mark.parametrize("work_s", [WORK_S, LONG_WORK_S])
-def test_no_request_is_given_up_while_new_connections_keep_coming(site, work_s):
+def test_no_request_is_given_up_while_new_connections_keep_arriving(site, work_s):
     callers = ask_during_a_stop(site, work_s, 0.0)
     ran = {name for name, _ in site.ran()}
     given_up = [name for name in callers.unanswered if name in ran]
     assert given_up == [], callers.statuses
-    # Nor is an answer of our own put in the place of a server's that is at work.
+    # The process does not replace the answer of a server that is at work by its own either.
     assert set(callers.statuses) - {UNANSWERED} <= {200, 503}
     assert site.gateways[0].process.returncode == 0
 
 
 def test_a_request_of_before_the_stop_that_outlasts_the_process_is_answered(site):
-    """It was cut without an answer: its time was set before the stop was known."""
+    """It got no answer, since its time limit was set before the stop began."""
     document = configuration(2)
     for route in document["virtual_hosts"][0]["route_paths"]:
         route["timeout_ms"] = 20_000
@@ -170,15 +163,15 @@
     assert callers.unanswered == [], callers.statuses
 
 
-def test_a_process_that_stood_still_when_it_was_told_to_stop_ends_before_it_is_killed(site):
-    """The platform's time begins when it sends the signal, not when the process runs again."""
+def test_a_process_that_was_suspended_when_it_was_told_to_stop_ends_before_it_is_killed(site):
+    """The platform's time begins when it sends the signal, not when the process resumes."""
     (gateway,) = site.gateways
     callers = Callers(gateway.front, 0.0)
     await_service(callers)
     tasks = [gevent.spawn(callers.run) for _ in range(CALLERS)]
     gevent.sleep(0.5)
     gateway.signal(signal.SIGSTOP)
-    gevent.spawn_later(STOOD_S, gateway.signal, signal.SIGCONT)
+    gevent.spawn_later(SUSPENDED_S, gateway.signal, signal.SIGCONT)
     gevent.sleep(0.2)
     assert stop(gateway) < GRACE_S
     gevent.joinall(tasks, timeout=5.0)
