--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -47,7 +47,7 @@
     :param store_lost: called after each call that the store does not answer.
     :param store_regained: called when the store answers again.
     :param covered: whether the leader's relay may be relied on for all kinds of objects.
-    :param strength: of this machine, 0 to 1: its share of the resources that leading takes.
+    :param strength: share of the resources needed to lead that this machine has, 0 to 1.
     :param zone: zone of this node.
     """
 
@@ -228,7 +228,7 @@
         now_ms = elapsed_ms()
         if now_ms >= self._not_before_ms and election.wants_takeover(self.state, now_ms):
             delay_ms = election.claim_delay_ms(self.state)
-            gevent.sleep(delay_ms / 1000)  # stronger machines go first
+            gevent.sleep(delay_ms / 1000)  # leaves stronger machines time to claim it first
             self._claim(read_again=stale or delay_ms > 0)
 
     def _refresh_nodes(self) -> None:
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -1,5 +1,6 @@
 """Carries out the decisions of :class:`LeaderCore` on key ranges while this node leads.
 
+A key range has one holder, the server that was granted it with a lease and a fencing token.
 Each action runs in a task of its own. Whether a grant may still be sent is checked again
 right before it is sent, after every wait.
 """
@@ -51,7 +52,7 @@
 
 TICK_S = 0.05
 READ_RETRY_S = 0.25
-# Reports of nodes come each 0.3 s, and reading those of hundreds takes milliseconds.
+# Nodes report every 0.3 s, and evaluating the reports of hundreds of them takes milliseconds.
 READ_EVERY_MS = 150.0
 # An older rate limit is left out of the plan: its server may accept more again, and only
 # requests for its keys would show that.
--- a/ploverhatch/gateway/keymap_codec.py
+++ b/ploverhatch/gateway/keymap_codec.py
@@ -46,7 +46,7 @@
     """A node's own object.
 
     ``address`` is where the node receives datagrams, as ``host:port``. ``strength`` is the share
-    of the resources that leading takes which its machine has, 0 to 1.
+    of the resources needed to lead that its machine has, 0 to 1.
     """
 
     address: str = ""
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -104,9 +104,8 @@
         self._leader = leader
         self._handle_report = handle_report
         self._handlers: dict[type, Callable[..., None]] = {LoadReport: handle_report}
-        self._peer_handlers: dict[
-            type, Callable[..., None]
-        ] = {}  # called with the sender's address
+        # These are called with the sender's address too.
+        self._peer_handlers: dict[type, Callable[..., None]] = {}
         self._own = f"{address.host}:{address.port}"
         self._peers: dict[Address, _Peer] = {}  # nodes that report to this one
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -61,7 +61,7 @@
 HOUSEKEEPING_S = 0.25
 LEADER_POLL_S = 0.1
 INCARNATION_BYTES = 6  # random bytes in the name of one incarnation of the process
-# Changes that a watch reports and that are all known came over the leader's relay before.
+# Where a watch reports only known changes, the leader has relayed them before.
 SERVERS_PAUSES = Pauses(after_new_s=0.25, after_known_s=0.25)
 KEYMAPS_PAUSES = Pauses(after_new_s=0.1, after_known_s=1.0)
 # For moves under way when their leader stops: a server answers a release once the requests
--- a/ploverhatch/gateway/settings.py
+++ b/ploverhatch/gateway/settings.py
@@ -7,7 +7,7 @@
 from ploverhatch.transport.http_connection import HostPort
 
 RELAY_FRACTION = 0.65  # of the time within which a change must be in force
-LEADER_CORES = 0.5  # share of a core that leading some hundreds of machines takes
+LEADER_CORES = 0.5  # processor time that leading some hundreds of machines takes, in cores
 LEADER_LINK_MBPS = 50.0
 CALLERS_FRACTION = 0.6  # of the file descriptors
 
@@ -52,7 +52,7 @@
 
     @property
     def strength(self) -> float:
-        """Share of the resources that leading takes which this machine has, 0 to 1."""
+        """Share of the resources needed to lead that this machine has, 0 to 1."""
         return min(self.cores / LEADER_CORES, self.link_mbps / LEADER_LINK_MBPS, 1.0)
 
     @property
--- a/ploverhatch/gateway/supervisor.py
+++ b/ploverhatch/gateway/supervisor.py
@@ -1,6 +1,6 @@
 """Restarts tasks of the process that fail.
 
-A task that ends by an unexpected error is a programming error. The rest of the process still
+An unexpected error that ends a task is a programming error. The rest of the process still
 serves callers, so the error is logged and the task starts again.
 """
 
--- a/tests/functional/test_dropped_history.py
+++ b/tests/functional/test_dropped_history.py
@@ -4,8 +4,8 @@
 
 from tests.standin.site import StandinSite
 
-JUDGED_S = 2.0
-MOST_LISTINGS = 15 * JUDGED_S  # 15 a second, of one kind and by one node
+MEASURED_S = 2.0
+MOST_LISTINGS = 15 * MEASURED_S  # 15 a second, of one kind and by one node
 
 
 # Nodes whose watches were answered repeatedly with dropped history listed the kind 60 times a
@@ -22,7 +22,7 @@
         site.store.compacted = 1 << 39  # later than any revision that is listed
         gevent.sleep(0.5)
         before = len(site.store.calls)
-        gevent.sleep(JUDGED_S)
+        gevent.sleep(MEASURED_S)
         calls = site.store.calls[before:]
         listings = [call for call in calls if call[1] == "config" and "watch" not in call[3]]
         assert 0 < len(listings) <= MOST_LISTINGS
--- a/tests/functional/test_members.py
+++ b/tests/functional/test_members.py
@@ -11,7 +11,7 @@
 from tests.standin.site import StandinSite
 
 GATEWAYS = 4
-KNOWN_S = 8.0
+KNOWN_WITHIN_S = 8.0
 NODES = re.compile(rb"^ploverhatch_nodes (\d+)$", re.MULTILINE)
 
 
@@ -39,7 +39,7 @@
 # in its term: it shared no slots with them, and used the retry budget of all nodes alone.
 def test_the_leader_knows_the_nodes_that_start_beside_it(site):
     known = []
-    with gevent.Timeout(KNOWN_S, False):
+    with gevent.Timeout(KNOWN_WITHIN_S, False):
         while known != [GATEWAYS] * GATEWAYS:
             gevent.sleep(0.2)
             known = [nodes_known_to(gateway) for gateway in site.gateways]
--- a/tests/functional/test_suspension.py
+++ b/tests/functional/test_suspension.py
@@ -2,8 +2,9 @@
 
 Guards against two failures after a suspension of some seconds: a leader leads on though
 another one has replaced it, and requests under way wait although their deadlines have passed.
-Both come about where elapsed time is read from a clock, or timers go by one, that does not
-count suspensions. The tests advance only the clock that counts them, as a suspension does.
+Both come about where elapsed time is read from a clock that does not count suspensions, or
+where only timers end a wait. The tests advance only the clock that counts suspensions, as a
+suspension does.
 """
 
 import gevent
@@ -15,7 +16,7 @@
 from tests.functional.test_gateway import Site, ask, start_site, until
 from tests.standin.suspension import Suspension
 
-NOTICED_S = 0.5
+NOTICED_WITHIN_S = 0.5
 
 
 @pytest.fixture
@@ -52,7 +53,7 @@
     asked = gevent.spawn(ask, gateway, b"/p/a")
     gevent.sleep(0.1)
     machine.suspend(5.0)
-    status, _ = asked.get(timeout=NOTICED_S)
+    status, _ = asked.get(timeout=NOTICED_WITHIN_S)
     assert status == 504
 
 
@@ -62,7 +63,7 @@
     stopped = gevent.spawn(gateway.drain)
     gevent.sleep(0.2)
     machine.suspend(READINESS_MISSES_MS / 1000)
-    stopped.get(timeout=2 * NOTICED_S)
+    stopped.get(timeout=2 * NOTICED_WITHIN_S)
     assert clock.elapsed_ms() - begun_ms < gateway.settings.grace_s * 1000
 
 
@@ -71,7 +72,7 @@
     gevent.sleep(0.3)
     before = len(site.store.calls)
     machine.suspend(5.0)
-    gevent.sleep(NOTICED_S)
+    gevent.sleep(NOTICED_WITHIN_S)
     kinds_asked = {kind for _, kind, _, _ in site.store.calls[before:]}
     assert {"config", "servers", "leases"} <= kinds_asked
     assert any(
