--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -191,7 +191,7 @@
     def log_unanswered(self, cause: str) -> None:
         """Log that the request which is being served, if any, gets no complete answer."""
         if self._request is not None:
-            name, took_ms = self._request.name, elapsed_ms() - self._request.received_ms
+            name, took_ms = self._request.request_id, elapsed_ms() - self._request.received_ms
             LOG.warning(
                 "Request without answer.", request=name, cause=cause, took_ms=round(took_ms)
             )
@@ -240,7 +240,7 @@
     def _deliver(self, reply: CallerReply, method: bytes, close: bool) -> None:
         size = self._send(reply, method, close)
         if self._server.draining and self._request is not None:
-            self._answers.append(SentAnswer(self._request.name, reply.status, size))
+            self._answers.append(SentAnswer(self._request.request_id, reply.status, size))
 
     def _next_request(self) -> _Incoming | None:
         """Return the next complete request; ``None`` when the connection is over.
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import replace
 
-from ploverhatch.admission.messages import ToldLimits
+from ploverhatch.admission.messages import ReportedLimits
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
@@ -15,8 +15,8 @@
 from ploverhatch.sharding import view
 from ploverhatch.sharding.keymap import KeyMap, KeyRange, settle
 from ploverhatch.sharding.standbys import promote
+from ploverhatch.state.server_notices import NO_LIMIT, NO_NOTICE, RateLimit, ServerNotice
 from ploverhatch.state.servers import ServerRecord, ServerSet
-from ploverhatch.state.standing import NO_LIMIT, NOTHING, RateLimit, ServerNotice
 
 LOG = PartLogger("directory")
 
@@ -100,16 +100,16 @@
 
         :param asked_ms: when the request was sent; ``None``: now.
         """
-        new = self.servers.take_notice(server_id, notice, elapsed_ms(), asked_ms)
+        new = self.servers.apply_notice(server_id, notice, elapsed_ms(), asked_ms)
         if new.leaving:
             LOG.info("Server announced that it is leaving.", server=server_id, by="its-answer")
-        if new.rest_ms:
-            LOG.info("Server asked for a backoff.", server=server_id, for_ms=round(new.rest_ms))
-        if notice.limit_per_s is not None and server_id in self.servers.standings.limits:
+        if new.backoff_ms:
+            LOG.info("Server asked for a backoff.", server=server_id, for_ms=round(new.backoff_ms))
+        if notice.limit_per_s is not None and server_id in self.servers.notices.limits:
             self._own_limits_ms[server_id] = elapsed_ms()
         if new.limit_per_s is not None:
             self._log_limit(server_id, new.limit_per_s, "its-answer")
-        if new != NOTHING:
+        if new != NO_NOTICE:
             self.changed.raise_()
 
     def _log_limit(self, server_id: str, per_s: float, by: str) -> None:
@@ -126,7 +126,7 @@
         """
         now_ms = elapsed_ms()
         for server_id, age_ms in ages_ms.items():
-            if self.servers.hear_leaving(server_id, now_ms - age_ms, now_ms):
+            if self.servers.note_reported_leaving(server_id, now_ms - age_ms, now_ms):
                 LOG.info(
                     "Server announced that it is leaving.",
                     server=server_id,
@@ -135,7 +135,7 @@
                 )
                 self.changed.raise_()
 
-    def note_rate_limits(self, limits: ToldLimits, by: str) -> None:
+    def note_rate_limits(self, limits: ReportedLimits, by: str) -> None:
         """Note rate limits that servers announced to another node.
 
         :param limits: requests a second and age in milliseconds, by server.
@@ -143,20 +143,20 @@
         """
         now_ms = elapsed_ms()
         for server_id, (per_s, age_ms) in limits.items():
-            if self.servers.hear_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
+            if self.servers.note_reported_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
                 self._log_limit(server_id, per_s, by)
                 self.changed.raise_()
 
-    def rate_limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
+    def rate_limits_of(self, server_ids: Iterable[str]) -> ReportedLimits:
         """Return the known rate limits of some servers, with their ages."""
-        limits, now_ms = self.servers.standings.limits, elapsed_ms()
+        limits, now_ms = self.servers.notices.limits, elapsed_ms()
         return {
-            name: (limits[name].per_s, now_ms - limits[name].said_ms)
+            name: (limits[name].per_s, now_ms - limits[name].announced_ms)
             for name in server_ids
             if name in limits
         }
 
-    def own_rate_limits(self) -> ToldLimits:
+    def own_rate_limits(self) -> ReportedLimits:
         """Return the rate limits that answers to this node announced lately, for the leader."""
         now_ms = elapsed_ms()
         self._own_limits_ms = {
@@ -167,9 +167,9 @@
         latest = sorted(self._own_limits_ms, key=self._own_limits_ms.__getitem__)
         return self.rate_limits_of(latest[-MOST_LIMITS:])
 
-    def next_rate_limits(self) -> ToldLimits:
+    def next_rate_limits(self) -> ReportedLimits:
         """Return the rate limits to relay next; all get their turn, since messages are short."""
-        known = sorted(self.servers.standings.limits)
+        known = sorted(self.servers.notices.limits)
         after = [name for name in known if name > self._last_relayed_limit]
         chosen = [*after, *known][: min(MOST_LIMITS, len(known))]
         self._last_relayed_limit = chosen[-1] if chosen else ""
@@ -183,7 +183,7 @@
         now_ms, records = elapsed_ms(), self.servers.records
         return {
             name: now_ms - ms
-            for name, ms in self.servers.standings.leaving_ms.items()
+            for name, ms in self.servers.notices.leaving_ms.items()
             if not records[name].draining
         }
 
@@ -226,7 +226,7 @@
     @property
     def keymaps_trusted(self) -> bool:
         """Whether the key maps are current enough to route requests by them."""
-        return view.view_is_trusted(self.keymaps_current_ms, elapsed_ms())
+        return view.map_is_trusted(self.keymaps_current_ms, elapsed_ms())
 
     def note_keymaps(self, current_ms: float) -> None:
         """Note that the key maps were current at a time, on the elapsed clock."""
--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -162,14 +162,14 @@
             self._leader_known.set()
             self._note_store_answer(error)
             self._failures += 1
-            pause_ms = election.outage_pause_ms(self.state, self._failures, random.random())
+            pause_ms = election.outage_retry_ms(self.state, self._failures, random.random())
             return pause_ms / 1000
         self._failures = 0
         self._note_store_answer(None)
         if self.state.leading:
             self._refresh_nodes()
             return election.RENEW_MS / 1000
-        return election.look_pause_ms(self.state, elapsed_ms(), random.random()) / 1000
+        return election.read_interval_ms(self.state, elapsed_ms(), random.random()) / 1000
 
     def _note_store_answer(self, error: StoreCallError | None) -> None:
         if error is not None:
@@ -192,7 +192,9 @@
         """
         if self.state.leader_is_weak and self.state.is_strongest:
             return False
-        return self._covered() and elapsed_ms() - self._read_ms < election.LOOK_COVERED_MS
+        return (
+            self._covered() and elapsed_ms() - self._read_ms < election.COVERED_READ_INTERVAL_MS
+        )
 
     def note_leader(self, lease_revision: int, renewed_ms: float, address: str) -> None:
         """Note a leader that announced its lease.
@@ -201,7 +203,7 @@
         :param address: where that leader receives reports.
         """
         before = self.state
-        self.state = election.heard(before, lease_revision, renewed_ms, address)
+        self.state = election.observe_renewal(before, lease_revision, renewed_ms, address)
         self._leader_known.set()
         if before.leading and not self.state.leading:
             LOG.warning("Another node announced that it leads.", address=address)
@@ -216,17 +218,17 @@
         strengths = [item.strength for item in members]
         strongest = max([*strengths, self.state.strength])
         rivals = max(1, strengths.count(strongest))
-        self.state = replace(self.state, strongest=strongest, rivals=rivals)
+        self.state = replace(self.state, strongest=strongest, strongest_count=rivals)
         leases = [item for item in listing.items if item.name == kinds.LEADER_LEASE]
         for item in leases:
             self._observe(keymap_codec.decode_lease(item))
         if not leases and not stale:
-            self.state = election.absent(self.state)
+            self.state = election.observe_absent(self.state)
         self._leader_known.set()
         if not self._registered:
             self._register()
         now_ms = elapsed_ms()
-        if now_ms >= self._not_before_ms and election.wants_takeover(self.state, now_ms):
+        if now_ms >= self._not_before_ms and election.may_claim(self.state, now_ms):
             delay_ms = election.claim_delay_ms(self.state)
             gevent.sleep(delay_ms / 1000)  # leaves stronger machines time to claim it first
             self._claim(read_again=stale or delay_ms > 0)
@@ -237,7 +239,7 @@
         Nodes that know different members would choose different dispatchers for a queue.
         The read runs in a task of its own, so that it does not delay renewals of the lease.
         """
-        if elapsed_ms() - self._read_ms >= election.LOOK_COVERED_MS:
+        if elapsed_ms() - self._read_ms >= election.COVERED_READ_INTERVAL_MS:
             self._read_ms = elapsed_ms()
             gevent.spawn(self._read_nodes)
 
@@ -297,22 +299,24 @@
         self._registered = True
 
     def _claim(self, read_again: bool) -> None:
-        if read_again and election.wants_takeover(self.state, elapsed_ms()):
+        if read_again and election.may_claim(self.state, elapsed_ms()):
             current = self._store.get(kinds.LEASES, kinds.LEADER_LEASE)
             if current is not None:
                 self._observe(keymap_codec.decode_lease(current))
             else:
-                self.state = election.absent(self.state)
+                self.state = election.observe_absent(self.state)
         now_ms = elapsed_ms()  # this node may have resigned or stopped since the read
         if self._stopped or now_ms < self._not_before_ms:
             return
-        if not election.wants_takeover(self.state, now_ms):
+        if not election.may_claim(self.state, now_ms):
             return
         predecessor = self.state.seen.node
         if self._write_lease(self.state.seen.revision):
             self._led_since_ms = elapsed_ms()
             # Nodes that start at the same time may have registered after this node's read.
-            self._read_ms = elapsed_ms() - election.LOOK_COVERED_MS + election.LOOK_MS
+            self._read_ms = (
+                elapsed_ms() - election.COVERED_READ_INTERVAL_MS + election.READ_INTERVAL_MS
+            )
             LOG.info("Leadership won.", predecessor=predecessor or "-")
 
     def should_hand_over(self, offered: float) -> bool:
@@ -365,14 +369,14 @@
         """Find out who holds the lease after a conflicting write or one of unknown outcome."""
         if current is None:
             # A store that was restored from a snapshot older than the first lease has no lease.
-            led, self.state = self.state.leading, election.absent(self.state)
+            led, self.state = self.state.leading, election.observe_absent(self.state)
             return self._overwrite(0) if led else False
         lease = keymap_codec.decode_lease(current)
         if lease.is_before(self.state.seen):
             led = self.state.leading
             self._observe(lease)
             return self._overwrite(lease.revision) if led else False
-        if (lease.node, lease.life) == self.state.identity and not lease.released:
+        if (lease.node, lease.incarnation) == self.state.identity and not lease.released:
             # An earlier write of this node arrived: nobody else can have held the lease
             # since, so it counts from when the present write was sent at the latest.
             renewed_ms = self.state.renewed_ms if self.state.leading else sent_ms
--- a/ploverhatch/gateway/feeds.py
+++ b/ploverhatch/gateway/feeds.py
@@ -19,7 +19,7 @@
 from ploverhatch.common.signal import Signal
 from ploverhatch.relay import coverage, packing, publisher
 from ploverhatch.relay.coverage import Cursor
-from ploverhatch.relay.messages import Snapshot, SnapshotItem, Told, ToldChange
+from ploverhatch.relay.messages import RelayedChange, RelayedUpdate, Snapshot, SnapshotItem
 from ploverhatch.relay.publisher import FeedView
 from ploverhatch.store.objects import (
     HistoryDroppedError,
@@ -55,10 +55,10 @@
     after_known_s: float = 0.0
 
 
-def whole_object_change(change: ObjectChange) -> ToldChange | None:
+def whole_object_change(change: ObjectChange) -> RelayedChange | None:
     """Return a change in the form that is relayed: the whole object."""
     item = change.object
-    return ToldChange(item.name, item.revision, item.spec, item.status, change.gone)
+    return RelayedChange(item.name, item.revision, item.spec, item.status, change.gone)
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,9 +74,9 @@
     replace_all: Callable[[tuple[VersionedObject, ...]], None]
     apply: Callable[[ObjectChange], bool]  # true when the change was new
     pauses: Pauses = Pauses()
-    encode: Callable[[ObjectChange], ToldChange | None] = whole_object_change
+    encode: Callable[[ObjectChange], RelayedChange | None] = whole_object_change
     # Applies a relayed change; false when it does not follow from the known objects.
-    apply_relayed: Callable[[ToldChange], bool] | None = None
+    apply_relayed: Callable[[RelayedChange], bool] | None = None
     repeatable: bool = False  # a change may be applied again
     confirmed: Callable[[float], None] = lambda current_ms: None
     # Returns all objects, for kinds that the node keeps in another form than the store's.
@@ -109,7 +109,7 @@
         """
 
     def publish_changes(
-        self, kind: str, base: int, reached: int, changes: list[ToldChange]
+        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
     ) -> None:
         """Relay all changes between two revisions that were read from the store."""
 
@@ -180,14 +180,14 @@
         """End a wait, and check again whether the store has to be asked."""
         self._woken.raise_()
 
-    def apply_update(self, update: Told) -> None:
+    def apply_update(self, update: RelayedUpdate) -> None:
         """Apply changes that the leader relayed, if they follow without a gap."""
         if not coverage.follows(self._cursor, update, self._feed.repeatable):
             return
         if all(self._apply_change(change) for change in update.changes):
             self._cursor = coverage.advanced(self._cursor, update)
 
-    def _apply_change(self, change: ToldChange) -> bool:
+    def _apply_change(self, change: RelayedChange) -> bool:
         known = self._items.get(change.name)
         revision = None if known is None else known.revision
         if not self._feed.repeatable and coverage.is_known(self._cursor, change, revision):
@@ -269,7 +269,7 @@
             return False
         sent_ms = elapsed_ms()
         snapshot = self._relay.fetch(self.kind)
-        if snapshot is None or snapshot.reached < self._cursor.revision:
+        if snapshot is None or snapshot.through_revision < self._cursor.revision:
             return False
         # The age is as of the answer, which the leader sent after the request left.
         current_ms = sent_ms - snapshot.age_ms
@@ -279,7 +279,7 @@
             LOG.error("Snapshot of the leader is malformed.", kind=self.kind, cause=error)
             return False
         self._replace_all(tuple(_typed(item) for item in items))
-        self._move_to(snapshot.reached)
+        self._move_to(snapshot.through_revision)
         self._note_current(current_ms)
         self._must_list = False
         self._valid_until_ms = self._relay.valid_until_ms(current_ms)
@@ -318,7 +318,7 @@
             return
         newer = [ObjectChange(item, gone=False) for item in listing.items if item.revision > base]
         changes = [item for change in newer if (item := self._feed.encode(change))]
-        changes += [ToldChange(name, listing.revision, None, gone=True) for name in gone]
+        changes += [RelayedChange(name, listing.revision, None, gone=True) for name in gone]
         self._relay.publish_changes(self.kind, base, listing.revision, changes)
 
     def _keep(self, item: VersionedObject, gone: bool) -> None:
@@ -340,7 +340,7 @@
         sent_ms = elapsed_ms()
         batch = self._store.watch(self.kind, base, wait_s)
         empty = not batch.changes
-        current_ms = publisher.proof_ms(sent_ms, elapsed_ms(), wait_s * 1000, empty)
+        current_ms = publisher.confirmed_ms(sent_ms, elapsed_ms(), wait_s * 1000, empty)
         if empty and elapsed_ms() - self._moved_ms < REBASE_MS:
             self._note_current(current_ms)
             return
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -15,23 +15,23 @@
 from msgspec.structs import replace
 
 from ploverhatch.admission.messages import (
-    HeldAsk,
-    HeldWord,
-    SlotAsk,
-    SlotReturn,
-    SlotWord,
-    ToldLimits,
+    HeldSlotsReply,
+    HeldSlotsRequest,
+    ReportedLimits,
+    SlotRelease,
+    SlotReply,
+    SlotRequestMessage,
 )
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
+    CrashQuery,
+    CrashReport,
     TrialMessage,
 )
 from ploverhatch.relay import packing
-from ploverhatch.relay.messages import Beacon, Fragment, Told
+from ploverhatch.relay.messages import Beacon, Fragment, RelayedUpdate
 from ploverhatch.transport.http_connection import HostPort
 
 LOG = PartLogger("peer")
@@ -59,12 +59,12 @@
     strength: float = 0.0  # of the sender's machine if it is ready to lead, else 0
     leaving: dict[str, float] = {}
     backing_off: dict[str, float] = {}
-    limits: ToldLimits = {}
+    limits: ReportedLimits = {}
 
 
-SlotMessage = SlotAsk | SlotWord | SlotReturn | HeldAsk | HeldWord
-CrashMessage = CrashesTold | CrashesAsk | TrialMessage
-Message = LoadReport | Told | Beacon | Fragment | SlotMessage | CrashMessage
+SlotMessage = SlotRequestMessage | SlotReply | SlotRelease | HeldSlotsRequest | HeldSlotsReply
+CrashMessage = CrashReport | CrashQuery | TrialMessage
+Message = LoadReport | RelayedUpdate | Beacon | Fragment | SlotMessage | CrashMessage
 Address = tuple[str, int]
 
 
@@ -126,7 +126,7 @@
 
     def add_slot_handler(self, handler: Callable[[SlotMessage, Address], None]) -> None:
         """Pass all messages about slots to ``handler``, with their senders' addresses."""
-        for message_type in (SlotAsk, SlotWord, SlotReturn, HeldAsk, HeldWord):
+        for message_type in (SlotRequestMessage, SlotReply, SlotRelease, HeldSlotsRequest, HeldSlotsReply):
             self.add_peer_handler(message_type, handler)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
@@ -147,7 +147,7 @@
                 self._send(msgspec.msgpack.encode(report), HostPort.parse(leader))
             self._leader_changed.wait(REPORT_S)
 
-    def publish(self, message: Told | Beacon) -> None:
+    def publish(self, message: RelayedUpdate | Beacon) -> None:
         """Send a message to all nodes that reported lately.
 
         Some beacons go to all members: a node that cannot read the lease learns from them
@@ -168,7 +168,7 @@
             for data in datagrams:
                 self._send(data, address)
 
-    def _datagrams(self, message: Told | Beacon) -> list[bytes]:
+    def _datagrams(self, message: RelayedUpdate | Beacon) -> list[bytes]:
         """Return the datagrams of a message; a long one is compressed and divided."""
         data = msgspec.msgpack.encode(message)
         if len(data) <= MAX_DATAGRAM:
@@ -222,7 +222,7 @@
 
     def _decode(
         self, data: bytes, peer: Address
-    ) -> LoadReport | Told | Beacon | SlotMessage | CrashMessage | None:
+    ) -> LoadReport | RelayedUpdate | Beacon | SlotMessage | CrashMessage | None:
         """Return a message; ``None`` until the last fragment of a long one has arrived.
 
         :raises ValueError: when it is malformed.
@@ -231,7 +231,7 @@
         if not isinstance(message, Fragment):
             return message
         whole = self._assembly.add(peer, message)
-        return None if whole is None else msgspec.msgpack.decode(whole, type=Told)
+        return None if whole is None else msgspec.msgpack.decode(whole, type=RelayedUpdate)
 
     def close(self) -> None:
         """Close the socket."""
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -18,13 +18,13 @@
 from ploverhatch.gateway.elector import Elector
 from ploverhatch.gateway.feeds import Feed, FeedTask, Pauses
 from ploverhatch.gateway.forwarder import Forwarder
-from ploverhatch.gateway.held_requests import HeldRequests
 from ploverhatch.gateway.key_leader import KeyLeader
 from ploverhatch.gateway.keymap_relay import KeymapRelay
 from ploverhatch.gateway.messages import CallerReply, CallerRequest
 from ploverhatch.gateway.peer_link import MAX_KEYS, Address, LoadReport, PeerLink
 from ploverhatch.gateway.peer_objects import SnapshotClient, SnapshotServer
 from ploverhatch.gateway.quarantine import Quarantine
+from ploverhatch.gateway.quarantine_persistence import QuarantinePersistence
 from ploverhatch.gateway.relay import Relay
 from ploverhatch.gateway.settings import GatewaySettings, SettingsError, SettingsSource
 from ploverhatch.gateway.shared_slots import SharedSlots
@@ -35,15 +35,15 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import UpstreamPool
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
-    TrialAsk,
-    TrialOver,
-    TrialWord,
+    CrashQuery,
+    CrashReport,
+    TrialFinished,
+    TrialReply,
+    TrialRequest,
 )
-from ploverhatch.relay.messages import Beacon, Told
+from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
-from ploverhatch.routing.planned_stop import PlannedStop, caller_rest_s
+from ploverhatch.routing.planned_stop import PlannedStop, caller_idle_timeout_s
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
@@ -126,7 +126,7 @@
             self._peers.send,
             self._elector.address,
         )
-        self._peers.add_slot_handler(self._slots.take)
+        self._peers.add_slot_handler(self._slots.handle_message)
         permits = TrialPermits(
             self._other_leader, lambda: self._elector.node_count, self._peers.send
         )
@@ -139,12 +139,14 @@
             permits,
             lambda: self._suspension.ran_until_ms,
         )
-        self._held_requests = HeldRequests(store, self._quarantine, lambda: self.leads)
-        self._peers.add_peer_handler(TrialAsk, permits.take_ask)
-        self._peers.add_peer_handler(TrialWord, permits.take_word)
-        self._peers.add_peer_handler(TrialOver, permits.take_over)
-        self._peers.add_peer_handler(CrashesTold, self._quarantine.take_told)
-        self._peers.add_peer_handler(CrashesAsk, self._quarantine.take_ask)
+        self._quarantine_persistence = QuarantinePersistence(
+            store, self._quarantine, lambda: self.leads
+        )
+        self._peers.add_peer_handler(TrialRequest, permits.handle_request)
+        self._peers.add_peer_handler(TrialReply, permits.handle_reply)
+        self._peers.add_peer_handler(TrialFinished, permits.handle_finished)
+        self._peers.add_peer_handler(CrashReport, self._quarantine.handle_report)
+        self._peers.add_peer_handler(CrashQuery, self._quarantine.handle_query)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
@@ -166,7 +168,7 @@
             self._peers.publish,
         )
         self._snapshots = SnapshotServer(peer_address, self._relay.snapshot)
-        self._peers.add_handler(Told, self._relay.handle_update)
+        self._peers.add_handler(RelayedUpdate, self._relay.handle_update)
         self._peers.add_handler(Beacon, self._relay.handle_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
@@ -179,7 +181,7 @@
             self.directory.client_limits,
             self._note_rejected,
             settings.max_caller_connections,
-            caller_rest_s(settings.grace_s * 1000),
+            caller_idle_timeout_s(settings.grace_s * 1000),
         )
         self._readiness = CallerServer(
             settings.readiness, self._answer_readiness, self.directory.client_limits
@@ -211,8 +213,8 @@
             ("reports", self._peers.report_forever, None),
             ("datagrams", self._peers.receive_forever, None),
             ("slots", self._slots.expire_forever, None),
-            ("quarantine", self._quarantine.ask_forever, None),
-            ("held-requests", self._held_requests.run, None),
+            ("quarantine", self._quarantine.query_forever, None),
+            ("held-requests", self._quarantine_persistence.run, None),
             ("suspension", self._suspension.run, None),
             ("housekeeping", self._run_housekeeping, None),
             ("pool", self._sync_pool, None),
@@ -231,7 +233,7 @@
         if settings != self._settings:
             LOG.info("Settings applied.")
         self._settings = settings
-        self._callers.keep_alive_s = caller_rest_s(settings.grace_s * 1000)
+        self._callers.keep_alive_s = caller_idle_timeout_s(settings.grace_s * 1000)
         self._budget.ratio = settings.retry_ratio
         self._budget.slack = settings.retry_slack
         self._budget.window_s = settings.retry_window_s
@@ -255,14 +257,14 @@
         if self._draining:
             return
         self._draining = True
-        plan = PlannedStop.after_standing(
+        plan = PlannedStop.after_suspension(
             elapsed_ms(), self._suspension.ran_until_ms, self._settings.grace_s * 1000
         )
         stop = StopSequence(plan, self._callers, self._forwarder, self._slots, self._leave)
         try:
             stop.run()
             # Only this node knows of the crashes under its last requests until it reports them.
-            self._quarantine.tell_now()
+            self._quarantine.send_reports_now()
         finally:  # the process must end also after an error
             self._stopped.set()
 
@@ -434,13 +436,13 @@
             service: found if len(found) <= MAX_KEYS else random.sample(found, MAX_KEYS)
             for service, found in sampled.items()
         }
-        times = self._pool.take_answer_times(self._partitioned)
+        times = self._pool.collect_answer_times(self._partitioned)
         return LoadReport(
             keys,
             times,
             strength=self._elector.offered_strength,
             leaving=self.directory.leaving_ages_ms(),
-            backing_off=self.directory.servers.standings.resting(elapsed_ms()),
+            backing_off=self.directory.servers.notices.backing_off(elapsed_ms()),
             limits=self.directory.own_rate_limits(),
         )
 
@@ -467,7 +469,7 @@
         table = self.directory.table
         if self._draining or table is None or not self.directory.servers_known:
             return False
-        if not self._quarantine.settled:
+        if not self._quarantine.synced:
             return False
         return all(
             service.name in self.directory.keymaps
@@ -488,19 +490,21 @@
         metrics.gauge("leading", lambda: float(self.leads))
         metrics.gauge("servers", lambda: float(len(self.directory.servers.records)))
         metrics.gauge("evacuated_zones", lambda: float(len(self.directory.servers.evacuated)))
-        metrics.gauge("cold_servers", lambda: float(self.directory.servers.cold(elapsed_ms())))
-        standings = self.directory.servers.standings
-        metrics.gauge("leaving_servers", lambda: float(len(standings.leaving_ms)))
-        metrics.gauge("resting_servers", lambda: float(len(standings.resting(elapsed_ms()))))
-        metrics.gauge("limited_servers", lambda: float(len(standings.limit_per_s)))
+        metrics.gauge(
+            "cold_servers", lambda: float(self.directory.servers.count_cold(elapsed_ms()))
+        )
+        notices = self.directory.servers.notices
+        metrics.gauge("leaving_servers", lambda: float(len(notices.leaving_ms)))
+        metrics.gauge("resting_servers", lambda: float(len(notices.backing_off(elapsed_ms()))))
+        metrics.gauge("limited_servers", lambda: float(len(notices.limit_per_s)))
         metrics.gauge("configuration_version", lambda: float(table.version if table else 0))
         metrics.gauge("nodes", lambda: float(self._elector.node_count))
         metrics.gauge("connections", lambda: float(self._callers.open_connections))
         metrics.gauge("shared_slots_in_use", lambda: float(self._slots.in_use))
         metrics.gauge("shared_slots_waiting", lambda: float(self._slots.waiting))
-        metrics.gauge("servers_ended_under_requests", lambda: float(self._quarantine.ends))
-        metrics.gauge("requests_held", lambda: float(self._quarantine.held))
-        metrics.gauge("requests_suspected", lambda: float(self._quarantine.known))
+        metrics.gauge("servers_ended_under_requests", lambda: float(self._quarantine.crashes))
+        metrics.gauge("requests_held", lambda: float(self._quarantine.quarantined_count))
+        metrics.gauge("requests_suspected", lambda: float(self._quarantine.known_count))
         metrics.gauge("busy", lambda: float(self._callers.busy))
         return metrics.text()
 
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -24,18 +24,18 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import Upstream
 from ploverhatch.quarantine import messages, saved
-from ploverhatch.quarantine.fingerprint import Fingerprint, shown
+from ploverhatch.quarantine.fingerprint import Fingerprint, format_digest
 from ploverhatch.quarantine.first_copies import FirstCopies
 from ploverhatch.quarantine.ledger import CrashLedger
-from ploverhatch.quarantine.messages import CrashesAsk, CrashesTold, ToldRecord
-from ploverhatch.quarantine.record import ServerEnd
+from ploverhatch.quarantine.messages import CrashQuery, CrashRecordEntry, CrashReport
+from ploverhatch.quarantine.record import CrashEvent
 
 LOG = PartLogger("quarantine")
 
-Send = Callable[[CrashesTold | CrashesAsk, Address], None]
+Send = Callable[[CrashReport | CrashQuery, Address], None]
 
-OPEN_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
-MOST_OPEN = 16  # of one server
+UNRESOLVED_KEPT_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
+MAX_UNRESOLVED = 16  # of one server
 WORK_GOES_ON_MS = 300.0  # after its caller has left; what ends its server does so sooner
 LOOK_S = 0.1  # a dead port refuses within a round trip; a cut link says nothing
 USUAL_ANSWER_MS = 100.0  # of a server that has answered nothing yet
@@ -45,7 +45,7 @@
 # A node that has just started asks some others before it sends requests on: they answer
 # within a round trip. Where none does it waits no longer, and goes on asking.
 FIRST_ASKED = 3
-FIRST_ANSWER_S = 0.3
+INITIAL_REPLY_TIMEOUT_S = 0.3
 MEMBERS_S = 1.0  # until it is known which other nodes there are
 MOST_TOLD = 24  # records in one datagram: each has 200 bytes, one with eight ends 500
 # Datagrams of tellings: a hundred nodes hear of ten ends a second from one node.
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _OpenQuestion:
+class _UnresolvedAttempt:
     """A copy that ended without an answer while its server may have been there.
 
     ``broke`` says that the server broke its connection, else this node did.
@@ -115,42 +115,42 @@
         permits: TrialPermits | None = None,
         ran_until_ms: Callable[[], float] = elapsed_ms,
     ) -> None:
-        self.ends = 0  # requests under which a server was found to have ended
+        self.crashes = 0  # requests under which a server was found to have ended
         self._node = node
         self._members = members
         self._send = send
         self._await_members = await_members
         self._leads = leads
-        self._settled = Event()
+        self._synced = Event()
         self._ledger = CrashLedger()
         self._ran_until_ms = ran_until_ms
         self._permits = permits or TrialPermits(lambda: None, lambda: 1, lambda message, to: None)
         self._first = FirstCopies()
-        self._open: dict[str, deque[_OpenQuestion]] = {}  # by server
-        self._untold: set[bytes] = set()
+        self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # by server
+        self._unreported: set[bytes] = set()
         self._told_s = -math.inf  # when it was told last, elapsed
         self._logged: dict[bytes, int] = {}  # contents that are held: by how many ends
         self._may_send = MOST_SENT_AT_ONCE
         self._refilled_ms = elapsed_ms()
 
     @property
-    def held(self) -> int:
+    def quarantined_count(self) -> int:
         """How many contents are held for some caller."""
-        return self._ledger.held(elapsed_ms())
+        return self._ledger.quarantined_count(elapsed_ms())
 
     @property
-    def known(self) -> int:
+    def known_count(self) -> int:
         """How many contents are remembered, held or not."""
         return len(self._ledger)
 
     @property
-    def settled(self) -> bool:
+    def synced(self) -> bool:
         """Whether another node was asked what it knows, or none answers."""
-        return bool(self._settled.is_set())
+        return bool(self._synced.is_set())
 
-    def settle(self) -> None:
+    def mark_synced(self) -> None:
         """Send requests on without asking other nodes first."""
-        self._settled.set()
+        self._synced.set()
 
     # ---- for requests of this node ------------------------------------------------------
 
@@ -165,7 +165,7 @@
 
         :raises RefusedError: when it is held, or another copy's trial takes too long.
         """
-        self._settled.wait(FIRST_ANSWER_S)
+        self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
         until_ms = call.move_by_ms if may_have_run else call.offer_by_ms
         self._await_first(call, until_ms)
         while (after_ms := self._ask(call, may_have_run)) > 0:
@@ -176,7 +176,7 @@
 
     def _await_first(self, call: Call, until_ms: float) -> None:
         """Wait for a moment while another copy of what nobody was answered yet goes ahead."""
-        while (wait_ms := self._first.ask(call.hint, call, elapsed_ms())) > 0:
+        while (wait_ms := self._first.admit(call.hint, call, elapsed_ms())) > 0:
             left_ms = min(wait_ms, until_ms - elapsed_ms())
             if left_ms <= 0:
                 return
@@ -198,15 +198,15 @@
         """
         after_ms = 0.0
         while self._knows(call):
-            hold = self._ledger.hold(call.fingerprint)
+            hold = self._ledger.decide(call.fingerprint)
             left_s = (hold.until_ms - elapsed_ms()) / 1000 if hold else 0.0
             if left_s > 0:
                 raise self._refusal(results.QUARANTINED, call, may_have_run, left_s)
-            if hold is None and not self._ledger.suspects(call.fingerprint.content):
+            if hold is None and not self._ledger.is_suspect(call.fingerprint.request_digest):
                 return 0.0
             if self._permits.has(call):
                 return 0.0
-            after_ms = self._permits.take(call)
+            after_ms = self._permits.acquire(call)
             if after_ms > 0:
                 if hold is not None:
                     raise self._refusal(results.QUARANTINED, call, may_have_run, TRIAL_OF_HELD_S)
@@ -217,32 +217,32 @@
     def _refusal(
         self, result: Result, call: Call, may_have_run: bool, after_s: float
     ) -> RefusedError:
-        hold = self._ledger.hold(call.fingerprint)
-        record = self._ledger.get(call.fingerprint.content)
-        ends = hold.ends if hold else record.unanswered if record else ()
+        hold = self._ledger.decide(call.fingerprint)
+        record = self._ledger.get(call.fingerprint.request_digest)
+        ends = hold.crashes if hold else record.crashes_since_any_answer if record else ()
         reason = self._reason(ends) if ends else ""
         if may_have_run:
             return RefusedError(results.ANSWER_LOST, reason)
         return RefusedError(result, reason, after_s)
 
-    def _reason(self, ends: Sequence[ServerEnd]) -> str:
+    def _reason(self, ends: Sequence[CrashEvent]) -> str:
         last = ends[-1]
-        age_ms = elapsed_ms() - last.ended_ms
+        age_ms = elapsed_ms() - last.crashed_ms
         return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
     def over(self, call: Call) -> None:
         """A request has ended, so that another copy may go on trial."""
-        if self._first.over(call.hint, call):
+        if self._first.finish(call.hint, call):
             self._permits.changed.raise_()
-        self._permits.give_back(call)
+        self._permits.release(call)
 
     def answered(self, call: Call) -> None:
         """A server has answered a request: it has not ended under it."""
-        self._first.answered(call.hint, elapsed_ms())
-        if not self._ledger.may_know(call.hint):
+        self._first.note_answer(call.hint, elapsed_ms())
+        if not self._ledger.may_contain(call.hint):
             return
         if self._ledger.note_answer(call.fingerprint, elapsed_ms()):
-            self._changed_here(call.fingerprint.content)
+            self._note_change(call.fingerprint.request_digest)
 
     def lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A server broke a request's connection before its answer: look whether it has ended.
@@ -271,17 +271,17 @@
             self._note(copy, lost_ms)
             self.ended(upstream)
         else:  # its next life may have the port already
-            self._leave_open(upstream, _OpenQuestion(copy, lost_ms, broke=True))
+            self._leave_open(upstream, _UnresolvedAttempt(copy, lost_ms, broke=True))
 
     def left(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A request's caller has left, or its time is over, while a server worked on it."""
         copy = _Copy.of(call, upstream, sent_ms)
-        self._leave_open(upstream, _OpenQuestion(copy, elapsed_ms(), broke=False))
+        self._leave_open(upstream, _UnresolvedAttempt(copy, elapsed_ms(), broke=False))
 
-    def _leave_open(self, upstream: Upstream, question: _OpenQuestion) -> None:
+    def _leave_open(self, upstream: Upstream, question: _UnresolvedAttempt) -> None:
         if not _announced(upstream):
             server_id = upstream.record.server_id
-            self._open.setdefault(server_id, deque(maxlen=MOST_OPEN)).append(question)
+            self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(question)
 
     def ended(self, upstream: Upstream) -> None:
         """A server has surely ended: its port is dead, or another life or none has its entry.
@@ -290,20 +290,20 @@
         nothing, were the last that it worked on.
         """
         now_ms = elapsed_ms()
-        for question in self._open.pop(upstream.record.server_id, ()):
-            is_late = now_ms - question.left_ms >= OPEN_MS
+        for question in self._unresolved.pop(upstream.record.server_id, ()):
+            is_late = now_ms - question.left_ms >= UNRESOLVED_KEPT_MS
             if not (is_late or _announced(upstream) or question.is_harmless(upstream.heard_ms)):
                 self._note(question.copy, question.left_ms)
 
-    def _close_old_questions(self) -> None:
+    def _expire_unresolved(self) -> None:
         now_ms = elapsed_ms()
-        for server_id, questions in list(self._open.items()):
-            if all(now_ms - question.left_ms >= OPEN_MS for question in questions):
-                del self._open[server_id]
+        for server_id, questions in list(self._unresolved.items()):
+            if all(now_ms - question.left_ms >= UNRESOLVED_KEPT_MS for question in questions):
+                del self._unresolved[server_id]
 
     def _note(self, copy: _Copy, ended_ms: float, frozen: bool = False) -> None:
         """A server has ended under a request, or frozen."""
-        self.ends += not frozen
+        self.crashes += not frozen
         LOG.warning(
             "Server froze under a request." if frozen else "Server ended under a request.",
             request=copy.request_id,
@@ -313,48 +313,48 @@
             after_ms=round(ended_ms - copy.sent_ms),
         )
         content, caller = copy.fingerprint
-        end = ServerEnd(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
-        if self._ledger.note_end(content, end):
-            self._changed_here(content)
+        end = CrashEvent(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
+        if self._ledger.note_crash(content, end):
+            self._note_change(content)
 
     # ---- between nodes ------------------------------------------------------------------
 
     def sending(self, call: Call, server_id: str) -> None:
         """Tell of a request that is sent though servers are known to have ended under it."""
-        record = self._ledger.get(call.fingerprint.content) if self._knows(call) else None
-        if record is not None and record.unanswered:
+        record = self._ledger.get(call.fingerprint.request_digest) if self._knows(call) else None
+        if record is not None and record.crashes_since_any_answer:
             LOG.info(
                 "Sent under suspicion.",
                 request=call.trace.request_id,
                 content=call.fingerprint,
                 server=server_id,
-                ends=len(record.unanswered),
+                ends=len(record.crashes_since_any_answer),
             )
 
     def _knows(self, call: Call) -> bool:
         """Whether anything may be known of a request; cheap, as all requests ask."""
-        return self._ledger.may_know(call.hint)
+        return self._ledger.may_contain(call.hint)
 
-    def _changed_here(self, content: bytes) -> None:
+    def _note_change(self, content: bytes) -> None:
         self._log_hold(content)
         self._tell_soon(content)
         self._permits.changed.raise_()  # those who wait for a copy's trial look again
 
     def _tell_soon(self, content: bytes) -> None:
-        if not self._untold:
+        if not self._unreported:
             # The first one at once: the other nodes send copies on until they know of it.
             gevent.spawn_later(
-                max(0.0, self._told_s + TELL_S - elapsed_ms() / 1000), self._tell_untold
+                max(0.0, self._told_s + TELL_S - elapsed_ms() / 1000), self._send_reports
             )
-        self._untold.add(content)
+        self._unreported.add(content)
 
-    def tell_now(self) -> None:
+    def send_reports_now(self) -> None:
         """Tell what waits to be told together, since the process ends."""
-        if self._untold:
-            self._tell_untold()
+        if self._unreported:
+            self._send_reports()
 
-    def _tell_untold(self) -> None:
-        contents, self._untold = self._untold, set()
+    def _send_reports(self) -> None:
+        contents, self._unreported = self._unreported, set()
         self._told_s = elapsed_ms() / 1000
         told = self._told(contents)
         members = list(self._members())
@@ -362,15 +362,15 @@
             for message in told:
                 self._send(message, address)
 
-    def _told(self, contents: Iterable[bytes]) -> list[CrashesTold]:
+    def _told(self, contents: Iterable[bytes]) -> list[CrashReport]:
         now_ms = elapsed_ms()
-        records: list[ToldRecord] = []
+        records: list[CrashRecordEntry] = []
         for content in contents:
             record = self._ledger.get(content)
             if record is not None:
                 records.append(messages.encode(content, record, now_ms))
         starts = range(0, len(records), MOST_TOLD)
-        return [CrashesTold(records[start : start + MOST_TOLD]) for start in starts]
+        return [CrashReport(records[start : start + MOST_TOLD]) for start in starts]
 
     def _affordable(self, members: list[Address], each: int) -> list[Address]:
         """Return the nodes to tell; some of them, where too much was told lately.
@@ -386,99 +386,104 @@
         self._may_send -= len(chosen) * each
         return chosen
 
-    def take_told(self, told: CrashesTold, _peer: Address) -> None:
+    def handle_report(self, told: CrashReport, _peer: Address) -> None:
         """Take what another node knows."""
         now_ms = elapsed_ms()
         for record in told.records:
             if not self._merge(record, now_ms):
                 continue
-            self._log_hold(record.content)
+            self._log_hold(record.request_digest)
             self._permits.changed.raise_()
             # Nodes hear of new ones seconds later; these report to the leader by then.
             if self._leads():
-                self._tell_soon(record.content)
-        if told.whole:
-            self.settle()
+                self._tell_soon(record.request_digest)
+        if told.is_complete:
+            self.mark_synced()
 
-    def _merge(self, told: ToldRecord, now_ms: float) -> bool:
+    def _merge(self, told: CrashRecordEntry, now_ms: float) -> bool:
         """Take one record; return whether it told something new."""
-        before = self._ledger.get(told.content)
+        before = self._ledger.get(told.request_digest)
         heard = messages.decode(told, now_ms, self._ran_until_ms())
-        if not self._ledger.merge(told.content, heard):
+        if not self._ledger.merge(told.request_digest, heard):
             return False
-        after = self._ledger.get(told.content)
-        if after is not None and after.unanswered and not (before and before.unanswered):
-            last = after.unanswered[-1]
+        after = self._ledger.get(told.request_digest)
+        if (
+            after is not None
+            and after.crashes_since_any_answer
+            and not (before and before.crashes_since_any_answer)
+        ):
+            last = after.crashes_since_any_answer[-1]
             LOG.info(
                 "Heard of an end under a request.",
-                content=shown(told.content),
+                content=format_digest(told.request_digest),
                 server=last.server_id,
                 witness=last.witness,
-                ended_ms_ago=round(now_ms - last.ended_ms),
+                ended_ms_ago=round(now_ms - last.crashed_ms),
             )
         return True
 
-    def held_records(self) -> list[ToldRecord]:
+    def quarantined_records(self) -> list[CrashRecordEntry]:
         """Return what is held, as it is saved."""
-        return saved.held_records(self._ledger, elapsed_ms())
+        return saved.quarantined_records(self._ledger, elapsed_ms())
 
-    def load(self, records: list[ToldRecord]) -> None:
+    def load(self, records: list[CrashRecordEntry]) -> None:
         """Take what was saved before, and tell the other nodes."""
         for content in saved.load(self._ledger, records, elapsed_ms()):
-            self._changed_here(content)
+            self._note_change(content)
 
-    def take_ask(self, ask: CrashesAsk, peer: Address) -> None:
+    def handle_query(self, ask: CrashQuery, peer: Address) -> None:
         """Tell all that is known to a node that knows something else."""
-        same = self._ledger.is_empty or ask.summary == self._ledger.summary
+        same = self._ledger.is_empty or ask.checksum == self._ledger.checksum
         if same and not ask.just_started:
             return
-        told = self._told(content for content, _ in self._ledger) or [CrashesTold([])]
-        told[-1] = CrashesTold(told[-1].records, whole=True)
+        told = self._told(content for content, _ in self._ledger) or [CrashReport([])]
+        told[-1] = CrashReport(told[-1].records, is_complete=True)
         for address in self._affordable([peer], len(told)):
             for message in told:
                 self._send(message, address)
 
-    def ask_forever(self) -> None:
+    def query_forever(self) -> None:
         """Ask some other nodes at the start, and then one after the other."""
         self._ask_first()
         while True:
             gevent.sleep(ASK_S)
             self._ledger.expire(elapsed_ms())
             self._permits.expire()
-            self._close_old_questions()
+            self._expire_unresolved()
             self._forget_logged()
             members = list(self._members())
             if members:
-                self._send(CrashesAsk(self._ledger.summary), random.choice(members))
+                self._send(CrashQuery(self._ledger.checksum), random.choice(members))
 
     def _ask_first(self) -> None:
         self._await_members(MEMBERS_S)
         members = list(self._members())
         for address in random.sample(members, min(FIRST_ASKED, len(members))):
-            self._send(CrashesAsk(self._ledger.summary, just_started=True), address)
+            self._send(CrashQuery(self._ledger.checksum, just_started=True), address)
         if members:
-            self._settled.wait(FIRST_ANSWER_S)
-        self.settle()
+            self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
+        self.mark_synced()
 
     # ---- for operators --------------------------------------------------------------------
 
     def _log_hold(self, content: bytes) -> None:
         """Tell when a request is held, for longer than before, or no more."""
-        holds = self._ledger.holds(content)
+        holds = self._ledger.decisions(content)
         if not holds:
             if self._logged.pop(content, None):
-                LOG.info("Request is let through again.", content=shown(content))
+                LOG.info("Request is let through again.", content=format_digest(content))
             return
-        hold = max(holds, key=lambda hold: len(hold.ends))
-        if len(hold.ends) <= self._logged.get(content, 0):
+        hold = max(holds, key=lambda hold: len(hold.crashes))
+        if len(hold.crashes) <= self._logged.get(content, 0):
             return
-        self._logged[content] = len(hold.ends)
+        self._logged[content] = len(hold.crashes)
         now_ms = elapsed_ms()
         LOG.warning(
             "Request is kept from servers.",
-            content=shown(content),
+            content=format_digest(content),
             ends="|".join(
-                f"{end.server_id}@{end.witness}:{now_ms - end.ended_ms:.0f}" for end in hold.ends
+                f"{end.server_id}@{end.witness}:{now_ms - end.crashed_ms:.0f}"
+                for end in hold.crashes
             ),
             for_s=round((hold.until_ms - now_ms) / 1000),
         )
@@ -490,4 +495,4 @@
 
 def _announced(upstream: Upstream) -> bool:
     """Whether a server said that it is about to end."""
-    return upstream.record.draining or upstream.record.says_it_leaves
+    return upstream.record.draining or upstream.record.announced_leaving
--- a/ploverhatch/gateway/held_requests.py
+++ b/ploverhatch/gateway/quarantine_persistence.py
@@ -8,7 +8,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.gateway.quarantine import Quarantine
-from ploverhatch.quarantine.messages import ToldRecord
+from ploverhatch.quarantine.messages import CrashRecordEntry
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     ObjectStore,
@@ -23,7 +23,7 @@
 SAVE_MS = 2000.0  # between writes
 
 
-class HeldRequests:
+class QuarantinePersistence:
     """Loads what the last leader saved, then saves what is held whenever that changes.
 
     :param leads: whether this node leads.
@@ -62,7 +62,7 @@
         if self._stored is None:
             return
         try:
-            records = msgspec.convert(self._stored.spec, list[ToldRecord])
+            records = msgspec.convert(self._stored.spec, list[CrashRecordEntry])
         except ValueError as error:
             LOG.error("Held requests not understood.", cause=error)
             return
@@ -70,7 +70,7 @@
         self._quarantine.load(records)
 
     def _save(self) -> None:
-        records = self._quarantine.held_records()
+        records = self._quarantine.quarantined_records()
         if _names(records) == self._saved:
             return
         self._saved_ms = elapsed_ms()
@@ -84,5 +84,5 @@
         self._saved = _names(records)
 
 
-def _names(records: list[ToldRecord]) -> frozenset[tuple[bytes, int]]:
-    return frozenset((record.content, len(record.ends)) for record in records)
+def _names(records: list[CrashRecordEntry]) -> frozenset[tuple[bytes, int]]:
+    return frozenset((record.request_digest, len(record.crashes)) for record in records)
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -19,7 +19,7 @@
 from ploverhatch.gateway.peer_objects import SnapshotClient
 from ploverhatch.relay import coverage, packing, publisher
 from ploverhatch.relay.coverage import Coverage
-from ploverhatch.relay.messages import Beacon, Snapshot, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, RelayedChange, RelayedUpdate, Snapshot
 from ploverhatch.relay.publisher import FeedView, Term
 from ploverhatch.sharding.keymap import KeyMap
 from ploverhatch.store import kinds
@@ -54,7 +54,7 @@
         term: Callable[[], Term | None],
         elector: Elector,
         leader: SnapshotClient,
-        send: Callable[[Told | Beacon], None],
+        send: Callable[[RelayedUpdate | Beacon], None],
     ) -> None:
         self.first_wait_s = FIRST_WAIT_S
         self._coverage = Coverage(limit_ms)
@@ -97,7 +97,7 @@
     def handle_beacon(self, beacon: Beacon) -> None:
         """Apply a beacon of the leader."""
         now_ms = elapsed_ms()
-        self._coverage = coverage.take_beacon(self._coverage, beacon)
+        self._coverage = coverage.apply_beacon(self._coverage, beacon)
         self._elector.note_leader(
             beacon.lease_revision, beacon.sent_ms - beacon.renewed_age_ms, beacon.address
         )
@@ -165,9 +165,11 @@
             return None
         view = self._claimed(kind)
         age_ms = max(0.0, elapsed_ms() - view.current_ms)
-        if view.reached < 0 or age_ms >= self._coverage.limit_ms:
+        if view.through_revision < 0 or age_ms >= self._coverage.limit_ms:
             return None
-        return Snapshot(kind, view.reached, age_ms, self._packed_items(task, view.reached))
+        return Snapshot(
+            kind, view.through_revision, age_ms, self._packed_items(task, view.through_revision)
+        )
 
     def _packed_items(self, task: FeedTask, reached: int) -> bytes:
         """Return a kind's objects packed, which is done once for each revision."""
@@ -177,7 +179,7 @@
             self._packed[task.kind] = known
         return known[1]
 
-    def handle_update(self, update: Told) -> None:
+    def handle_update(self, update: RelayedUpdate) -> None:
         """Apply changes from the leader."""
         task = self._tasks.get(update.kind)
         if task is not None and not self._leading:
@@ -194,7 +196,7 @@
     # ---- as the leader ------------------------------------------------------------------
 
     def publish_changes(
-        self, kind: str, base: int, reached: int, changes: list[ToldChange]
+        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
     ) -> None:
         """Send changes that this node read from the store, if it leads."""
         if self._term() is None:
@@ -207,13 +209,13 @@
         """Send a map that this node stored."""
         change = self._keymaps.change_of(keymap)
         if change is not None:
-            base = self._view(kinds.KEYMAPS).reached
+            base = self._view(kinds.KEYMAPS).through_revision
             self._send_changes(kinds.KEYMAPS, base, keymap.revision, [change])
 
-    def _send_changes(self, kind: str, base: int, reached: int, changes: list[ToldChange]) -> None:
+    def _send_changes(self, kind: str, base: int, reached: int, changes: list[RelayedChange]) -> None:
         self._sent_reached[kind] = max(reached, self._sent_reached.get(kind, -1))
         sized = [(change, len(msgspec.msgpack.encode(change))) for change in changes]
-        for update in publisher.in_parts(kind, base, reached, sized, MAX_CHANGES):
+        for update in publisher.split_changes(kind, base, reached, sized, MAX_CHANGES):
             self._send(update)
 
     def publish_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
@@ -271,15 +273,17 @@
         view = self._view(kind)
         if kind != kinds.KEYMAPS:
             return view
-        reached = max(view.reached, self._sent_reached.get(kind, -1))
+        reached = max(view.through_revision, self._sent_reached.get(kind, -1))
         self._sent_reached[kind] = reached
         return FeedView(reached, elapsed_ms())
 
     def _view(self, kind: str) -> FeedView:
         view = self._tasks[kind].view
-        if view.reached < 0:
+        if view.through_revision < 0:
             return view
-        return replace(view, reached=max(view.reached, self._sent_reached.get(kind, -1)))
+        return replace(
+            view, through_revision=max(view.through_revision, self._sent_reached.get(kind, -1))
+        )
 
     def _change_role(self, leading: bool) -> None:
         self._leading = leading
--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -54,7 +54,7 @@
 def dispatcher_of(site):
     """Return the gateway that dispatches the queue of the service without keys."""
     zones = {f"127.0.0.1:{gateway.internal[0]}": "z1" for gateway in site.gateways}
-    address = groups.dispatcher(GroupName(PLAIN, ""), zones, ())
+    address = groups.dispatcher_of(GroupName(PLAIN, ""), zones, ())
     return next(g for g in site.gateways if f"127.0.0.1:{g.internal[0]}" == address)
 
 
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -8,7 +8,7 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.directory import Directory
-from ploverhatch.gateway.forwarder import MOVE_PART, OFFER_PART, Forwarder
+from ploverhatch.gateway.forwarder import MOVE_FRACTION, OFFER_FRACTION, Forwarder
 from ploverhatch.gateway.messages import CallerGoneError, CallerRequest
 from ploverhatch.gateway.shared_slots import SharedSlot, TurnedAwayError
 from ploverhatch.gateway.upstreams import UpstreamPool
@@ -17,8 +17,8 @@
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import Route, RouteTable, Service, ServiceShare
 from ploverhatch.sharding.keymap import LAST_KEY, Holder, KeyMap, KeyRange
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.state.servers import ServerRecord
-from ploverhatch.state.standing import ServerNotice
 from tests.standin.upstream import RawUpstream, Upstream
 
 PLAIN, KEYED = "plain", "keyed"
@@ -282,7 +282,7 @@
     assert order == [0, 1, 2]
 
 
-@pytest.mark.parametrize(("moving_for_ms", "part"), [(0.0, MOVE_PART), (600.0, OFFER_PART)])
+@pytest.mark.parametrize(("moving_for_ms", "part"), [(0.0, MOVE_FRACTION), (600.0, OFFER_FRACTION)])
 def test_a_move_that_waits_for_a_lapse_is_told_early(bench, monkeypatch, moving_for_ms, part):
     record = bench.add(Upstream("u1", sharded=True), service=KEYED)
     with monkeypatch.context() as earlier:
@@ -626,7 +626,7 @@
 
 # ---- servers that leave or want rest ------------------------------------------------------
 
-REST = ServerNotice(rest_ms=3000.0)
+REST = ServerNotice(backoff_ms=3000.0)
 LEAVES = ServerNotice(leaving=True)
 
 
@@ -705,9 +705,9 @@
         bench.add(upstream)
     slots = share(bench, GivenSlots("u1", "u2", "u2"))
     bench.ask(b"/once/", b"POST")
-    bench.pool.get("u1").asked_for_rest()
+    bench.pool.get("u1").note_backoff()
     bench.directory.apply_notice("u1", REST)
-    bench.forwarder._choice.note_rest("u1")
+    bench.forwarder._choice.note_backoff("u1")
     bench.ask(b"/once/", b"POST")
     assert [wish.barred for wish in slots.wishes] == [(), ("u1",)]
 
@@ -716,7 +716,7 @@
     holder = Upstream("u1", sharded=True)
     bench.own_keys(bench.add(holder, service=KEYED))
     now_ms = elapsed_ms()
-    assert bench.directory.servers.hear_leaving("u1", now_ms - 1300.0, now_ms)
+    assert bench.directory.servers.note_reported_leaving("u1", now_ms - 1300.0, now_ms)
     reply = bench.ask(b"/key/", headers=((b"Shard-Key", b"5"),))
     assert elapsed_ms() - now_ms < 50.0
     assert (reply.status, holder.arrived) == (503, [])
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -10,12 +10,12 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.peer_link import LoadReport, PeerLink
-from ploverhatch.relay.messages import Beacon, Claim, Told, ToldChange
+from ploverhatch.relay.messages import Beacon, Claim, RelayedChange, RelayedUpdate
 from ploverhatch.transport.http_connection import HostPort
 from tests.functional.test_gateway import until
 from tests.standin.site import free_port
 
-UPDATE = Told("kind", 4, 5, [ToldChange("a", 5, {"x": 1})])
+UPDATE = RelayedUpdate("kind", 4, 5, [RelayedChange("a", 5, {"x": 1})])
 BEACON = Beacon(9, 20.0, {"kind": Claim(5, 10.0)})
 UNSENT = {Beacon: {"sent_ms": BEACON.sent_ms}}
 
@@ -32,7 +32,7 @@
             lambda: self.leader,
             self.reports.append,
         )
-        self.link.add_handler(Told, self.received.append)
+        self.link.add_handler(RelayedUpdate, self.received.append)
         self.link.add_handler(Beacon, self.received.append)
         self.tasks = [
             gevent.spawn(self.link.report_forever),
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("content", ["x" * 90_000, incompressible(90_000)], ids=["one", "many"])
 def test_a_message_longer_than_a_datagram_arrives_whole(pair, content):
     leader, follower = pair
-    update = Told("kind", 4, 5, [ToldChange("a", 5, content)])
+    update = RelayedUpdate("kind", 4, 5, [RelayedChange("a", 5, content)])
     leader.link.publish(update)
     gevent.sleep(0.05)
     assert follower.received == [update]
@@ -98,7 +98,9 @@
 
 def test_a_message_that_is_far_too_long_is_not_sent(pair):
     leader, follower = pair
-    leader.link.publish(Told("kind", 4, 5, [ToldChange("a", 5, incompressible(900_000))]))
+    leader.link.publish(
+        RelayedUpdate("kind", 4, 5, [RelayedChange("a", 5, incompressible(900_000))])
+    )
     gevent.sleep(0.02)
     assert follower.received == []
 
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -15,7 +15,7 @@
     UNREACHABLE_MS,
     TurnedAwayError,
 )
-from ploverhatch.state.standing import NO_LIMIT, ServerNotice
+from ploverhatch.state.server_notices import NO_LIMIT, ServerNotice
 from tests.functional.test_shared_slots import Cluster, record, wish
 
 LIMIT = ServerNotice(limit_per_s=2.5)
@@ -44,7 +44,7 @@
     """Return the nodes in the order in which they keep a group's queue."""
     names = []
     for _ in cluster.nodes:
-        names.append(groups.dispatcher(name, cluster.zones, set(names)))
+        names.append(groups.dispatcher_of(name, cluster.zones, set(names)))
     return [next(node for node in cluster.nodes if node.name == name) for name in names]
 
 
@@ -68,7 +68,7 @@
         assert slot.dispatcher == first.name
         second.directory.apply_notice("s0", LIMIT)
     gevent.sleep(0.05)
-    assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
+    assert first.directory.servers.notices.limit_per_s == {"s0": 2.5}
     assert len(given(second, 1.5)) <= 5
 
 
@@ -82,7 +82,7 @@
         cluster.hold_all(held, 1, cluster.nodes.index(third))
         with pytest.raises(TurnedAwayError):
             cluster.hold_all(held, 1, cluster.nodes.index(third), wait_ms=40.0)
-    assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
+    assert first.directory.servers.notices.limit_per_s == {"s0": 2.5}
     assert len(given(third, 1.0)) <= 4
 
 
@@ -95,7 +95,7 @@
     with second.slots.hold(wish(wait_ms=1000.0)):
         second.directory.apply_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
     gevent.sleep(0.05)
-    assert first.directory.servers.standings.limit_per_s == {}
+    assert first.directory.servers.notices.limit_per_s == {}
     assert len(given(third, 0.5)) > 20
 
 
@@ -106,9 +106,11 @@
     for node in cluster.nodes:
         node.directory.apply_notice("s0", LIMIT)
     lost = iter([True, True])  # both questions of one request
-    third.lost = lambda message: type(message).__name__ == "SlotAsk" and next(lost, False)
+    third.lost = lambda message: (
+        type(message).__name__ == "SlotRequestMessage" and next(lost, False)
+    )
     servers = given(third, 0.8)
-    assert first.name in third.slots._choice.passed(elapsed_ms())
+    assert first.name in third.slots._choice.skipped(elapsed_ms())
     assert set(servers) == {"s1"}  # the second one in rank gives what is not limited
     gevent.sleep(0.5)
     assert "s0" in given(third, 1.0)
