--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -192,9 +192,7 @@
         """
         if self.state.leader_is_weak and self.state.is_strongest:
             return False
-        return (
-            self._covered() and elapsed_ms() - self._read_ms < election.COVERED_READ_INTERVAL_MS
-        )
+        return self._covered() and elapsed_ms() - self._read_ms < election.COVERED_READ_INTERVAL_MS
 
     def note_leader(self, lease_revision: int, renewed_ms: float, address: str) -> None:
         """Note a leader that announced its lease.
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -126,7 +126,13 @@
 
     def add_slot_handler(self, handler: Callable[[SlotMessage, Address], None]) -> None:
         """Pass all messages about slots to ``handler``, with their senders' addresses."""
-        for message_type in (SlotRequestMessage, SlotReply, SlotRelease, HeldSlotsRequest, HeldSlotsReply):
+        for message_type in (
+            SlotRequestMessage,
+            SlotReply,
+            SlotRelease,
+            HeldSlotsRequest,
+            HeldSlotsReply,
+        ):
             self.add_peer_handler(message_type, handler)
 
     def send(self, message: SlotMessage | CrashMessage, to: Address) -> None:
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -212,7 +212,9 @@
             base = self._view(kinds.KEYMAPS).through_revision
             self._send_changes(kinds.KEYMAPS, base, keymap.revision, [change])
 
-    def _send_changes(self, kind: str, base: int, reached: int, changes: list[RelayedChange]) -> None:
+    def _send_changes(
+        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
+    ) -> None:
         self._sent_reached[kind] = max(reached, self._sent_reached.get(kind, -1))
         sized = [(change, len(msgspec.msgpack.encode(change))) for change in changes]
         for update in publisher.split_changes(kind, base, reached, sized, MAX_CHANGES):
