--- a/tests/functional/test_supervision.py
+++ b/tests/functional/test_supervision.py
@@ -115,7 +115,7 @@
     def broken(*_):
         raise RuntimeError("unexpected")
 
-    monkeypatch.setattr(bench.forwarder._dialect, "judge", broken)
+    monkeypatch.setattr(bench.forwarder._dialect, "classify_answer", broken)
     reply = bench.ask(b"/once/a", b"POST")
     assert (reply.status, field(reply, b"ploverhatch-result")) == (500, [b"3005"])
 
