--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -215,8 +215,8 @@
         members = self._apply_nodes(listing)
         strengths = [item.strength for item in members]
         strongest = max([*strengths, self.state.strength])
-        rivals = max(1, strengths.count(strongest))
-        self.state = replace(self.state, strongest=strongest, strongest_count=rivals)
+        strongest_count = max(1, strengths.count(strongest))
+        self.state = replace(self.state, strongest=strongest, strongest_count=strongest_count)
         leases = [item for item in listing.items if item.name == kinds.LEADER_LEASE]
         for item in leases:
             self._observe(keymap_codec.decode_lease(item))
--- a/ploverhatch/gateway/feeds.py
+++ b/ploverhatch/gateway/feeds.py
@@ -109,7 +109,7 @@
         """
 
     def publish_changes(
-        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
+        self, kind: str, base: int, through_revision: int, changes: list[RelayedChange]
     ) -> None:
         """Relay all changes between two revisions that were read from the store."""
 
--- a/ploverhatch/gateway/key_leader.py
+++ b/ploverhatch/gateway/key_leader.py
@@ -94,7 +94,7 @@
         self._loads: dict[str, KeyLoad] = {}
         self._answer_times = AnswerTimes()
         self._backoffs = BackoffReports()
-        self._readings: dict[str, LoadEstimate] = {}
+        self._load_estimates: dict[str, LoadEstimate] = {}
         self._malformed: dict[str, int] = {}  # revisions of malformed maps, by service
         self._tasks: set[gevent.Greenlet] = set()
         self._finishing = False
@@ -249,13 +249,13 @@
             and limit.per_s < NO_LIMIT
             and now_ms - limit.announced_ms < PLANNED_LIMIT_MS
         }
-        known = self._readings.get(service)
+        known = self._load_estimates.get(service)
         if known is None or now_ms - known.taken_ms >= READ_EVERY_MS:
             load = self._loads.setdefault(service, KeyLoad())
             known = load_estimate.estimate(
                 service, records, self._core, load, self._answer_times, now_ms, limits.keys()
             )
-            self._readings[service] = known
+            self._load_estimates[service] = known
         return ServiceView(
             records,
             known.rates,
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -65,7 +65,7 @@
         self._leader = leader
         self._send = send
         self._tasks: dict[str, FeedTask] = {}
-        self._sent_reached: dict[str, int] = {}  # revision sent in this term, by kind
+        self._sent_through: dict[str, int] = {}  # revision sent in this term, by kind
         self._urgent = False  # a beacon is about to be sent before its time
         self._packed: dict[str, tuple[int, bytes]] = {}  # revision and objects, by kind
         self._leading = False
@@ -90,7 +90,7 @@
         """Return until when the store need not be asked for a kind."""
         if not self._leading:
             return coverage.covered_until_ms(self._coverage, kind, cursor)
-        if kind == kinds.KEYMAPS and self._sent_reached.get(kind, -1) >= 0:
+        if kind == kinds.KEYMAPS and self._sent_through.get(kind, -1) >= 0:
             return elapsed_ms() + OWN_MAPS_MS  # only the leader writes key maps
         return float("-inf")
 
@@ -171,11 +171,11 @@
             kind, view.through_revision, age_ms, self._packed_items(task, view.through_revision)
         )
 
-    def _packed_items(self, task: FeedTask, reached: int) -> bytes:
+    def _packed_items(self, task: FeedTask, through_revision: int) -> bytes:
         """Return a kind's objects packed, which is done once for each revision."""
         known = self._packed.get(task.kind)
-        if known is None or known[0] != reached:
-            known = (reached, packing.pack(task.items))
+        if known is None or known[0] != through_revision:
+            known = (through_revision, packing.pack(task.items))
             self._packed[task.kind] = known
         return known[1]
 
@@ -196,14 +196,14 @@
     # ---- as the leader ------------------------------------------------------------------
 
     def publish_changes(
-        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
+        self, kind: str, base: int, through_revision: int, changes: list[RelayedChange]
     ) -> None:
         """Send changes that this node read from the store, if it leads."""
         if self._term() is None:
             return
-        sent_reached = self._sent_reached.get(kind, -1)
-        if reached > sent_reached or changes:
-            self._send_changes(kind, base, reached, changes)
+        sent_through = self._sent_through.get(kind, -1)
+        if through_revision > sent_through or changes:
+            self._send_changes(kind, base, through_revision, changes)
 
     def publish_map(self, keymap: KeyMap) -> None:
         """Send a map that this node stored."""
@@ -213,11 +213,11 @@
             self._send_changes(kinds.KEYMAPS, base, keymap.revision, [change])
 
     def _send_changes(
-        self, kind: str, base: int, reached: int, changes: list[RelayedChange]
+        self, kind: str, base: int, through_revision: int, changes: list[RelayedChange]
     ) -> None:
-        self._sent_reached[kind] = max(reached, self._sent_reached.get(kind, -1))
+        self._sent_through[kind] = max(through_revision, self._sent_through.get(kind, -1))
         sized = [(change, len(msgspec.msgpack.encode(change))) for change in changes]
-        for update in publisher.split_changes(kind, base, reached, sized, MAX_CHANGES):
+        for update in publisher.split_changes(kind, base, through_revision, sized, MAX_CHANGES):
             self._send(update)
 
     def publish_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
@@ -275,21 +275,21 @@
         view = self._view(kind)
         if kind != kinds.KEYMAPS:
             return view
-        reached = max(view.through_revision, self._sent_reached.get(kind, -1))
-        self._sent_reached[kind] = reached
-        return FeedView(reached, elapsed_ms())
+        through_revision = max(view.through_revision, self._sent_through.get(kind, -1))
+        self._sent_through[kind] = through_revision
+        return FeedView(through_revision, elapsed_ms())
 
     def _view(self, kind: str) -> FeedView:
         view = self._tasks[kind].view
         if view.through_revision < 0:
             return view
         return replace(
-            view, through_revision=max(view.through_revision, self._sent_reached.get(kind, -1))
+            view, through_revision=max(view.through_revision, self._sent_through.get(kind, -1))
         )
 
     def _change_role(self, leading: bool) -> None:
         self._leading = leading
-        self._sent_reached.clear()
+        self._sent_through.clear()
         self._packed.clear()
         self._keymaps.begin_term()
         _nudge(list(self._tasks.values()))
--- a/tests/standin/relay.py
+++ b/tests/standin/relay.py
@@ -17,8 +17,8 @@
     def watch_wait_s(self, kind):
         return 25.0
 
-    def publish_changes(self, kind, base, reached, changes):
-        self.told.append((kind, base, reached, changes))
+    def publish_changes(self, kind, base, through_revision, changes):
+        self.told.append((kind, base, through_revision, changes))
 
     def await_leader(self):
         pass
