--- a/ploverhatch/gateway/answer_record.py
+++ b/ploverhatch/gateway/answer_record.py
@@ -15,8 +15,8 @@
 
 LOG = PartLogger("callers")
 
-NAMES_IN_LINE = 40
-MOST_NAMES = 4000  # of one stop: ten times what a small machine answers in a grace time
+NAMES_PER_LINE = 40
+MAX_NAMES = 4000  # of one stop: ten times what a small machine answers in a grace time
 _INT = struct.Struct("i")
 
 
@@ -68,15 +68,15 @@
                     size=answer.size,
                 )
             else:
-                self._take(answer)
+                self._note_taken(answer)
             left -= answer.size
 
-    def _take(self, answer: SentAnswer) -> None:
+    def _note_taken(self, answer: SentAnswer) -> None:
         self.taken += 1
-        if self.taken > MOST_NAMES:
+        if self.taken > MAX_NAMES:
             return  # counted only
         self._names.append(f"{answer.request_id}:{answer.status}")
-        if len(self._names) >= NAMES_IN_LINE:
+        if len(self._names) >= NAMES_PER_LINE:
             self.flush()
 
     def flush(self) -> None:
--- a/ploverhatch/gateway/call.py
+++ b/ploverhatch/gateway/call.py
@@ -23,20 +23,20 @@
     move_by_ms: float
     trace: RequestTrace
     token: int = 0  # of the key's range, when it was looked up
-    _hint: bytes = field(default=b"", init=False)
+    _short_digest: bytes = field(default=b"", init=False)
     _fingerprint: Fingerprint | None = field(default=None, init=False)
 
     @property
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Time until the caller's deadline or the route's timeout."""
         return self.deadline_ms - elapsed_ms()
 
     @property
-    def hint(self) -> bytes:
+    def short_digest(self) -> bytes:
         """What few other requests share; cheap, and made when it is first asked for."""
-        if not self._hint:
-            self._hint = hint(self.request.target, self.request.body)
-        return self._hint
+        if not self._short_digest:
+            self._short_digest = hint(self.request.target, self.request.body)
+        return self._short_digest
 
     @property
     def fingerprint(self) -> Fingerprint:
@@ -45,5 +45,7 @@
             request, facts = self.request, self.facts
             key = b"" if facts.shard_key is None else b"%d" % facts.shard_key
             content = (request.method, facts.host, request.target, key, request.body)
-            self._fingerprint = fingerprint(self.hint, content, (request.caller, facts.credentials))
+            self._fingerprint = fingerprint(
+                self.short_digest, content, (request.caller, facts.credentials)
+            )
         return self._fingerprint
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -60,14 +60,14 @@
 USEFUL_FRACTION = 0.5  # of the objective: a request that gets its slot by then is mostly in time
 WAIT_FRACTION = 0.55  # of the time until the caller or the route gives up: then no slot helps
 HOLD_MARGIN_MS = 100.0  # a slot that all nodes share is leased for longer than it is used
-LONGEST_RETRY_AFTER_S = 2.0  # longer waits are of no use to callers, whose deadlines are seconds
+MAX_RETRY_AFTER_S = 2.0  # longer waits are of no use to callers, whose deadlines are seconds
 MOVE_FRACTION = 0.6  # of the objective: how long to wait for keys that change hands
-LEAST_ATTEMPT_PART = 0.1  # of the objective: less time than that is no use
+MIN_ATTEMPT_FRACTION = 0.1  # of the objective: less time than that is no use
 RETRY_AFTER_BUSY_S = 0.15
 RETRY_AFTER_MOVE_S = 0.25
 RETRY_AFTER_STOP_S = 0.0  # another node can serve it at once
 RETRY_PAUSE_S = 0.02
-DRAIN_MS = 2000.0  # until a server that says that it leaves gets nothing, where none is given
+DRAIN_MS = 2000.0  # until a server that says that it leaves gets nothing, where none is granted
 
 FAILED_RESULTS = frozenset(
     {AttemptResult.NOT_CONNECTED, AttemptResult.LOST, AttemptResult.TIMED_OUT}
@@ -77,7 +77,7 @@
 UNANSWERED_RESULTS = frozenset({AttemptResult.NOT_CONNECTED, AttemptResult.TIMED_OUT})
 
 
-def _alone() -> Quarantine:
+def _single_node_quarantine() -> Quarantine:
     """Return the quarantine of a node that has no others."""
     quarantine = Quarantine("", tuple, lambda message, to: None)
     quarantine.mark_synced()
@@ -107,8 +107,8 @@
         self.planned_stop: PlannedStop | None = None  # once the process was told to stop
         self._under_way = RequestsUnderWay()
         self.sampled_keys: dict[str, list[int]] = {}
-        self._quarantine = quarantine or _alone()
-        pool.on_removed = self._quarantine.ended
+        self._quarantine = quarantine or _single_node_quarantine()
+        pool.on_removed = self._quarantine.note_server_ended
         self.metrics = GatewayMetrics()
 
     # ---- entry ----------------------------------------------------------------------
@@ -128,7 +128,7 @@
                 try:
                     reply = self._run(call)
                 finally:
-                    self._quarantine.over(call)
+                    self._quarantine.note_finished(call)
         except MalformedRequestError as error:
             result, detail = results.BAD_REQUEST, str(error).replace(" ", "-")
             reply = self._refuse(RefusedError(result), facts)
@@ -157,7 +157,7 @@
     def end_under_way(self) -> int:
         """Have the requests under way answered now, since the process ends.
 
-        These were taken before it was told to stop, and were given more time than it has.
+        These were taken before it was told to stop, and were granted more time than it has.
 
         :returns: how many they are.
         """
@@ -226,17 +226,17 @@
         tried: set[str] = set()
         last_answer: WireAnswer | None = None
         while True:
-            upstream, result, answer = self._attempt_allowed(call, tried, history)
+            upstream, result, answer = self._attempt_when_permitted(call, tried, history)
             self.metrics.attempts[result.value] += 1
             if result in RAN_RESULTS:
-                self._quarantine.answered(call)
+                self._quarantine.note_answer(call)
             if result is AttemptResult.ANSWERED:
                 assert answer is not None
-                return self._pass_on(answer)
+                return self._forward_answer(answer)
             if result is AttemptResult.SERVER_ERROR:
                 last_answer = answer
             history = history.after(result)
-            self._learn(upstream, result, call.trace.attempts[-1].took_ms)
+            self._update_upstream(upstream, result, call.trace.attempts[-1].took_ms)
             step = self._decide(call, history, result)
             if step is not NextStep.RETRY:
                 return self._give_up(call, step, result, last_answer, tried)
@@ -244,7 +244,7 @@
                 tried.add(upstream.record.server_id)
             elif result in {AttemptResult.NOT_HOLDER, AttemptResult.NOT_CONNECTED}:
                 self._directory.changed.wait(RETRY_PAUSE_S)
-            elif self._choice.hopeless(call) is None:
+            elif self._choice.unservable(call) is None:
                 # The same server again: not while it is as full as it was.
                 gevent.sleep(upstream.answer_time.typical_ms / 1000 * random.random())
 
@@ -259,8 +259,8 @@
             result,
             call.route.repeatable,
             call.route.max_attempts,
-            call.left_ms,
-            call.route.objective_ms * LEAST_ATTEMPT_PART,
+            call.remaining_ms,
+            call.route.objective_ms * MIN_ATTEMPT_FRACTION,
         )
         no_holder = call.partitioned and result is AttemptResult.NOT_CONNECTED
         if step is NextStep.RETRY and no_holder and elapsed_ms() > call.offer_by_ms:
@@ -280,30 +280,30 @@
         tried: set[str],
     ) -> CallerReply:
         if last is not None:
-            return self._pass_on(last)  # the server's own failure, unchanged
+            return self._forward_answer(last)  # the server's own failure, unchanged
         if step is NextStep.REFUSE:
-            hopeless = self._choice.hopeless(call, tried)
-            after_s = hopeless.after_s if hopeless else 0.0
+            unservable = self._choice.unservable(call, tried)
+            after_s = unservable.after_s if unservable else 0.0
             after_s = max(after_s, RETRY_AFTER_BUSY_S)
             raise RefusedError(results.SERVER_REFUSED, result.value, after_s)
         if result is AttemptResult.TIMED_OUT:
             raise RefusedError(results.DEADLINE_IN_FLIGHT, result.value)
         raise RefusedError(results.ANSWER_LOST, result.value)
 
-    def _pass_on(self, answer: WireAnswer) -> CallerReply:
+    def _forward_answer(self, answer: WireAnswer) -> CallerReply:
         return CallerReply(answer.status, self._dialect.reply_headers(answer), answer.body)
 
-    def _learn(self, upstream: Upstream, result: AttemptResult, took_ms: float) -> None:
+    def _update_upstream(self, upstream: Upstream, result: AttemptResult, took_ms: float) -> None:
         if result is AttemptResult.WRONG_INSTANCE:
-            self._quarantine.ended(upstream)
+            self._quarantine.note_server_ended(upstream)
             self._directory.server_ended(upstream.record.server_id)
-        turned_away = result is AttemptResult.LOST and upstream.turned_away(took_ms)
-        if turned_away or result in {AttemptResult.DECLINED, AttemptResult.TIMED_OUT}:
-            upstream.overloaded()
+        rejected = result is AttemptResult.LOST and upstream.suggests_rejection(took_ms)
+        if rejected or result in {AttemptResult.DECLINED, AttemptResult.TIMED_OUT}:
+            upstream.note_overload()
         if result in FAILED_RESULTS:
-            upstream.failed()
+            upstream.note_failure()
 
-    def _attempt_allowed(
+    def _attempt_when_permitted(
         self, call: Call, tried: set[str], history: AttemptHistory
     ) -> tuple[Upstream, AttemptResult, WireAnswer | None]:
         """Send the request to one server once it may be sent."""
@@ -320,31 +320,31 @@
         if call.partitioned:
             upstream = self._await_upstream(call, tried, history)
         else:
-            self._refuse_hopeless(call, tried, history)
-        with ExitStack() as held:
-            slot = self._shared_slot(call, history, upstream, held)
-            given = self._choice.of_slot(call, slot.server_id) if slot else None
-            if slot is not None and given is not None:
-                self._quarantine.check_now(call, history.may_have_run)
-                with given.given_slot():
-                    result, answer = self._attempt_noted(call, given)
+            self._refuse_unservable(call, tried, history)
+        with ExitStack() as held_slots:
+            slot = self._acquire_shared_slot(call, history, upstream, held_slots)
+            granted = self._choice.upstream_for_slot(call, slot.server_id) if slot else None
+            if slot is not None and granted is not None:
+                self._quarantine.recheck(call, history.may_have_run)
+                with granted.granted_slot():
+                    result, answer = self._record_attempt(call, granted)
                 slot.failed = result in FAILED_RESULTS
                 slot.unanswered = result in UNANSWERED_RESULTS
                 if result is AttemptResult.ANSWERED:
                     slot.took_ms = call.trace.attempts[-1].took_ms
-                return given, result, answer
-        if self._choice.only_by_dispatcher(call, tried):
-            raise self._out_of_time(call, history, results.QUEUE_TIMEOUT)
+                return granted, result, answer
+        if self._choice.all_need_dispatcher(call, tried):
+            raise self._refusal_without_server(call, history, results.QUEUE_TIMEOUT)
         # The wait for a slot may have been long: the holder is looked up again.
         upstream = self._await_upstream(call, tried, history)
         if self._choice.needs_dispatcher(upstream.record):
-            raise self._out_of_time(call, history, results.QUEUE_TIMEOUT)
+            raise self._refusal_without_server(call, history, results.QUEUE_TIMEOUT)
         return upstream, *self._attempt_in_slot(call, upstream, history)
 
-    def _shared_slot(
-        self, call: Call, history: AttemptHistory, holder: Upstream | None, held: ExitStack
+    def _acquire_shared_slot(
+        self, call: Call, history: AttemptHistory, holder: Upstream | None, held_slots: ExitStack
     ) -> SharedSlot | None:
-        """Return a slot of all nodes, held until the stack ends; ``None`` if nobody tells.
+        """Return a slot of all nodes, held_slots until the stack ends; ``None`` if nobody tells.
 
         :raises RefusedError: when none can be expected in time.
         """
@@ -357,23 +357,25 @@
         if history.arrivals:  # it may have run: only an answer helps
             until_ms = call.deadline_ms
         attempts = call.trace.attempts
-        wish = SlotRequirements(
+        requirements = SlotRequirements(
             call.service,
             call.route.priority,
             max(0.0, useful_ms - now_ms),
             max(0.0, until_ms - now_ms),
-            max(0.0, call.left_ms) + HOLD_MARGIN_MS,
+            max(0.0, call.remaining_ms) + HOLD_MARGIN_MS,
             holder.record if holder else None,
             attempts[-1].server_id if attempts else "",
             call.route.regions,
-            () if holder else self._choice.barred(),
+            () if holder else self._choice.excluded(),
         )
         try:
-            slot = held.enter_context(self._shared_slots.hold(wish))
+            slot = held_slots.enter_context(self._shared_slots.hold(requirements))
         except TurnedAwayError as error:
             call.trace.slot = f"turned-away:{error.after_ms:.0f}@{error.dispatcher}"
-            after_s = min(error.after_ms / 1000, LONGEST_RETRY_AFTER_S)
-            raise self._out_of_time(call, history, results.QUEUE_TIMEOUT, after_s) from error
+            after_s = min(error.after_ms / 1000, MAX_RETRY_AFTER_S)
+            raise self._refusal_without_server(
+                call, history, results.QUEUE_TIMEOUT, after_s
+            ) from error
         call.trace.slot = f"given@{slot.dispatcher}" if slot else "none"
         return slot
 
@@ -383,14 +385,14 @@
         until_ms = call.deadline_ms if history.arrivals else call.offer_by_ms
         try:
             with upstream.slot(call.route.priority, (until_ms - elapsed_ms()) / 1000):
-                self._quarantine.check_now(call, history.may_have_run)
-                return self._attempt_noted(call, upstream)
+                self._quarantine.recheck(call, history.may_have_run)
+                return self._record_attempt(call, upstream)
         except QueueFullError as error:
-            raise self._out_of_time(call, history, results.QUEUE_FULL) from error
+            raise self._refusal_without_server(call, history, results.QUEUE_FULL) from error
         except NoSlotError as error:
-            raise self._out_of_time(call, history, results.QUEUE_TIMEOUT) from error
+            raise self._refusal_without_server(call, history, results.QUEUE_TIMEOUT) from error
 
-    def _out_of_time(
+    def _refusal_without_server(
         self,
         call: Call,
         history: AttemptHistory,
@@ -401,7 +403,7 @@
         """Return the refusal of a request that found no server in time.
 
         :param after_s: when a slot can be expected, where that is known.
-        :param detail: for the log; the service where nothing else is given.
+        :param detail: for the log; the service where nothing else is granted.
         """
         if history.may_have_run:
             return RefusedError(results.ANSWER_LOST, ",".join(filter(None, (result.name, detail))))
@@ -409,7 +411,7 @@
         retry_after_s = RETRY_AFTER_BUSY_S if busy else RETRY_AFTER_MOVE_S
         return RefusedError(result, detail or call.service, max(retry_after_s, after_s))
 
-    def _attempt_noted(
+    def _record_attempt(
         self, call: Call, upstream: Upstream
     ) -> tuple[AttemptResult, WireAnswer | None]:
         start_ms = elapsed_ms()
@@ -427,7 +429,7 @@
 
     def _attempt(self, call: Call, upstream: Upstream) -> tuple[AttemptResult, WireAnswer | None]:
         record = upstream.record
-        left_ms = call.left_ms
+        left_ms = call.remaining_ms
         if left_ms <= 0:
             return AttemptResult.NOT_CONNECTED, None
         connection = self._connect(upstream, left_ms)
@@ -437,20 +439,20 @@
         left_ms = call.deadline_ms - sent_ms
         # The waits for a slot and for the connection are over: what a server has asked for
         # meanwhile holds, and nothing waits between this look and the send.
-        withheld = self._choice.bar(call, record.server_id) is not None
+        withheld = self._choice.exclusion(call, record.server_id) is not None
         if left_ms <= 0 or withheld:
-            upstream.give_back(connection)
+            upstream.release(connection)
             return AttemptResult.WITHHELD if withheld else AttemptResult.NOT_CONNECTED, None
         payload = self._dialect.encode_request(call.request, record.server_id, left_ms)
         call.trace.sent = True
         self._count_send(record.server_id)
-        self._quarantine.sending(call, record.server_id)
+        self._quarantine.log_suspect_send(call, record.server_id)
         answer = self._exchange(call, upstream, connection, payload, sent_ms)
         if isinstance(answer, AttemptResult):
             return answer, None
         result = self._dialect.classify_answer(call.facts, record.server_id, answer)
         if result is not AttemptResult.WRONG_INSTANCE:
-            upstream.heard_ms = elapsed_ms()
+            upstream.last_answer_ms = elapsed_ms()
         notice = self._dialect.notice(call.facts.request_id, record.server_id, answer)
         if notice != NOTHING:
             self._directory.take_notice(record.server_id, notice, sent_ms)
@@ -460,9 +462,9 @@
         if result is AttemptResult.LOST:
             connection.abort()
             return result, None
-        upstream.give_back(connection)
+        upstream.release(connection)
         if result is AttemptResult.ANSWERED:
-            upstream.answered(elapsed_ms() - sent_ms, call.route.objective_ms)
+            upstream.note_answer(elapsed_ms() - sent_ms, call.route.objective_ms)
         return result, answer
 
     def _connect(self, upstream: Upstream, left_ms: float) -> HttpConnection | None:
@@ -470,7 +472,7 @@
             return upstream.connection(min(CONNECT_TIMEOUT_S, left_ms / 1000))
         except NotConnectedError as error:
             if error.refused:
-                self._quarantine.ended(upstream)
+                self._quarantine.note_server_ended(upstream)
             return None
 
     def _exchange(
@@ -486,13 +488,13 @@
             with gevent.Timeout((call.deadline_ms - sent_ms) / 1000):
                 return connection.exchange(call.request.method, payload)
         except gevent.Timeout:
-            self._quarantine.timed_out(call, upstream, sent_ms)
+            self._quarantine.note_timeout(call, upstream, sent_ms)
             return AttemptResult.TIMED_OUT
         except AnswerCutError:
-            self._quarantine.lost(call, upstream, sent_ms)
+            self._quarantine.note_lost(call, upstream, sent_ms)
             return AttemptResult.LOST
         except BaseException:  # the caller has left, or the process ends
-            self._quarantine.left(call, upstream, sent_ms)
+            self._quarantine.note_abandoned(call, upstream, sent_ms)
             raise
 
     def _count_send(self, server_id: str) -> None:
@@ -515,22 +517,22 @@
             if call.partitioned:
                 upstream = self._choice.holder(call)
             else:
-                upstream = self._choice.cheapest(call, tried)
+                upstream = self._choice.fastest(call, tried)
             if upstream is not None:
                 return upstream
-            self._refuse_hopeless(call, tried, history)
+            self._refuse_unservable(call, tried, history)
             left_ms = self._choice.wait_until_ms(call) - elapsed_ms()
             if left_ms <= 0:
-                raise self._out_of_time(call, history, results.NO_OWNER)
+                raise self._refusal_without_server(call, history, results.NO_OWNER)
             self._directory.changed.wait(left_ms / 1000)
 
-    def _refuse_hopeless(self, call: Call, tried: set[str], history: AttemptHistory) -> None:
+    def _refuse_unservable(self, call: Call, tried: set[str], history: AttemptHistory) -> None:
         """Refuse a request at once where it is known that no server may be sent it.
 
         :raises RefusedError: with the time after which one may be.
         """
-        hopeless = self._choice.hopeless(call, tried)
-        if hopeless is not None:
-            raise self._out_of_time(
-                call, history, hopeless.result, hopeless.after_s, hopeless.detail
+        unservable = self._choice.unservable(call, tried)
+        if unservable is not None:
+            raise self._refusal_without_server(
+                call, history, unservable.result, unservable.after_s, unservable.detail
             )
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -36,29 +36,29 @@
 
 UNRESOLVED_KEPT_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
 MAX_UNRESOLVED = 16  # of one server
-WORK_GOES_ON_MS = 300.0  # after its caller has left; what ends its server does so sooner
-LOOK_S = 0.1  # a dead port refuses within a round trip; a cut link says nothing
-USUAL_ANSWER_MS = 100.0  # of a server that has answered nothing yet
+ABANDONED_WORK_MS = 300.0  # after its caller has left; what ends its server does so sooner
+PROBE_TIMEOUT_S = 0.1  # a dead port refuses within a round trip; a cut link says nothing
+DEFAULT_ANSWER_MS = 100.0  # of a server that has answered nothing yet
 FROZEN_FACTOR = 4.0  # times its usual answer time: a server that is silent for so long
-TELL_S = 0.02  # between tellings: what is seen meanwhile is told together
-ASK_S = 1.0  # between asks of one other node
+REPORT_INTERVAL_S = 0.02  # between tellings: what is seen meanwhile is told together
+QUERY_INTERVAL_S = 1.0  # between asks of one other node
 # A node that has just started asks some others before it sends requests on: they answer
 # within a round trip. Where none does it waits no longer, and goes on asking.
-FIRST_ASKED = 3
+INITIAL_QUERIES = 3
 INITIAL_REPLY_TIMEOUT_S = 0.3
-MEMBERS_S = 1.0  # until it is known which other nodes there are
-MOST_TOLD = 24  # records in one datagram: each has 200 bytes, one with eight ends 500
+MEMBERS_TIMEOUT_S = 1.0  # until it is known which other nodes there are
+MAX_RECORDS_PER_REPORT = 24  # records in one datagram: each has 200 bytes, one with eight ends 500
 # Datagrams of tellings: a hundred nodes hear of ten ends a second from one node.
-MOST_SENT_PER_S = 1000.0
-MOST_SENT_AT_ONCE = 2000.0
+MAX_SENT_PER_S = 1000.0
+MAX_SENT_BURST = 2000.0
 # Callers of a request of which another copy is on trial come back after so long: where one
 # server ended under it, it is mostly answered by then; where it was held, it is rarely.
-TRIAL_S = 0.25
-TRIAL_OF_HELD_S = 1.0
+TRIAL_RETRY_AFTER_S = 0.25
+QUARANTINED_TRIAL_RETRY_AFTER_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Copy:
+class _SentCopy:
     """A request as it was sent to a server."""
 
     request_id: str
@@ -68,7 +68,7 @@
     sent_ms: float
 
     @classmethod
-    def of(cls, call: Call, upstream: Upstream, sent_ms: float) -> "_Copy":
+    def of(cls, call: Call, upstream: Upstream, sent_ms: float) -> "_SentCopy":
         server_id = upstream.record.server_id
         return cls(call.trace.request_id, call.service, call.fingerprint, server_id, sent_ms)
 
@@ -80,13 +80,13 @@
     ``broke`` says that the server broke its connection, else this node did.
     """
 
-    copy: _Copy
+    copy: _SentCopy
     left_ms: float
-    broke: bool
+    connection_lost: bool
 
-    def is_harmless(self, heard_ms: float) -> bool:
+    def is_harmless(self, last_answer_ms: float) -> bool:
         """Whether an answer to another request shows that the server went on after it."""
-        return heard_ms >= self.left_ms + (0.0 if self.broke else WORK_GOES_ON_MS)
+        return last_answer_ms >= self.left_ms + (0.0 if self.connection_lost else ABANDONED_WORK_MS)
 
 
 class OnTrialElsewhereError(Exception):
@@ -125,12 +125,12 @@
         self._ledger = CrashLedger()
         self._ran_until_ms = ran_until_ms
         self._permits = permits or TrialPermits(lambda: None, lambda: 1, lambda message, to: None)
-        self._first = FirstCopies()
+        self._first_copies = FirstCopies()
         self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # by server
         self._unreported: set[bytes] = set()
-        self._told_s = -math.inf  # when it was told last, elapsed
+        self._reported_s = -math.inf  # when it was told last, elapsed
         self._logged: dict[bytes, int] = {}  # contents that are held: by how many ends
-        self._may_send = MOST_SENT_AT_ONCE
+        self._send_budget = MAX_SENT_BURST
         self._refilled_ms = elapsed_ms()
 
     @property
@@ -167,37 +167,37 @@
         """
         self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
         until_ms = call.move_by_ms if may_have_run else call.offer_by_ms
-        self._await_first(call, until_ms)
-        while (after_ms := self._ask(call, may_have_run)) > 0:
+        self._await_first_copy(call, until_ms)
+        while (after_ms := self._permit_wait_ms(call, may_have_run)) > 0:
             left_ms = until_ms - elapsed_ms()
             if left_ms <= 0:
-                raise self._refusal(results.ON_TRIAL, call, may_have_run, TRIAL_S)
+                raise self._refusal(results.ON_TRIAL, call, may_have_run, TRIAL_RETRY_AFTER_S)
             self._permits.changed.wait(min(after_ms, left_ms) / 1000)
 
-    def _await_first(self, call: Call, until_ms: float) -> None:
+    def _await_first_copy(self, call: Call, until_ms: float) -> None:
         """Wait for a moment while another copy of what nobody was answered yet goes ahead."""
-        while (wait_ms := self._first.ask(call.hint, call, elapsed_ms())) > 0:
+        while (wait_ms := self._first_copies.ask(call.short_digest, call, elapsed_ms())) > 0:
             left_ms = min(wait_ms, until_ms - elapsed_ms())
             if left_ms <= 0:
                 return
             self._permits.changed.wait(left_ms / 1000)
 
-    def check_now(self, call: Call, may_have_run: bool) -> None:
+    def recheck(self, call: Call, may_have_run: bool) -> None:
         """Look once more right before a request is sent, after the wait for its slot.
 
         :raises RefusedError: when it is held.
         :raises OnTrialElsewhereError: when it has to wait, which needs no slot.
         """
-        if self._ask(call, may_have_run) > 0:
+        if self._permit_wait_ms(call, may_have_run) > 0:
             raise OnTrialElsewhereError
 
-    def _ask(self, call: Call, may_have_run: bool) -> float:
+    def _permit_wait_ms(self, call: Call, may_have_run: bool) -> float:
         """Return after how many milliseconds to ask again; 0: it may be sent now.
 
         :raises RefusedError: when it is held.
         """
         after_ms = 0.0
-        while self._knows(call):
+        while self._may_know(call):
             hold = self._ledger.hold(call.fingerprint)
             left_s = (hold.until_ms - elapsed_ms()) / 1000 if hold else 0.0
             if left_s > 0:
@@ -209,7 +209,9 @@
             after_ms = self._permits.acquire(call)
             if after_ms > 0:
                 if hold is not None:
-                    raise self._refusal(results.QUARANTINED, call, may_have_run, TRIAL_OF_HELD_S)
+                    raise self._refusal(
+                        results.QUARANTINED, call, may_have_run, QUARANTINED_TRIAL_RETRY_AFTER_S
+                    )
                 return after_ms
             # While the permit was asked for, more may have become known.
         return 0.0
@@ -230,21 +232,21 @@
         age_ms = elapsed_ms() - last.ended_ms
         return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
-    def over(self, call: Call) -> None:
+    def note_finished(self, call: Call) -> None:
         """A request has ended, so that another copy may go on trial."""
-        if self._first.over(call.hint, call):
+        if self._first_copies.over(call.short_digest, call):
             self._permits.changed.raise_()
         self._permits.release(call)
 
-    def answered(self, call: Call) -> None:
+    def note_answer(self, call: Call) -> None:
         """A server has answered a request: it has not ended under it."""
-        self._first.answered(call.hint, elapsed_ms())
-        if not self._ledger.may_know(call.hint):
+        self._first_copies.answered(call.short_digest, elapsed_ms())
+        if not self._ledger.may_know(call.short_digest):
             return
         if self._ledger.note_answer(call.fingerprint, elapsed_ms()):
             self._note_change(call.fingerprint.content)
 
-    def lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
+    def note_lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A server broke a request's connection before its answer: look whether it has ended.
 
         Returns when that is known, so that a request that is held by it is sent nowhere
@@ -252,56 +254,60 @@
         """
         if _announced(upstream):
             return
-        gevent.spawn(self._look, call, upstream, sent_ms, elapsed_ms()).join(LOOK_S)
+        gevent.spawn(self._probe, call, upstream, sent_ms, elapsed_ms()).join(PROBE_TIMEOUT_S)
 
-    def timed_out(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
+    def note_timeout(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A server gave no answer in time: it has frozen if it answered nothing else since."""
         now_ms = min(elapsed_ms(), self._ran_until_ms())
-        usual_ms = upstream.answer_time.mean_ms or USUAL_ANSWER_MS
-        if upstream.heard_ms >= sent_ms or now_ms - sent_ms < FROZEN_FACTOR * usual_ms:
-            self.left(call, upstream, sent_ms)
+        usual_ms = upstream.answer_time.mean_ms or DEFAULT_ANSWER_MS
+        if upstream.last_answer_ms >= sent_ms or now_ms - sent_ms < FROZEN_FACTOR * usual_ms:
+            self.note_abandoned(call, upstream, sent_ms)
             return
-        if self._first.answered_since(call.hint, sent_ms):
+        if self._first_copies.answered_since(call.short_digest, sent_ms):
             return  # another copy did no harm
-        self._note(_Copy.of(call, upstream, sent_ms), now_ms, frozen=True)
+        self._note_crash(_SentCopy.of(call, upstream, sent_ms), now_ms, frozen=True)
 
-    def _look(self, call: Call, upstream: Upstream, sent_ms: float, lost_ms: float) -> None:
-        copy = _Copy.of(call, upstream, sent_ms)
-        if upstream.has_ended(LOOK_S):
-            self._note(copy, lost_ms)
-            self.ended(upstream)
+    def _probe(self, call: Call, upstream: Upstream, sent_ms: float, lost_ms: float) -> None:
+        copy = _SentCopy.of(call, upstream, sent_ms)
+        if upstream.has_ended(PROBE_TIMEOUT_S):
+            self._note_crash(copy, lost_ms)
+            self.note_server_ended(upstream)
         else:  # its next life may have the port already
-            self._leave_open(upstream, _UnresolvedAttempt(copy, lost_ms, broke=True))
+            self._add_unresolved(upstream, _UnresolvedAttempt(copy, lost_ms, connection_lost=True))
 
-    def left(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
+    def note_abandoned(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """A request's caller has left, or its time is over, while a server worked on it."""
-        copy = _Copy.of(call, upstream, sent_ms)
-        self._leave_open(upstream, _UnresolvedAttempt(copy, elapsed_ms(), broke=False))
+        copy = _SentCopy.of(call, upstream, sent_ms)
+        self._add_unresolved(
+            upstream, _UnresolvedAttempt(copy, elapsed_ms(), connection_lost=False)
+        )
 
-    def _leave_open(self, upstream: Upstream, question: _UnresolvedAttempt) -> None:
+    def _add_unresolved(self, upstream: Upstream, attempt: _UnresolvedAttempt) -> None:
         if not _announced(upstream):
             server_id = upstream.record.server_id
-            self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(question)
+            self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(attempt)
 
-    def ended(self, upstream: Upstream) -> None:
+    def note_server_ended(self, upstream: Upstream) -> None:
         """A server has surely ended: its port is dead, or another life or none has its entry.
 
         Requests that ended without an answer shortly before, and after which it answered
         nothing, were the last that it worked on.
         """
         now_ms = elapsed_ms()
-        for question in self._unresolved.pop(upstream.record.server_id, ()):
-            is_late = now_ms - question.left_ms >= UNRESOLVED_KEPT_MS
-            if not (is_late or _announced(upstream) or question.is_harmless(upstream.heard_ms)):
-                self._note(question.copy, question.left_ms)
+        for attempt in self._unresolved.pop(upstream.record.server_id, ()):
+            is_late = now_ms - attempt.left_ms >= UNRESOLVED_KEPT_MS
+            if not (
+                is_late or _announced(upstream) or attempt.is_harmless(upstream.last_answer_ms)
+            ):
+                self._note_crash(attempt.copy, attempt.left_ms)
 
     def _expire_unresolved(self) -> None:
         now_ms = elapsed_ms()
-        for server_id, questions in list(self._unresolved.items()):
-            if all(now_ms - question.left_ms >= UNRESOLVED_KEPT_MS for question in questions):
+        for server_id, attempts in list(self._unresolved.items()):
+            if all(now_ms - attempt.left_ms >= UNRESOLVED_KEPT_MS for attempt in attempts):
                 del self._unresolved[server_id]
 
-    def _note(self, copy: _Copy, ended_ms: float, frozen: bool = False) -> None:
+    def _note_crash(self, copy: _SentCopy, ended_ms: float, frozen: bool = False) -> None:
         """A server has ended under a request, or frozen."""
         self.crashes += not frozen
         LOG.warning(
@@ -319,9 +325,9 @@
 
     # ---- between nodes ------------------------------------------------------------------
 
-    def sending(self, call: Call, server_id: str) -> None:
+    def log_suspect_send(self, call: Call, server_id: str) -> None:
         """Tell of a request that is sent though servers are known to have ended under it."""
-        record = self._ledger.get(call.fingerprint.content) if self._knows(call) else None
+        record = self._ledger.get(call.fingerprint.content) if self._may_know(call) else None
         if record is not None and record.unanswered:
             LOG.info(
                 "Sent under suspicion.",
@@ -331,20 +337,21 @@
                 ends=len(record.unanswered),
             )
 
-    def _knows(self, call: Call) -> bool:
+    def _may_know(self, call: Call) -> bool:
         """Whether anything may be known of a request; cheap, as all requests ask."""
-        return self._ledger.may_know(call.hint)
+        return self._ledger.may_know(call.short_digest)
 
     def _note_change(self, content: bytes) -> None:
-        self._log_hold(content)
-        self._tell_soon(content)
+        self._log_quarantine(content)
+        self._report_soon(content)
         self._permits.changed.raise_()  # those who wait for a copy's trial look again
 
-    def _tell_soon(self, content: bytes) -> None:
+    def _report_soon(self, content: bytes) -> None:
         if not self._unreported:
             # The first one at once: the other nodes send copies on until they know of it.
             gevent.spawn_later(
-                max(0.0, self._told_s + TELL_S - elapsed_ms() / 1000), self._send_reports
+                max(0.0, self._reported_s + REPORT_INTERVAL_S - elapsed_ms() / 1000),
+                self._send_reports,
             )
         self._unreported.add(content)
 
@@ -355,22 +362,22 @@
 
     def _send_reports(self) -> None:
         contents, self._unreported = self._unreported, set()
-        self._told_s = elapsed_ms() / 1000
-        told = self._told(contents)
+        self._reported_s = elapsed_ms() / 1000
+        told = self._reports(contents)
         members = list(self._members())
         for address in self._affordable(members, len(told)):
             for message in told:
                 self._send(message, address)
 
-    def _told(self, contents: Iterable[bytes]) -> list[CrashesTold]:
+    def _reports(self, contents: Iterable[bytes]) -> list[CrashesTold]:
         now_ms = elapsed_ms()
         records: list[ToldRecord] = []
         for content in contents:
             record = self._ledger.get(content)
             if record is not None:
                 records.append(messages.encode(content, record, now_ms))
-        starts = range(0, len(records), MOST_TOLD)
-        return [CrashesTold(records[start : start + MOST_TOLD]) for start in starts]
+        starts = range(0, len(records), MAX_RECORDS_PER_REPORT)
+        return [CrashesTold(records[start : start + MAX_RECORDS_PER_REPORT]) for start in starts]
 
     def _affordable(self, members: list[Address], each: int) -> list[Address]:
         """Return the nodes to tell; some of them, where too much was told lately.
@@ -378,12 +385,12 @@
         The others ask for it.
         """
         now_ms = elapsed_ms()
-        refill = (now_ms - self._refilled_ms) / 1000 * MOST_SENT_PER_S
-        self._may_send = min(MOST_SENT_AT_ONCE, self._may_send + refill)
+        refill = (now_ms - self._refilled_ms) / 1000 * MAX_SENT_PER_S
+        self._send_budget = min(MAX_SENT_BURST, self._send_budget + refill)
         self._refilled_ms = now_ms
-        most = int(self._may_send / max(each, 1))
+        most = int(self._send_budget / max(each, 1))
         chosen = members if len(members) <= most else random.sample(members, most)
-        self._may_send -= len(chosen) * each
+        self._send_budget -= len(chosen) * each
         return chosen
 
     def handle_report(self, told: CrashesTold, _peer: Address) -> None:
@@ -392,11 +399,11 @@
         for record in told.records:
             if not self._merge(record, now_ms):
                 continue
-            self._log_hold(record.content)
+            self._log_quarantine(record.content)
             self._permits.changed.raise_()
             # Nodes hear of new ones seconds later; these report to the leader by then.
             if self._leads():
-                self._tell_soon(record.content)
+                self._report_soon(record.content)
         if told.whole:
             self.mark_synced()
 
@@ -432,7 +439,7 @@
         same = self._ledger.is_empty or ask.summary == self._ledger.summary
         if same and not ask.just_started:
             return
-        told = self._told(content for content, _ in self._ledger) or [CrashesTold([])]
+        told = self._reports(content for content, _ in self._ledger) or [CrashesTold([])]
         told[-1] = CrashesTold(told[-1].records, whole=True)
         for address in self._affordable([peer], len(told)):
             for message in told:
@@ -440,21 +447,21 @@
 
     def query_forever(self) -> None:
         """Ask some other nodes at the start, and then one after the other."""
-        self._ask_first()
+        self._send_initial_queries()
         while True:
-            gevent.sleep(ASK_S)
+            gevent.sleep(QUERY_INTERVAL_S)
             self._ledger.expire(elapsed_ms())
             self._permits.expire()
             self._expire_unresolved()
-            self._forget_logged()
+            self._expire_logged()
             members = list(self._members())
             if members:
                 self._send(CrashesAsk(self._ledger.summary), random.choice(members))
 
-    def _ask_first(self) -> None:
-        self._await_members(MEMBERS_S)
+    def _send_initial_queries(self) -> None:
+        self._await_members(MEMBERS_TIMEOUT_S)
         members = list(self._members())
-        for address in random.sample(members, min(FIRST_ASKED, len(members))):
+        for address in random.sample(members, min(INITIAL_QUERIES, len(members))):
             self._send(CrashesAsk(self._ledger.summary, just_started=True), address)
         if members:
             self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
@@ -462,7 +469,7 @@
 
     # ---- for operators --------------------------------------------------------------------
 
-    def _log_hold(self, content: bytes) -> None:
+    def _log_quarantine(self, content: bytes) -> None:
         """Tell when a request is held, for longer than before, or no more."""
         holds = self._ledger.holds(content)
         if not holds:
@@ -483,7 +490,7 @@
             for_s=round((hold.until_ms - now_ms) / 1000),
         )
 
-    def _forget_logged(self) -> None:
+    def _expire_logged(self) -> None:
         for content in [known for known in self._logged if self._ledger.get(known) is None]:
             del self._logged[content]
 
--- a/ploverhatch/gateway/quarantine_persistence.py
+++ b/ploverhatch/gateway/quarantine_persistence.py
@@ -19,7 +19,7 @@
 
 LOG = PartLogger("quarantine")
 
-LOOK_S = 0.25  # between looks whether this node leads
+POLL_S = 0.25  # between looks whether this node leads
 SAVE_MS = 2000.0  # between writes
 
 
@@ -41,7 +41,7 @@
     def run(self) -> None:
         """Do that forever."""
         while True:
-            gevent.sleep(LOOK_S)
+            gevent.sleep(POLL_S)
             if not self._leads():
                 self._loaded = False
                 continue
@@ -66,12 +66,12 @@
         except ValueError as error:
             LOG.error("Held requests not understood.", cause=error)
             return
-        self._saved = _names(records)
+        self._saved = _summary(records)
         self._quarantine.load(records)
 
     def _save(self) -> None:
         records = self._quarantine.quarantined_records()
-        if _names(records) == self._saved:
+        if _summary(records) == self._saved:
             return
         self._saved_ms = elapsed_ms()
         content = msgspec.to_builtins(records)
@@ -81,8 +81,8 @@
             self._stored = self._store.create(kinds.QUARANTINE, name, content)
         else:
             self._stored = self._store.replace(kinds.QUARANTINE, name, content, known.revision)
-        self._saved = _names(records)
+        self._saved = _summary(records)
 
 
-def _names(records: list[ToldRecord]) -> frozenset[tuple[bytes, int]]:
+def _summary(records: list[ToldRecord]) -> frozenset[tuple[bytes, int]]:
     return frozenset((record.content, len(record.ends)) for record in records)
--- a/ploverhatch/gateway/request_log.py
+++ b/ploverhatch/gateway/request_log.py
@@ -47,13 +47,13 @@
         first_try = len(self.attempts) == 1 and self.attempts[0].result is AttemptResult.ANSWERED
         if first_try and took_ms <= self.objective_ms:
             return
-        self._tell("Request ended.", status, result_code, detail, took_ms)
+        self._log("Request ended.", status, result_code, detail, took_ms)
 
     def log_unanswered(self, cause: str, took_ms: float) -> None:
         """Write the line of a request whose caller got no answer."""
-        self._tell("Request without answer.", 0, 0, cause, took_ms)
+        self._log("Request without answer.", 0, 0, cause, took_ms)
 
-    def _tell(
+    def _log(
         self, sentence: str, status: int, result_code: int, detail: str, took_ms: float
     ) -> None:
         LOG.info(
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -20,14 +20,14 @@
 from ploverhatch.routing.sending import Bar, HolderTimes
 from ploverhatch.state.servers import ServerRecord
 
-JITTER = 0.15
+JITTER_FRACTION = 0.15
 DEFAULT_ANSWER_MS = 100.0
-REST_SPREAD_MS = 200.0  # callers that are told of one rest come back spread over so long
+BACKOFF_SPREAD_MS = 200.0  # callers that are told of one rest come back spread over so long
 RETRY_AFTER_NO_SERVER_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Hopeless:
+class Unservable:
     """No server may be sent a request, and no short wait changes that."""
 
     result: Result
@@ -48,9 +48,9 @@
         self._directory = directory
         self._pool = pool
         self._times = HolderTimes.of(drain_ms, evacuate_ms)
-        self._rested: set[str] = set()  # servers that asked for a rest and have not recovered
+        self._backed_off: set[str] = set()  # servers that asked for a rest and have not recovered
 
-    def bar(self, call: Call, server_id: str) -> Bar | None:
+    def exclusion(self, call: Call, server_id: str) -> Bar | None:
         """Return why a request may not be sent to a server now; ``None``: it may.
 
         First tries and repeats, with and without a key or a shared slot, all ask here.
@@ -69,7 +69,7 @@
         server_id = self._holder_id(call)
         if server_id is None or not self._directory.keymaps_trusted:
             return None
-        return None if self.bar(call, server_id) else self._pool.get(server_id)
+        return None if self.exclusion(call, server_id) else self._pool.get(server_id)
 
     def _holder_id(self, call: Call) -> str | None:
         keymap = self._directory.keymaps.get(call.service)
@@ -80,7 +80,7 @@
         call.token = found.token
         return found.holder.server_id if self._directory.is_granted(call.service, found) else None
 
-    def cheapest(self, call: Call, tried: set[str]) -> Upstream | None:
+    def fastest(self, call: Call, tried: set[str]) -> Upstream | None:
         """Return the server that answers first, as far as this node alone knows."""
         upstreams = [
             upstream
@@ -96,11 +96,14 @@
             upstream.load(usual_ms, servers.is_cold(upstream.record.server_id, now_ms))
             for upstream in upstreams
         ]
-        jitter = {load.server_id: random.uniform(1 - JITTER, 1 + JITTER) for load in loads}
+        jitter = {
+            load.server_id: random.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
+            for load in loads
+        }
         chosen = balancer.choose(loads, jitter)
         return self._pool.get(chosen) if chosen else None
 
-    def of_slot(self, call: Call, server_id: str) -> Upstream | None:
+    def upstream_for_slot(self, call: Call, server_id: str) -> Upstream | None:
         """Return the server of a slot, unless it left or lost the key during the wait.
 
         One that comes back from a rest takes what this node's own slots there allow.
@@ -110,24 +113,24 @@
             if found is None or found.record.server_id != server_id:
                 return None
         else:
-            found = None if self.bar(call, server_id) else self._pool.get(server_id)
-        return found if found is not None and found.has_room else None
+            found = None if self.exclusion(call, server_id) else self._pool.get(server_id)
+        return found if found is not None and found.has_capacity else None
 
     def note_backoff(self, server_id: str) -> None:
         """A server asked this node for a rest."""
-        self._rested.add(server_id)
+        self._backed_off.add(server_id)
 
-    def barred(self) -> tuple[str, ...]:
+    def excluded(self) -> tuple[str, ...]:
         """Return the servers that a dispatcher need not give: they rest, or recover from it."""
         standings, now_ms = self._directory.servers.standings, elapsed_ms()
-        barred = []
-        for server_id in list(self._rested):
+        excluded = []
+        for server_id in list(self._backed_off):
             upstream = self._pool.get(server_id)
             if upstream is None or not upstream.recovering:
-                self._rested.discard(server_id)
-            elif standings.rest_left_ms(server_id, now_ms) > 0 or not upstream.has_room:
-                barred.append(server_id)
-        return tuple(sorted(barred))
+                self._backed_off.discard(server_id)
+            elif standings.rest_left_ms(server_id, now_ms) > 0 or not upstream.has_capacity:
+                excluded.append(server_id)
+        return tuple(sorted(excluded))
 
     def needs_dispatcher(self, record: ServerRecord) -> bool:
         """Whether only the group's dispatcher may give a server's slots: it counts for all."""
@@ -137,18 +140,18 @@
         cold = servers.is_cold(record.server_id, elapsed_ms())
         return cold and self._directory.cold_per_s(record.service) > 0
 
-    def only_by_dispatcher(self, call: Call, tried: Collection[str]) -> bool:
+    def all_need_dispatcher(self, call: Call, tried: Collection[str]) -> bool:
         """Whether a dispatcher alone may give a request without a key any server."""
         if call.partitioned:
             return False
         usable = [
             record
             for record in self._directory.servers.of_service(call.service)
-            if record.server_id not in tried and not self.bar(call, record.server_id)
+            if record.server_id not in tried and not self.exclusion(call, record.server_id)
         ]
         return bool(usable) and all(map(self.needs_dispatcher, usable))
 
-    def hopeless(self, call: Call, tried: Collection[str] = ()) -> Hopeless | None:
+    def unservable(self, call: Call, tried: Collection[str] = ()) -> Unservable | None:
         """Return when to come back if it is known that no server may be sent a request.
 
         A holder that leaves is about to hand its keys over, which is worth a wait, unless
@@ -157,45 +160,51 @@
         known = self._directory.servers.records.values()
         records = [record for record in known if record.service == call.service]
         if not call.partitioned and any(
-            record.server_id not in tried and not self.bar(call, record.server_id)
+            record.server_id not in tried and not self.exclusion(call, record.server_id)
             for record in records
         ):
             return None
-        if records and all(self._shut(record, call) for record in records):
-            return Hopeless(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, call.service)
+        if records and all(self._closed_by_operator(record, call) for record in records):
+            return Unservable(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, call.service)
         if call.partitioned:
             server_id = self._holder_id(call)
-            return self._hopeless_at(call, [server_id]) if server_id is not None else None
+            return self._unservable_at(call, [server_id]) if server_id is not None else None
         left = [record.server_id for record in records if record.server_id not in tried]
-        return self._hopeless_at(call, left)
+        return self._unservable_at(call, left)
 
-    def _hopeless_at(self, call: Call, server_ids: Collection[str]) -> Hopeless | None:
-        bars = {server_id: self.bar(call, server_id) for server_id in server_ids}
-        resting = [server_id for server_id, bar in bars.items() if bar is Bar.RESTS]
-        if not bars or not all(bars.values()):
+    def _unservable_at(self, call: Call, server_ids: Collection[str]) -> Unservable | None:
+        exclusions = {server_id: self.exclusion(call, server_id) for server_id in server_ids}
+        backing_off = [
+            server_id for server_id, exclusion in exclusions.items() if exclusion is Bar.RESTS
+        ]
+        if not exclusions or not all(exclusions.values()):
             return None
-        if resting:
-            return self._until_rest_is_over(resting)
-        if not all(bar is Bar.LEAVES for bar in bars.values()):
+        if backing_off:
+            return self._until_backoff_ends(backing_off)
+        if not all(exclusion is Bar.LEAVES for exclusion in exclusions.values()):
             return None
-        said_ms = self._directory.servers.standings.leaving_ms
-        said = {name: elapsed_ms() - said_ms[name] for name in bars if name in said_ms}
-        if call.partitioned and not said:
+        announced_ms = self._directory.servers.standings.leaving_ms
+        announced = {
+            name: elapsed_ms() - announced_ms[name] for name in exclusions if name in announced_ms
+        }
+        if call.partitioned and not announced:
             return None
-        words = ",".join(f"{name}:left-{age_ms:.0f}-ms-ago" for name, age_ms in said.items())
-        return Hopeless(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, words or call.service)
+        announcements = ",".join(
+            f"{name}:left-{age_ms:.0f}-ms-ago" for name, age_ms in announced.items()
+        )
+        return Unservable(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, announcements or call.service)
 
-    def _until_rest_is_over(self, server_ids: Collection[str]) -> Hopeless:
+    def _until_backoff_ends(self, server_ids: Collection[str]) -> Unservable:
         """Return when the first of some rests is over; callers come back spread from then on."""
         standings, now_ms = self._directory.servers.standings, elapsed_ms()
         left_ms, server_id = min(
             (standings.rest_left_ms(name, now_ms), name) for name in server_ids
         )
-        after_s = (left_ms + random.uniform(0.0, REST_SPREAD_MS)) / 1000
+        after_s = (left_ms + random.uniform(0.0, BACKOFF_SPREAD_MS)) / 1000
         detail = f"{server_id}:rests-{left_ms:.0f}-ms,{len(server_ids)}-rest"
-        return Hopeless(results.SERVERS_REST, after_s, detail)
+        return Unservable(results.SERVERS_REST, after_s, detail)
 
-    def _shut(self, record: ServerRecord, call: Call) -> bool:
+    def _closed_by_operator(self, record: ServerRecord, call: Call) -> bool:
         """Whether operators want nothing sent to a server."""
         return record.evacuated or not record.lies_in(call.route.regions)
 
@@ -210,6 +219,6 @@
         return call.offer_by_ms
 
     def _usable(self, record: ServerRecord, call: Call, tried: set[str]) -> bool:
-        if record.server_id in tried or self.bar(call, record.server_id):
+        if record.server_id in tried or self.exclusion(call, record.server_id):
             return False
         return not self.needs_dispatcher(record)
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -40,22 +40,22 @@
 
 REPLY_TIMEOUT_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
 MAX_TRIES = 2
-ASKED_NODES = 4  # where the first ones are about to stop, as in a restart of all in turn
-SILENT_NODES = 2  # of these, that give no answer: each one costs the time of two answers
+MAX_NODES_ASKED = 4  # where the first ones are about to stop, as in a restart of all in turn
+MAX_UNRESPONSIVE_NODES = 2  # of these, that give no answer: each one costs the time of two answers
 LEARN_MS = 25.0  # a new dispatcher asks all nodes for the slots they hold, and waits so long
-LONGEST_LEARN_MS = 500.0  # ... where the process stands still meanwhile
-MOST_HELD = 200  # slots that one message tells
+MAX_LEARN_MS = 500.0  # ... where the process stands still meanwhile
+MAX_HELD_SLOTS = 200  # slots that one message tells
 CEDED_MS = 250.0  # until all nodes ask the one that a group was left to
 RELEARN_MS = 1000.0  # between these questions
-ELSEWHERE_MS = 10_000.0  # slots are held for less: who gave some before then says nothing
-LATE_S = 0.02  # the way of an answer to one that waits
+OTHER_DISPATCHER_MS = 10_000.0  # slots are held for less: who gave some before then says nothing
+REPLY_MARGIN_S = 0.02  # the way of an answer to one that waits
 # Of the time that a request waits, spent in its own zone where other zones have servers.
 OWN_ZONE_WAIT_FRACTION = 0.3
 REFRESH_MS = 100.0  # how old the members of a group may be at its dispatcher
-FORGET_MS = 20_000.0  # a queue that nobody asked for so long is forgotten
+IDLE_QUEUE_MS = 20_000.0  # a queue that nobody asked for so long is forgotten
 DISCOVERY_MS = 6000.0  # from the start of a node until all others know it
 STANDBY_SHARE = 0.5  # of a limit: enforced by a node that is not surely the only one
-BY_ASKER = "a-request"  # who told of a limit, in the log
+LIMIT_SOURCE = "a-request"  # who told of a limit, in the log
 TICK_S = 0.025  # between looks for slots whose time is over
 NO_INFORMATION_MS = 0.0
 
@@ -91,10 +91,10 @@
     holder: ServerRecord | None = None
     avoid: str = ""
     regions: frozenset[str] = frozenset()
-    barred: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
 
-    def after(self, spent_ms: float) -> "SlotRequirements":
-        """Return what is left of the wish after a time."""
+    def remaining_after(self, spent_ms: float) -> "SlotRequirements":
+        """Return what is left of the requirements after a time."""
         return replace(
             self,
             useful_ms=max(0.0, self.useful_ms - spent_ms),
@@ -115,16 +115,16 @@
 
 
 @dataclass(slots=True)
-class _Held:
+class _HeldSlot:
     """A slot that a request of this node has."""
 
     name: GroupName
     server_id: str
     until_ms: float
-    keepers: set[Address]  # dispatchers that count it
+    dispatchers: set[Address]  # dispatchers that count it
 
 
-class _Pending:
+class _PendingRequest:
     """A request that waits for its dispatcher's word."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
         self.word: SlotWord | None = None
         self._changed = Event()
 
-    def take(self, word: SlotWord) -> None:
+    def accept(self, word: SlotWord) -> None:
         """Take a word; a repeated place in the queue tells nothing new."""
         if self.word is None or not word.queued:
             self.word = word
@@ -151,7 +151,7 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _Queue:
     """A queue that this node keeps."""
 
     group: Group
@@ -179,52 +179,54 @@
         own: str = "",
     ) -> None:
         self._zone = zone
-        self._own = own
+        self._own_address = own
         self._started_ms = elapsed_ms()
         self._directory = directory
         self._members = members
         self._send = send
         self._numbers = itertools.count(random.getrandbits(32))
-        self._pending: dict[int, _Pending] = {}
-        self._held: dict[int, _Held] = {}
+        self._pending: dict[int, _PendingRequest] = {}
+        self._held: dict[int, _HeldSlot] = {}
         self._ceded_ms: dict[GroupName, float] = {}  # groups left to a node that is back
         self._served_by: dict[GroupName, tuple[str, float]] = {}  # dispatcher, and when
         self._choice = DispatcherChoice()
-        self._kept: dict[GroupName, _Kept] = {}
-        self._rates: dict[str, RequestRate] = {}  # by server, of all queues that are kept
+        self._queues: dict[GroupName, _Queue] = {}
+        self._rates: dict[str, RequestRate] = {}  # by server, of all queues that are queue
         self._handlers: dict[type, Callable[..., None]] = {
-            SlotAsk: self._take_ask,
-            SlotWord: self._take_word,
-            SlotReturn: self._take_return,
-            HeldAsk: self._take_held_ask,
-            HeldWord: self._take_held_word,
+            SlotAsk: self._handle_request,
+            SlotWord: self._handle_reply,
+            SlotReturn: self._handle_release,
+            HeldAsk: self._handle_held_request,
+            HeldWord: self._handle_held_reply,
         }
         self.leaving = False  # this node is about to stop: others keep the queues
 
     @property
     def in_use(self) -> int:
         """Slots given by this node's queues."""
-        return sum(kept.group.in_use for kept in self._kept.values())
+        return sum(queue.group.in_use for queue in self._queues.values())
 
     @property
     def waiting(self) -> int:
         """Requests that wait in this node's queues."""
-        return sum(kept.group.waiting for kept in self._kept.values())
+        return sum(queue.group.waiting for queue in self._queues.values())
 
     # ---- for requests of this node ------------------------------------------------------
 
     @contextmanager
-    def hold(self, wish: SlotRequirements) -> Iterator[SharedSlot | None]:
+    def hold(self, requirements: SlotRequirements) -> Iterator[SharedSlot | None]:
         """Hold a slot, or ``None`` where no dispatcher tells.
 
         :raises TurnedAwayError: when none can be expected in time.
         """
         start_ms = elapsed_ms()
         turned_away: TurnedAwayError | None = None
-        for name, part in self._groups(wish):
-            left = wish.after(elapsed_ms() - start_ms)
+        for name, part in self._groups(requirements):
+            left = requirements.remaining_after(elapsed_ms() - start_ms)
             try:
-                with self._hold_in(name, left, min(wish.wait_ms * part, left.wait_ms)) as slot:
+                with self._hold_in(
+                    name, left, min(requirements.wait_ms * part, left.wait_ms)
+                ) as slot:
                     yield slot
                     return
             except TurnedAwayError as error:
@@ -233,12 +235,16 @@
             raise turned_away
         yield None
 
-    def _groups(self, wish: SlotRequirements) -> list[tuple[GroupName, float]]:
+    def _groups(self, requirements: SlotRequirements) -> list[tuple[GroupName, float]]:
         """Return the groups to ask, and the part of the time to wait there."""
-        if wish.holder is not None:
-            name = GroupName(wish.service, wish.holder.zone, wish.holder.server_id)
+        if requirements.holder is not None:
+            name = GroupName(
+                requirements.service, requirements.holder.zone, requirements.holder.server_id
+            )
             return [(name, 1.0)]
-        sizes = groups.groups_of(self._directory.servers.of_service(wish.service), wish.regions)
+        sizes = groups.groups_of(
+            self._directory.servers.of_service(requirements.service), requirements.regions
+        )
         near = [name for name in sizes if name.zone in {"", self._zone}]
         others = [name for name in sizes if name not in near]
         found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in near]
@@ -249,71 +255,78 @@
 
     @contextmanager
     def _hold_in(
-        self, name: GroupName, wish: SlotRequirements, wait_ms: float
+        self, name: GroupName, requirements: SlotRequirements, wait_ms: float
     ) -> Iterator[SharedSlot | None]:
         number = next(self._numbers)
         slot = SharedSlot()
         asked: list[str] = []
-        self._pending[number] = _Pending()
+        self._pending[number] = _PendingRequest()
         try:
-            word = self._await_word(number, name, wish, wait_ms, asked)
+            word = self._await_reply(number, name, requirements, wait_ms, asked)
             if word is not None and word.server:
                 slot.server_id, slot.dispatcher = word.server, asked[-1]
-                self._note_given(number, name, slot, wish.hold_ms)
+                self._note_granted(number, name, slot, requirements.hold_ms)
             elif word is not None and word.after_ms > 0:
                 raise TurnedAwayError(word.after_ms, asked[-1])
             yield slot if slot.server_id else None
         finally:
             del self._pending[number]
-            self._give_back(number, name, slot, asked)
+            self._release(number, name, slot, asked)
 
-    def _await_word(
-        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: list[str]
+    def _await_reply(
+        self,
+        number: int,
+        name: GroupName,
+        requirements: SlotRequirements,
+        wait_ms: float,
+        asked: list[str],
     ) -> SlotWord | None:
         """Return a dispatcher's last word, asking the next one where one stops or is silent.
 
         :param asked: takes the nodes that may have given a slot; the last one gave the word.
         """
-        pending, start_ms, silent = self._pending[number], elapsed_ms(), 0
-        for _ in range(ASKED_NODES):
+        pending, start_ms, unresponsive = self._pending[number], elapsed_ms(), 0
+        for _ in range(MAX_NODES_ASKED):
             spent_ms = elapsed_ms() - start_ms
             node = self._choice.asked(name, self._members(), elapsed_ms())
-            if not node or (silent and (spent_ms >= wait_ms or self._is_in_doubt(name, node))):
+            if not node or (
+                unresponsive and (spent_ms >= wait_ms or self._limits_unenforced(name, node))
+            ):
                 return None
-            left = wish.after(spent_ms)
+            left = requirements.remaining_after(spent_ms)
             if not self._enforces_limits(name, node):
-                left = self._without_limited(name, left)
+                left = self._excluding_limited(name, left)
             asked.append(node)
-            ask = self._ask_for(number, name, left, max(0.0, wait_ms - spent_ms), node)
-            word = self._ask(ask, pending, node)
+            ask = self._request_message(number, name, left, max(0.0, wait_ms - spent_ms), node)
+            word = self._send_request(ask, pending, node)
             if word is not None and word.queued:
-                word = self._await_turn(pending, word, ask.wait_ms)
+                word = self._await_slot(pending, word, ask.wait_ms)
             if word is not None and not word.leaving:
                 return word
-            silent += word is None
-            if silent >= SILENT_NODES:
+            unresponsive += word is None
+            if unresponsive >= MAX_UNRESPONSIVE_NODES:
                 return None
             if word is not None:
                 self._choice.stops(node, elapsed_ms())
                 pending.word = None
         return None
 
-    def _is_in_doubt(self, name: GroupName, node: str) -> bool:
+    def _limits_unenforced(self, name: GroupName, node: str) -> bool:
         """Whether a node enforces no limits of a group that has some."""
-        return bool(self._limited(name)) and not self._enforces_limits(name, node)
+        return bool(self._limited_servers(name)) and not self._enforces_limits(name, node)
 
-    def _note_given(self, number: int, name: GroupName, slot: SharedSlot, hold_ms: float) -> None:
+    def _note_granted(self, number: int, name: GroupName, slot: SharedSlot, hold_ms: float) -> None:
         now_ms = elapsed_ms()
-        keepers: set[Address] = {HostPort.parse(slot.dispatcher)}
-        self._held[number] = _Held(name, slot.server_id, now_ms + hold_ms, keepers)
+        dispatchers: set[Address] = {HostPort.parse(slot.dispatcher)}
+        self._held[number] = _HeldSlot(name, slot.server_id, now_ms + hold_ms, dispatchers)
         self._served_by[name] = slot.dispatcher, now_ms
 
-    def _give_back(
+    def _release(
         self, number: int, name: GroupName, slot: SharedSlot, asked: Sequence[str]
     ) -> None:
         """Return a slot, or a place in the queue, to all dispatchers that may count it."""
         held = self._held.pop(number, None)
-        keepers: set[Address] = {HostPort.parse(node) for node in asked}
+        dispatchers: set[Address] = {HostPort.parse(node) for node in asked}
         back = SlotReturn(
             number,
             name.service,
@@ -325,11 +338,16 @@
             name.regions,
             self._directory.limits_of([slot.server_id]),
         )
-        for keeper in keepers | (held.keepers if held else set()):
+        for keeper in dispatchers | (held.dispatchers if held else set()):
             self._send(back, keeper)
 
-    def _ask_for(
-        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: str
+    def _request_message(
+        self,
+        number: int,
+        name: GroupName,
+        requirements: SlotRequirements,
+        wait_ms: float,
+        asked: str,
     ) -> SlotAsk:
         return SlotAsk(
             number,
@@ -337,25 +355,25 @@
             name.zone,
             name.holder,
             self._zone,
-            wish.priority,
-            min(wish.useful_ms, wait_ms),
+            requirements.priority,
+            min(requirements.useful_ms, wait_ms),
             wait_ms,
-            wish.hold_ms,
-            wish.avoid,
+            requirements.hold_ms,
+            requirements.avoid,
             name.regions,
-            wish.barred,
-            self._directory.limits_of(self._limited(name)),
-            self._had_others(name, asked),
+            requirements.excluded,
+            self._directory.limits_of(self._limited_servers(name)),
+            self._may_have_other_dispatcher(name, asked),
         )
 
-    def _had_others(self, name: GroupName, asked: str) -> bool:
+    def _may_have_other_dispatcher(self, name: GroupName, asked: str) -> bool:
         """Whether another node than the one that is asked may have given slots lately."""
         node, at_ms = self._served_by.get(name, ("", 0.0))
-        if node and elapsed_ms() - at_ms < ELSEWHERE_MS:
+        if node and elapsed_ms() - at_ms < OTHER_DISPATCHER_MS:
             return node != asked
         return asked != groups.dispatcher(name, self._members(), ())
 
-    def _limited(self, name: GroupName) -> list[str]:
+    def _limited_servers(self, name: GroupName) -> list[str]:
         """Return the servers of a group that named a limit."""
         limits = self._directory.servers.standings.limits
         if not limits:
@@ -364,18 +382,20 @@
         members = groups.members_of(name, records)
         return [record.server_id for record in members if record.server_id in limits]
 
-    def _without_limited(self, name: GroupName, wish: SlotRequirements) -> SlotRequirements:
-        """Return a wish that bars rate-limited servers, for a node that enforces no limits.
+    def _excluding_limited(
+        self, name: GroupName, requirements: SlotRequirements
+    ) -> SlotRequirements:
+        """Return a requirements that bars rate-limited servers, for a node that enforces no limits.
 
         :raises TurnedAwayError: when it is for a holder that names one.
         """
         named = self._directory.servers.standings.limit_per_s
-        limited = [server_id for server_id in self._limited(name) if server_id in named]
-        if limited and wish.holder is not None:
+        limited = [server_id for server_id in self._limited_servers(name) if server_id in named]
+        if limited and requirements.holder is not None:
             raise TurnedAwayError(UNREACHABLE_MS)
-        return replace(wish, barred=tuple(sorted({*wish.barred, *limited})))
+        return replace(requirements, excluded=tuple(sorted({*requirements.excluded, *limited})))
 
-    def _ask(self, ask: SlotAsk, pending: _Pending, node: str) -> SlotWord | None:
+    def _send_request(self, ask: SlotAsk, pending: _PendingRequest, node: str) -> SlotWord | None:
         """Return a dispatcher's answer; ``None`` when there is none in time."""
         address = pending.asked = HostPort.parse(node)
         for _ in range(MAX_TRIES):
@@ -388,10 +408,10 @@
             )
         return None
 
-    def _await_turn(self, pending: _Pending, word: SlotWord, wait_ms: float) -> SlotWord:
+    def _await_slot(self, pending: _PendingRequest, word: SlotWord, wait_ms: float) -> SlotWord:
         """Wait for the slot of a request that has a place in the queue."""
         if pending.word is word:
-            pending.wait(wait_ms / 1000 + LATE_S)
+            pending.wait(wait_ms / 1000 + REPLY_MARGIN_S)
         if pending.word is None or pending.word is word:
             return SlotWord(word.number, after_ms=wait_ms)
         return pending.word
@@ -402,7 +422,7 @@
         """Take a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
-    def _take_word(self, word: SlotWord, peer: Address) -> None:
+    def _handle_reply(self, word: SlotWord, peer: Address) -> None:
         if not word.leaving:
             self._choice.answered(f"{peer[0]}:{peer[1]}")
         pending = self._pending.get(word.number)
@@ -410,28 +430,28 @@
             return  # the request is over, and gave everything back
         if word.leaving and peer != pending.asked:
             return  # a repeated answer of a node that was passed over
-        pending.take(word)
+        pending.accept(word)
 
-    def _take_ask(self, ask: SlotAsk, peer: Address) -> None:
+    def _handle_request(self, ask: SlotAsk, peer: Address) -> None:
         name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
         ceded_ms = self._ceded_ms.get(name, -1e12)
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
             self._send(SlotWord(ask.number, leaving=True), peer)
             return
-        self._directory.hear_limits(ask.limits, BY_ASKER)
+        self._directory.hear_limits(ask.limits, LIMIT_SOURCE)
         now_ms = elapsed_ms()
-        is_new = name not in self._kept
-        kept = self._kept.setdefault(name, _Kept(Group(rates=self._rates)))
-        kept.used_ms = now_ms
-        if is_new or (ask.elsewhere and now_ms - kept.asked_ms >= RELEARN_MS):
-            self._learn_held(name, kept, now_ms)
-        if now_ms - kept.refreshed_ms > REFRESH_MS:
+        is_new = name not in self._queues
+        queue = self._queues.setdefault(name, _Queue(Group(rates=self._rates)))
+        queue.used_ms = now_ms
+        if is_new or (ask.elsewhere and now_ms - queue.asked_ms >= RELEARN_MS):
+            self._query_held_slots(name, queue, now_ms)
+        if now_ms - queue.refreshed_ms > REFRESH_MS:
             servers = self._directory.servers
             bounds = self._bounds(name)
             records = groups.members_of(name, servers.of_service(ask.service))
-            kept.group.set_members(records, now_ms, bounds)
-            kept.refreshed_ms = now_ms
-        wish = Wish(
+            queue.group.set_members(records, now_ms, bounds)
+            queue.refreshed_ms = now_ms
+        request = Wish(
             Asker(peer, ask.number),
             ask.priority,
             now_ms + ask.useful_ms,
@@ -441,57 +461,57 @@
             ask.zone,
             frozenset(ask.barred),
         )
-        self._answer(kept.group.ask(wish, now_ms))
+        self._send_results(queue.group.ask(request, now_ms))
 
-    def _learn_held(self, name: GroupName, kept: _Kept, now_ms: float) -> None:
+    def _query_held_slots(self, name: GroupName, queue: _Queue, now_ms: float) -> None:
         """Ask all nodes which slots they hold: another dispatcher may have given them."""
-        kept.asked_ms = now_ms
-        kept.awaited = {HostPort.parse(member) for member in self._members()}
-        if not kept.awaited:
+        queue.asked_ms = now_ms
+        queue.awaited = {HostPort.parse(member) for member in self._members()}
+        if not queue.awaited:
             return
-        kept.group.learn(now_ms + LONGEST_LEARN_MS)
+        queue.group.learn(now_ms + MAX_LEARN_MS)
         ask = HeldAsk(name.service, name.zone, name.holder, name.regions)
-        for address in kept.awaited:
+        for address in queue.awaited:
             self._send(ask, address)
 
-    def _take_held_ask(self, ask: HeldAsk, peer: Address) -> None:
+    def _handle_held_request(self, ask: HeldAsk, peer: Address) -> None:
         name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
         now_ms = elapsed_ms()
-        self._make_way(name, f"{peer[0]}:{peer[1]}", now_ms)
+        self._cede(name, f"{peer[0]}:{peer[1]}", now_ms)
         told = []
         for number, held in self._held.items():
             if held.name == name:
-                held.keepers.add(peer)
+                held.dispatchers.add(peer)
                 told.append((number, held.server_id, held.until_ms - now_ms))
-        word = HeldWord(ask.service, ask.group_zone, ask.holder, ask.regions, told[:MOST_HELD])
+        word = HeldWord(ask.service, ask.group_zone, ask.holder, ask.regions, told[:MAX_HELD_SLOTS])
         self._send(word, peer)
 
-    def _make_way(self, name: GroupName, keeper: str, now_ms: float) -> None:
+    def _cede(self, name: GroupName, keeper: str, now_ms: float) -> None:
         """Leave a group to a node that keeps its queue again and ranks before this one.
 
         Else both would give the same slots, each to the nodes that have it for the dispatcher.
         """
         self._choice.returned(keeper)
         members = self._members()
-        both = {node: members[node] for node in (keeper, self._own) if node in members}
+        both = {node: members[node] for node in (keeper, self._own_address) if node in members}
         if len(both) < 2 or groups.dispatcher(name, both, ()) != keeper:
             return
         self._ceded_ms[name] = now_ms
-        kept = self._kept.pop(name, None)
-        if kept is not None:
-            self._dismiss(kept)
+        queue = self._queues.pop(name, None)
+        if queue is not None:
+            self._redirect(queue)
 
-    def _take_held_word(self, word: HeldWord, peer: Address) -> None:
+    def _handle_held_reply(self, word: HeldWord, peer: Address) -> None:
         name = GroupName(word.service, word.group_zone, word.holder, word.regions)
-        kept = self._kept.get(name)
-        if kept is None or peer not in kept.awaited:
+        queue = self._queues.get(name)
+        if queue is None or peer not in queue.awaited:
             return
         now_ms = elapsed_ms()
         for number, server_id, left_ms in word.held:
-            kept.group.adopt(Asker(peer, number), server_id, left_ms, now_ms)
-        kept.awaited.discard(peer)
-        if not kept.awaited:
-            self._answer(kept.group.learned(now_ms))
+            queue.group.adopt(Asker(peer, number), server_id, left_ms, now_ms)
+        queue.awaited.discard(peer)
+        if not queue.awaited:
+            self._send_results(queue.group.learned(now_ms))
 
     def _bounds(self, name: GroupName) -> ServerBounds:
         """Return what bounds the servers of a group whose queue this node keeps.
@@ -502,7 +522,7 @@
         """
         servers = self._directory.servers
         is_known = elapsed_ms() - self._started_ms >= DISCOVERY_MS
-        is_first = not self._own or self._enforces_limits(name, self._own)
+        is_first = not self._own_address or self._enforces_limits(name, self._own_address)
         share = 1.0 if is_known and is_first else STANDBY_SHARE
         return ServerBounds(
             servers.cold_until_ms,
@@ -514,39 +534,41 @@
     def _enforces_limits(self, name: GroupName, node: str) -> bool:
         return self._choice.enforces(name, node, self._members(), elapsed_ms())
 
-    def _take_return(self, message: SlotReturn, peer: Address) -> None:
-        self._directory.hear_limits(message.limits, BY_ASKER)
+    def _handle_release(self, message: SlotReturn, peer: Address) -> None:
+        self._directory.hear_limits(message.limits, LIMIT_SOURCE)
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
-        kept = self._kept.get(name)
-        if kept is not None:
+        queue = self._queues.get(name)
+        if queue is not None:
             asker = Asker(peer, message.number)
             took_ms, failed, silent = message.took_ms, message.failed, message.unanswered
-            self._answer(kept.group.give_back(asker, took_ms, failed, elapsed_ms(), silent))
+            self._send_results(queue.group.give_back(asker, took_ms, failed, elapsed_ms(), silent))
 
-    def _answer(self, answers: list[Answer]) -> None:
+    def _send_results(self, answers: list[Answer]) -> None:
         for answer in answers:
-            self._send(_word(answer), answer.asker.node)
+            self._send(_reply(answer), answer.asker.node)
 
     def redirect_waiting(self) -> None:
         """Send those who wait here to the nodes that keep the queues from now on.
 
         These learn from all nodes which slots are in use.
         """
-        for kept in self._kept.values():
-            self._dismiss(kept)
+        for queue in self._queues.values():
+            self._redirect(queue)
 
-    def _dismiss(self, kept: _Kept) -> None:
-        for asker in kept.group.dismiss():
+    def _redirect(self, queue: _Queue) -> None:
+        for asker in queue.group.dismiss():
             self._send(SlotWord(asker.number, leaving=True), asker.node)
 
-    def _forget_old(self, now_ms: float) -> None:
+    def _expire_records(self, now_ms: float) -> None:
         ceded, served_by = self._ceded_ms, self._served_by
         for name in [known for known, at_ms in ceded.items() if now_ms - at_ms >= CEDED_MS]:
             del ceded[name]
-        for name in [known for known, row in served_by.items() if now_ms - row[1] >= ELSEWHERE_MS]:
+        for name in [
+            known for known, row in served_by.items() if now_ms - row[1] >= OTHER_DISPATCHER_MS
+        ]:
             del served_by[name]
 
-    def _forget_rates(self) -> None:
+    def _drop_unused_rates(self) -> None:
         known = self._directory.servers.records
         for server_id in [name for name in self._rates if name not in known]:
             del self._rates[server_id]
@@ -557,20 +579,20 @@
             gevent.sleep(TICK_S)
             gevent.sleep(0)  # what came while the process stood still is read first
             now_ms = elapsed_ms()
-            self._forget_old(now_ms)
-            for name, kept in list(self._kept.items()):
-                if self.leaving or (kept.group.waiting and kept.group.gives_nothing(now_ms)):
-                    self._dismiss(kept)
-                if kept.group.is_learning and now_ms - kept.asked_ms >= LEARN_MS:
-                    self._answer(kept.group.learned(now_ms))
-                if kept.group.waiting:
-                    self._answer(kept.group.expire(now_ms))
-                elif now_ms - kept.used_ms > FORGET_MS:
-                    del self._kept[name]
-                    self._forget_rates()
-
-
-def _word(answer: Answer) -> SlotWord:
+            self._expire_records(now_ms)
+            for name, queue in list(self._queues.items()):
+                if self.leaving or (queue.group.waiting and queue.group.gives_nothing(now_ms)):
+                    self._redirect(queue)
+                if queue.group.is_learning and now_ms - queue.asked_ms >= LEARN_MS:
+                    self._send_results(queue.group.learned(now_ms))
+                if queue.group.waiting:
+                    self._send_results(queue.group.expire(now_ms))
+                elif now_ms - queue.used_ms > IDLE_QUEUE_MS:
+                    del self._queues[name]
+                    self._drop_unused_rates()
+
+
+def _reply(answer: Answer) -> SlotWord:
     number = answer.asker.number
     if isinstance(answer, Given):
         return SlotWord(number, answer.server_id)
--- a/ploverhatch/gateway/slots.py
+++ b/ploverhatch/gateway/slots.py
@@ -77,17 +77,17 @@
         try:
             yield
         finally:
-            self._give_back(ticket)
+            self._release(ticket)
 
     @contextmanager
-    def hold_given(self) -> Iterator[None]:
+    def hold_granted(self) -> Iterator[None]:
         """Count a slot that was given elsewhere, whatever the limit here."""
         ticket = next(self._tickets)
         self._started_ms[ticket] = self._clock()
         try:
             yield
         finally:
-            self._give_back(ticket)
+            self._release(ticket)
 
     @property
     def _free(self) -> bool:
@@ -113,9 +113,9 @@
             self._waiters.remove(waiter)
             heapq.heapify(self._waiters)
         else:
-            self._give_back(waiter.ticket)
+            self._release(waiter.ticket)
 
-    def _give_back(self, ticket: int) -> None:
+    def _release(self, ticket: int) -> None:
         del self._started_ms[ticket]
         self._wake()
 
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -30,8 +30,10 @@
 # A wait that took longer than this many times its time-out counts for nothing, so often at
 # most: this process was suspended meanwhile, and where a whole machine was, so was the leader.
 OVERSLEPT_FACTOR = 2.0
-MOST_OVERSLEPT = 3
-PASSED_MS = 1000.0  # for how long a leader that did not answer isn't asked, unless it does late
+MAX_OVERSLEPT = 3
+SKIP_LEADER_MS = (
+    1000.0  # for how long a leader that did not answer isn't asked, unless it does late
+)
 # Between asks of this node for one content while another node has a copy of it under way. Where
 # there are many nodes they ask more rarely, so that the leader hears of 1,000 a second at most.
 POLL_MS = 50.0
@@ -66,17 +68,19 @@
         self._leader = leader
         self._nodes = nodes
         self._send = send
-        self._kept = Trials()
+        self._trials = Trials()
         self._claims: dict[bytes, _Claim] = {}
-        self._words: dict[int, AsyncResult[float]] = {}
-        self._passed_ms = -math.inf  # until when a leader that did not answer isn't asked
+        self._replies: dict[int, AsyncResult[float]] = {}
+        self._skip_leader_until_ms = (
+            -math.inf
+        )  # until when a leader that did not answer isn't asked
         self._numbers = itertools.count(random.getrandbits(32))
         self.changed = Signal()  # raised when a copy of this node has ended
 
     @property
     def granted_count(self) -> int:
         """Permits that this node gave."""
-        return len(self._kept)
+        return len(self._trials)
 
     def has(self, call: Call) -> bool:
         """Whether a request has its permit for long enough to be sent."""
@@ -100,7 +104,7 @@
             number = claim.number
         claim = self._claims[content] = _Claim(call, number, now_ms + PERMIT_MS)
         again_ms = max(POLL_MS, POLL_MS_PER_NODE * self._nodes())
-        after_ms = min(self._ask(content, claim), again_ms)
+        after_ms = min(self._request(content, claim), again_ms)
         if after_ms > 0:
             claim.call = None
             claim.until_ms = elapsed_ms() + after_ms
@@ -114,11 +118,11 @@
         for content, claim in list(self._claims.items()):
             if claim.call is call:
                 del self._claims[content]
-                self._end(content, claim)
+                self._finish(content, claim)
                 self.changed.raise_()
 
-    def _end(self, content: bytes, claim: _Claim) -> None:
-        self._kept.end(content, claim.number)
+    def _finish(self, content: bytes, claim: _Claim) -> None:
+        self._trials.end(content, claim.number)
         if claim.leader is not None:
             self._send(TrialOver(content, claim.number), claim.leader)
 
@@ -129,21 +133,21 @@
 
     # ---- between nodes ------------------------------------------------------------------
 
-    def _ask(self, content: bytes, claim: _Claim) -> float:
+    def _request(self, content: bytes, claim: _Claim) -> float:
         """Ask the leader; where it doesn't answer this node decides."""
         leader = self._leader()
-        if leader is not None and elapsed_ms() >= self._passed_ms:
+        if leader is not None and elapsed_ms() >= self._skip_leader_until_ms:
             claim.leader = leader
-            after_ms = self._ask_node(leader, TrialAsk(content, claim.number))
+            after_ms = self._ask_leader(leader, TrialAsk(content, claim.number))
             if after_ms is not None:
                 return after_ms
             LOG.info("Leader says nothing of trials.", node=f"{leader[0]}:{leader[1]}")
-            self._passed_ms = elapsed_ms() + PASSED_MS
+            self._skip_leader_until_ms = elapsed_ms() + SKIP_LEADER_MS
         claim.leader = None
-        return self._kept.ask(content, claim.number, elapsed_ms())
+        return self._trials.ask(content, claim.number, elapsed_ms())
 
-    def _ask_node(self, node: Node, ask: TrialAsk) -> float | None:
-        word = self._words[ask.number] = AsyncResult()
+    def _ask_leader(self, node: Node, ask: TrialAsk) -> float | None:
+        word = self._replies[ask.number] = AsyncResult()
         try:
             waits = overslept = 0
             while waits < MAX_TRIES:
@@ -155,27 +159,27 @@
                 if word.ready():
                     return float(word.get())
                 took_s = (elapsed_ms() - start_ms) / 1000
-                if took_s > OVERSLEPT_FACTOR * REPLY_TIMEOUT_S and overslept < MOST_OVERSLEPT:
+                if took_s > OVERSLEPT_FACTOR * REPLY_TIMEOUT_S and overslept < MAX_OVERSLEPT:
                     overslept += 1
                 else:
                     waits += 1
         finally:
-            del self._words[ask.number]
+            del self._replies[ask.number]
         return None
 
     def handle_request(self, ask: TrialAsk, peer: Node) -> None:
         """Answer another node, to which this one leads."""
-        after_ms = self._kept.ask(ask.content, (peer, ask.number), elapsed_ms())
+        after_ms = self._trials.ask(ask.content, (peer, ask.number), elapsed_ms())
         self._send(TrialWord(ask.number, after_ms), peer)
 
     def handle_reply(self, word: TrialWord, peer: Node) -> None:
         """Take the leader's answer; one that comes too late tells that the leader is there."""
         if peer == self._leader():
-            self._passed_ms = -math.inf
-        waits = self._words.get(word.number)
+            self._skip_leader_until_ms = -math.inf
+        waits = self._replies.get(word.number)
         if waits is not None:
             waits.set(word.after_ms)
 
     def handle_finished(self, over: TrialOver, peer: Node) -> None:
         """Take a permit back."""
-        self._kept.end(over.content, (peer, over.number))
+        self._trials.end(over.content, (peer, over.number))
--- a/ploverhatch/gateway/upstreams.py
+++ b/ploverhatch/gateway/upstreams.py
@@ -12,16 +12,16 @@
 from ploverhatch.state.servers import ServerRecord
 from ploverhatch.transport.http_connection import HostPort, HttpConnection, NotConnectedError
 
-MAX_TIMES = 16  # answer times kept of one server until they are reported
+MAX_ANSWER_TIMES = 16  # answer times kept of one server until they are reported
 DEFAULT_IDLE_S = 4.0  # where a server does not state how long it keeps idle connections
 IDLE_MARGIN_S = 1.0
 FAILING_MS = 1000.0
-FORGET_MS = 3000.0  # unused for so long, an old answer time counts half
-LEAST_LIMIT = 1.0
+STALE_MS = 3000.0  # unused for so long, an old answer time counts half
+MIN_LIMIT = 1.0
 QUEUED_FACTOR = 2.5  # an answer so much slower than typical had to queue
-QUEUED_PART = 0.5  # of the objective: faster answers are good whatever they waited
-QUEUED_STEP = 0.25
-TURNED_AWAY_PART = 0.2  # of a typical answer time: a request that runs does not end so soon
+QUEUED_FRACTION = 0.5  # of the objective: faster answers are good whatever they waited
+LIMIT_STEP = 0.25
+REJECTED_FRACTION = 0.2  # of a typical answer time: a request that runs does not end so soon
 
 
 class Upstream:
@@ -34,12 +34,12 @@
         self.failing_until_ms = 0.0
         self.limit = float(max(2, record.slots))
         self._recovering = False  # from a rest: requests come one by one at first
-        self._most = float(record.slots * 2)
+        self._max_limit = float(record.slots * 2)
         self._queue = SlotQueue(lambda: self.limit, record.slots, elapsed_ms)
         self._used_ms = elapsed_ms()
         self._idle: list[HttpConnection] = []
-        self._recent_ms: deque[int] = deque(maxlen=MAX_TIMES)
-        self.heard_ms = -math.inf  # when it last answered this node anything
+        self._recent_ms: deque[int] = deque(maxlen=MAX_ANSWER_TIMES)
+        self.last_answer_ms = -math.inf  # when it last answered this node anything
 
     @property
     def address(self) -> HostPort:
@@ -60,9 +60,9 @@
         """
         return self._queue.hold(priority, wait_s)
 
-    def given_slot(self) -> AbstractContextManager[None]:
+    def granted_slot(self) -> AbstractContextManager[None]:
         """Hold a slot that all nodes share, which was given to a request of this node."""
-        return self._queue.hold_given()
+        return self._queue.hold_granted()
 
     @property
     def recovering(self) -> bool:
@@ -70,7 +70,7 @@
         return self._recovering
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether a slot that all nodes share may be used; not all at once after a rest.
 
         Else each node would send whatever waits there in the moment at which the rest ends.
@@ -79,15 +79,15 @@
 
     # ---- what was learned -----------------------------------------------------------
 
-    def answered(self, took_ms: float, objective_ms: float) -> None:
+    def note_answer(self, took_ms: float, objective_ms: float) -> None:
         """A whole answer came; adapt to whether it had to queue."""
         self.answer_time.add(took_ms)
         self._recent_ms.append(round(took_ms))
         queued = took_ms > QUEUED_FACTOR * self.answer_time.typical_ms
-        if queued and took_ms > QUEUED_PART * objective_ms:
-            self.limit = max(LEAST_LIMIT, self.limit - QUEUED_STEP)
+        if queued and took_ms > QUEUED_FRACTION * objective_ms:
+            self.limit = max(MIN_LIMIT, self.limit - LIMIT_STEP)
         else:
-            self.limit = min(self._most, self.limit + 1.0 / max(self.limit, 1.0))
+            self.limit = min(self._max_limit, self.limit + 1.0 / max(self.limit, 1.0))
         if self.limit >= self.record.slots:
             self._recovering = False
         self.failing_until_ms = 0.0
@@ -99,20 +99,20 @@
         self._recent_ms.clear()
         return times
 
-    def turned_away(self, took_ms: float) -> bool:
+    def suggests_rejection(self, took_ms: float) -> bool:
         """Whether a connection that broke so soon was broken by a server that is full."""
-        return took_ms < TURNED_AWAY_PART * self.answer_time.typical_ms
+        return took_ms < REJECTED_FRACTION * self.answer_time.typical_ms
 
-    def overloaded(self) -> None:
+    def note_overload(self) -> None:
         """The server refused for want of room, or did not answer in time."""
-        self.limit = max(LEAST_LIMIT, self.limit / 2)
+        self.limit = max(MIN_LIMIT, self.limit / 2)
 
     def note_backoff(self) -> None:
         """The server turned a request away and wants none for a while."""
-        self.limit = LEAST_LIMIT
+        self.limit = MIN_LIMIT
         self._recovering = True
 
-    def failed(self) -> None:
+    def note_failure(self) -> None:
         """No connection, or a broken one."""
         self.failing_until_ms = elapsed_ms() + FAILING_MS
 
@@ -120,7 +120,7 @@
         """Return what the balancer needs to know."""
         now_ms = elapsed_ms()
         mean_ms = self.answer_time.mean_ms if self.answer_time.count else usual_ms
-        if now_ms - self._used_ms > FORGET_MS:
+        if now_ms - self._used_ms > STALE_MS:
             mean_ms = (mean_ms + usual_ms) / 2
         return ServerLoad(
             server_id=self.record.server_id,
@@ -163,10 +163,10 @@
         except NotConnectedError as error:
             return error.refused
         connection.reusable = True
-        self.give_back(connection)
+        self.release(connection)
         return False
 
-    def give_back(self, connection: HttpConnection) -> None:
+    def release(self, connection: HttpConnection) -> None:
         """Keep a connection for the next request if it may be reused."""
         if not connection.reusable:
             connection.close()
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -179,7 +179,7 @@
     bench.add(first)
     second = Upstream("u2")
     bench.add(second)
-    bench.pool.get("u2").failed()  # so that the first one is tried first
+    bench.pool.get("u2").note_failure()  # so that the first one is tried first
     reply = bench.ask(path)
     assert reply.status == status
     assert len(first.arrived) + len(second.arrived) == arrivals
@@ -198,7 +198,7 @@
     gone.close()
     there = Upstream("u2")
     bench.add(there)
-    bench.pool.get("u2").failed()
+    bench.pool.get("u2").note_failure()
     assert bench.ask(b"/once/").status == 200
 
 
@@ -330,8 +330,8 @@
     upstream = Upstream("u1")
     known = bench.pool.get(bench.add(upstream).server_id)
     known.answer_time.add(100.0)
-    assert known.turned_away(5.0)
-    assert not known.turned_away(50.0)
+    assert known.suggests_rejection(5.0)
+    assert not known.suggests_rejection(50.0)
 
 
 def test_what_does_not_fit_into_a_part_of_a_split_goes_nowhere_else(bench):
@@ -350,18 +350,18 @@
 # ---- slots that all nodes share -----------------------------------------------------------
 
 
-class GivenSlots:
+class GrantedSlots:
     """Gives slots of the servers named in order; ``None``: nobody tells."""
 
     def __init__(self, *servers, after_ms=None):
         self.servers = list(servers)
         self.after_ms = after_ms
-        self.wishes = []
+        self.requests = []
         self.ended = []
 
     @contextmanager
-    def hold(self, wish):
-        self.wishes.append(wish)
+    def hold(self, requirements):
+        self.requests.append(requirements)
         if self.after_ms is not None:
             raise TurnedAwayError(self.after_ms)
         server = self.servers.pop(0) if self.servers else None
@@ -371,7 +371,7 @@
             self.ended.append(slot)
 
 
-def share(bench, slots):
+def use_shared_slots(bench, slots):
     bench.forwarder = Forwarder(bench.directory, bench.pool, PlatformDialect(), bench.budget, slots)
     return slots
 
@@ -380,7 +380,7 @@
     upstreams = [Upstream("u1"), Upstream("u2")]
     for upstream in upstreams:
         bench.add(upstream)
-    slots = share(bench, GivenSlots("u2", "u1", "u2"))
+    slots = use_shared_slots(bench, GrantedSlots("u2", "u1", "u2"))
     for _ in range(3):
         assert bench.ask(b"/once/", b"POST").status == 200
     assert [len(upstream.ran) for upstream in upstreams] == [1, 2]
@@ -390,7 +390,7 @@
 def test_one_that_gets_no_slot_is_told_at_once_when_to_come_back(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
-    share(bench, GivenSlots(after_ms=700.0))
+    use_shared_slots(bench, GrantedSlots(after_ms=700.0))
     started = elapsed_ms()
     reply = bench.ask(b"/once/", b"POST")
     assert reply.status == 503
@@ -403,28 +403,28 @@
     upstream = Upstream("u1")
     bench.add(upstream)
     upstream.behaviour.sealed = False
-    slots = share(bench, GivenSlots("u1"))
+    slots = use_shared_slots(bench, GrantedSlots("u1"))
 
-    def turn_away_then(wish, hold=slots.hold):
-        slots.after_ms = 700.0 if slots.wishes else None
-        return hold(wish)
+    def reject_next(requirements, hold=slots.hold):
+        slots.after_ms = 700.0 if slots.requests else None
+        return hold(requirements)
 
-    slots.hold = turn_away_then
+    slots.hold = reject_next
     assert bench.ask(b"/read/").status == 502
-    assert len(slots.wishes) == 2
+    assert len(slots.requests) == 2
 
 
 def test_without_a_word_of_slots_the_node_chooses(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
-    share(bench, GivenSlots())
+    use_shared_slots(bench, GrantedSlots())
     assert bench.ask(b"/once/", b"POST").status == 200
 
 
 def test_a_slot_of_a_server_that_is_not_known_here_is_not_used(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
-    share(bench, GivenSlots("stranger"))
+    use_shared_slots(bench, GrantedSlots("stranger"))
     assert bench.ask(b"/once/", b"POST").status == 200
     assert len(upstream.ran) == 1
 
@@ -434,18 +434,18 @@
     for upstream in (broken, sound):
         bench.add(upstream)
     broken.behaviour.sealed = False
-    slots = share(bench, GivenSlots("u1", "u2"))
+    slots = use_shared_slots(bench, GrantedSlots("u1", "u2"))
     assert bench.ask(b"/read/").status == 200
     assert [slot.failed for slot in slots.ended] == [True, False]
-    assert [wish.avoid for wish in slots.wishes] == ["", "u1"]
+    assert [request.avoid for request in slots.requests] == ["", "u1"]
 
 
 def test_a_request_with_a_key_asks_for_a_slot_of_its_holder(bench):
     record = bench.add(Upstream("u1"), service=KEYED)
     bench.own_keys(record)
-    slots = share(bench, GivenSlots("u1"))
+    slots = use_shared_slots(bench, GrantedSlots("u1"))
     assert bench.ask(b"/key/", headers=[(b"Shard-Key", b"5")]).status == 200
-    assert slots.wishes[0].holder == record
+    assert slots.requests[0].holder == record
 
 
 def test_a_server_that_began_to_drain_while_the_slot_was_waited_for_gets_nothing(bench):
@@ -453,8 +453,8 @@
     leaving, staying = Upstream("u1"), Upstream("u2")
     record = bench.add(leaving)
     bench.add(staying)
-    slots = share(bench, GivenSlots("u1"))
-    during(slots, lambda: bench.directory.put_server(replace(record, draining=True)))
+    slots = use_shared_slots(bench, GrantedSlots("u1"))
+    while_waiting(slots, lambda: bench.directory.put_server(replace(record, draining=True)))
     assert bench.ask(b"/once/", b"POST").status == 200
     assert (len(leaving.ran), len(staying.ran)) == (0, 1)
 
@@ -463,19 +463,19 @@
     before, after = Upstream("u1"), Upstream("u2")
     bench.own_keys(bench.add(before, service=KEYED))
     second = bench.add(after, service=KEYED)
-    slots = share(bench, GivenSlots("u1"))
-    during(slots, lambda: bench.own_keys(second, revision=2))
+    slots = use_shared_slots(bench, GrantedSlots("u1"))
+    while_waiting(slots, lambda: bench.own_keys(second, revision=2))
     assert bench.ask(b"/key/", headers=[(b"Shard-Key", b"5")]).status == 200
     assert (len(before.ran), len(after.ran)) == (0, 1)
 
 
-def during(slots, event):
+def while_waiting(slots, event):
     """Have something happen while a slot is waited for."""
     hold = slots.hold
 
-    def wait(wish):
+    def wait(requirements):
         event()
-        return hold(wish)
+        return hold(requirements)
 
     slots.hold = wait
 
@@ -503,8 +503,8 @@
     gone, staying = Upstream("u1"), Upstream("u2")
     bench.directory.put_server(replace(bench.add(gone), zone="z2"))
     bench.add(staying)
-    slots = share(bench, GivenSlots("u1"))
-    during(slots, lambda: bench.directory.set_evacuated({"z2"}))
+    slots = use_shared_slots(bench, GrantedSlots("u1"))
+    while_waiting(slots, lambda: bench.directory.set_evacuated({"z2"}))
     assert bench.ask(b"/once/", b"POST").status == 200
     assert (len(gone.ran), len(staying.ran)) == (0, 1)
 
@@ -548,7 +548,7 @@
     bench.add(warm)
     bound_cold(bench)
     bench.directory.put_server(replace(record, warmup_ms=60_000.0))
-    share(bench, GivenSlots())
+    use_shared_slots(bench, GrantedSlots())
     for _ in range(6):
         assert bench.ask(b"/once/", b"POST").status == 200
     assert (len(cold.ran), len(warm.ran)) == (0, 6)
@@ -560,7 +560,7 @@
     bench.own_keys(record)
     bound_cold(bench)
     bench.directory.put_server(replace(record, warmup_ms=60_000.0))
-    share(bench, GivenSlots(None, "u1"))
+    use_shared_slots(bench, GrantedSlots(None, "u1"))
     statuses = [
         bench.ask(b"/keyonce/", b"POST", headers=[(b"Shard-Key", b"5")]).status for _ in range(2)
     ]
@@ -618,9 +618,9 @@
     abroad, home = Upstream("u1"), Upstream("u2")
     add_in(bench, abroad, "z1")
     add_in(bench, home, "z2")
-    slots = share(bench, GivenSlots("u1"))
+    slots = use_shared_slots(bench, GrantedSlots("u1"))
     assert bench.ask(b"/once/", b"POST").status == 200
-    assert slots.wishes[0].regions == {"home"}
+    assert slots.requests[0].regions == {"home"}
     assert (len(abroad.ran), len(home.ran)) == (0, 1)
 
 
@@ -630,7 +630,7 @@
 LEAVES = ServerNotice(leaving=True)
 
 
-class WordsMeanwhile(GivenSlots):
+class NoticeWhileWaiting(GrantedSlots):
     """Gives slots; while a request waits for one, its server says something of itself."""
 
     def __init__(self, bench, notice, *servers):
@@ -639,8 +639,8 @@
         self.notice = notice
 
     @contextmanager
-    def hold(self, wish):
-        with super().hold(wish) as slot:
+    def hold(self, requirements):
+        with super().hold(requirements) as slot:
             self.bench.directory.take_notice("u1", self.notice)
             yield slot
 
@@ -650,7 +650,7 @@
     first, second = Upstream("u1"), Upstream("u2")
     for upstream in (first, second):
         bench.add(upstream)
-    share(bench, WordsMeanwhile(bench, notice, "u1"))
+    use_shared_slots(bench, NoticeWhileWaiting(bench, notice, "u1"))
     assert bench.ask(b"/once/", b"POST").body == b"answer of u2"
     assert first.arrived == []
 
@@ -663,12 +663,12 @@
     used = bench.pool.get("u1")
     open_connection = used.connection
 
-    def open_and_hear(timeout_s):
+    def open_after_notice(timeout_s):
         bench.directory.take_notice("u1", notice)
         return open_connection(timeout_s)
 
-    monkeypatch.setattr(used, "connection", open_and_hear)
-    share(bench, GivenSlots("u1", "u2"))
+    monkeypatch.setattr(used, "connection", open_after_notice)
+    use_shared_slots(bench, GrantedSlots("u1", "u2"))
     assert bench.ask(b"/once/", b"POST").body == b"answer of u2"
     assert first.arrived == []
 
@@ -684,8 +684,8 @@
     assert len(holder.turned_away) == 1
     assert {reply.status for reply in replies} == {503}
     assert field(replies[1], b"ploverhatch-result") == [b"2112"]
-    told_s = [float(field(reply, b"retry-after")[0]) for reply in replies]
-    assert all(2.8 < after_s <= 3.2 for after_s in told_s)
+    retry_after_s = [float(field(reply, b"retry-after")[0]) for reply in replies]
+    assert all(2.8 < after_s <= 3.2 for after_s in retry_after_s)
 
 
 def test_a_single_attempt_that_is_turned_away_is_told_the_rest(bench):
@@ -703,13 +703,13 @@
 def test_the_dispatcher_is_told_what_this_node_may_not_use(bench):
     for upstream in (Upstream("u1"), Upstream("u2")):
         bench.add(upstream)
-    slots = share(bench, GivenSlots("u1", "u2", "u2"))
+    slots = use_shared_slots(bench, GrantedSlots("u1", "u2", "u2"))
     bench.ask(b"/once/", b"POST")
     bench.pool.get("u1").note_backoff()
     bench.directory.take_notice("u1", REST)
     bench.forwarder._choice.note_backoff("u1")
     bench.ask(b"/once/", b"POST")
-    assert [wish.barred for wish in slots.wishes] == [(), ("u1",)]
+    assert [request.excluded for request in slots.requests] == [(), ("u1",)]
 
 
 def test_a_holder_that_said_it_leaves_long_ago_is_given_up_at_once(bench):
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -53,7 +53,7 @@
 }
 
 
-class GivenSettings(SettingsSource):
+class FixedSettings(SettingsSource):
     """Settings that a test changes."""
 
     def __init__(self, settings):
@@ -97,7 +97,7 @@
             **changes,
         )
         store = PlatformStore(settings.store)
-        source = GivenSettings(settings)
+        source = FixedSettings(settings)
         gateway = Gateway(source, settings, store, PlatformDialect(), PlatformTranslation())
         gateway.source = source
         gateway.settings = settings
--- a/tests/functional/test_gateway_logs.py
+++ b/tests/functional/test_gateway_logs.py
@@ -18,8 +18,8 @@
 from ploverhatch.common.code_id import code_id
 from ploverhatch.common.log_output import BufferedOutput
 from ploverhatch.gateway.answer_record import (
-    MOST_NAMES,
-    NAMES_IN_LINE,
+    MAX_NAMES,
+    NAMES_PER_LINE,
     AnswerRecord,
     SentAnswer,
     unacknowledged_bytes,
@@ -186,20 +186,20 @@
 def test_answers_of_a_stop_are_told_many_to_a_line(caplog):
     answers = AnswerRecord()
     with caplog.at_level(logging.INFO, "absl"):
-        for answer in fake_answers(*[10] * (NAMES_IN_LINE + 1)):
+        for answer in fake_answers(*[10] * (NAMES_PER_LINE + 1)):
             answers.note([answer], 0)
         answers.flush()
-    assert [line.count(":200") for line in caplog.messages] == [NAMES_IN_LINE, 1]
-    assert answers.taken == NAMES_IN_LINE + 1
+    assert [line.count(":200") for line in caplog.messages] == [NAMES_PER_LINE, 1]
+    assert answers.taken == NAMES_PER_LINE + 1
 
 
 def test_no_more_names_are_told_than_a_bound(caplog):
     answers = AnswerRecord()
     with caplog.at_level(logging.INFO, "absl"):
-        answers.note(fake_answers(*[10] * (MOST_NAMES + 100)), 0)
+        answers.note(fake_answers(*[10] * (MAX_NAMES + 100)), 0)
         answers.flush()
-    assert sum(line.count(":200") for line in caplog.messages) == MOST_NAMES
-    assert answers.taken == MOST_NAMES + 100
+    assert sum(line.count(":200") for line in caplog.messages) == MAX_NAMES
+    assert answers.taken == MAX_NAMES + 100
 
 
 @pytest.mark.parametrize(("unacknowledged", "untaken"), [(0, 0), (1, 1), (10, 1), (11, 2), (99, 3)])
@@ -246,7 +246,7 @@
 10:00:00.200 n1 W [callers] Answer not taken. request=r3 status=200 unacknowledged=7 size=90
 10:00:00.300 n1 W [callers] Request without answer. request=r4 cause=process-ends took_ms=41
 """
-STORIES = {
+REQUEST_ENDINGS = {
     "r1": "answer: 200, taken by the caller",
     "r2": "answer: 503, taken by the caller",
     "r3": "200, written whole; 7 of 90 bytes weren't acknowledged",
@@ -254,9 +254,9 @@
 }
 
 
-@pytest.mark.parametrize("name", STORIES)
+@pytest.mark.parametrize("name", REQUEST_ENDINGS)
 def test_explain_tells_what_a_stop_made_of_a_request(name):
-    assert STORIES[name] in "\n".join(explain(name, read_lines(STOP_LOG.splitlines())))
+    assert REQUEST_ENDINGS[name] in "\n".join(explain(name, read_lines(STOP_LOG.splitlines())))
 
 
 def test_the_code_id_is_gits_id_of_the_package(tmp_path):
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -34,7 +34,7 @@
 from ploverhatch.transport.http_server import HttpServer
 from ploverhatch.transport.wsgi import as_application
 from tests.functional.test_gateway import Site, start_site, until
-from tests.functional.test_shared_slots import HOLDER, Cluster, keeper_of, record, wish
+from tests.functional.test_shared_slots import HOLDER, Cluster, dispatcher_of, record, requirements
 from tests.standin.metadata_store import StoreServer
 
 LOOPBACK = "127.0.0.1"
@@ -389,7 +389,7 @@
     and the request is turned away after all its time.
     """
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
-    keeper = keeper_of(cluster, HOLDER)
+    keeper = dispatcher_of(cluster, HOLDER)
     asker = next(node for node in cluster.nodes if node is not keeper)
     holders = [gevent.spawn(hold, asker, 300.0, 3.0) for _ in range(3)]
     gevent.sleep(0.1)
@@ -409,7 +409,7 @@
 
 def hold(node, wait_ms, time_s):
     try:
-        with node.slots.hold(wish(holder=record(0), wait_ms=wait_ms, hold_ms=9000.0)):
+        with node.slots.hold(requirements(holder=record(0), wait_ms=wait_ms, hold_ms=9000.0)):
             gevent.sleep(time_s)
     except TurnedAwayError:
         return "turned away"
@@ -419,7 +419,7 @@
 def test_slots_of_requests_that_outlast_their_process_come_back():
     """Their leases would keep them from others for as long as the requests had."""
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
-    keeper = keeper_of(cluster, HOLDER)
+    keeper = dispatcher_of(cluster, HOLDER)
     asker = next(node for node in cluster.nodes if node is not keeper)
     requests = RequestsUnderWay()
 
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -16,7 +16,7 @@
     TurnedAwayError,
 )
 from ploverhatch.state.standing import NO_LIMIT, ServerNotice
-from tests.functional.test_shared_slots import Cluster, record, wish
+from tests.functional.test_shared_slots import Cluster, record, requirements
 
 LIMIT = ServerNotice(limit_per_s=2.5)
 ANY = GroupName("svc")
@@ -29,7 +29,7 @@
     def make(*records):
         cluster = Cluster(list(records), zones=("a", "a", "a"))
         for node in cluster.nodes:
-            node.slots._own = node.name
+            node.slots._own_address = node.name
             node.slots._started_ms -= DISCOVERY_MS
         started.append(cluster)
         return cluster
@@ -48,12 +48,12 @@
     return [next(node for node in cluster.nodes if node.name == name) for name in names]
 
 
-def given(node, span_s, **options):
+def granted_servers(node, span_s, **options):
     """Ask again and again; return which servers' slots were given."""
     servers, end_ms = [], elapsed_ms() + span_s * 1000
     while elapsed_ms() < end_ms:
         try:
-            with node.slots.hold(replace(wish(wait_ms=40.0), **options)) as slot:
+            with node.slots.hold(replace(requirements(wait_ms=40.0), **options)) as slot:
                 servers += [slot.server_id] if slot else []
         except TurnedAwayError:
             gevent.sleep(0.005)
@@ -64,12 +64,12 @@
 def test_a_limit_is_known_to_the_dispatcher_with_the_slot_that_comes_back(start):
     cluster = start(record(0))
     first, second, _ = in_order(cluster)
-    with second.slots.hold(wish()) as slot:
+    with second.slots.hold(requirements()) as slot:
         assert slot.dispatcher == first.name
         second.directory.take_notice("s0", LIMIT)
     gevent.sleep(0.05)
     assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
-    assert len(given(second, 1.5)) <= 5
+    assert len(granted_servers(second, 1.5)) <= 5
 
 
 # A dispatcher that has just started knows no limit, and gave the server all its slots.
@@ -83,7 +83,7 @@
         with pytest.raises(TurnedAwayError):
             cluster.hold_all(held, 1, cluster.nodes.index(third), wait_ms=40.0)
     assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
-    assert len(given(third, 1.0)) <= 4
+    assert len(granted_servers(third, 1.0)) <= 4
 
 
 def test_that_a_limit_is_over_is_told_in_the_same_ways(start):
@@ -92,11 +92,11 @@
     for node in cluster.nodes:
         node.directory.take_notice("s0", LIMIT)
     gevent.sleep(0.5)
-    with second.slots.hold(wish(wait_ms=1000.0)):
+    with second.slots.hold(requirements(wait_ms=1000.0)):
         second.directory.take_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
     gevent.sleep(0.05)
     assert first.directory.servers.standings.limit_per_s == {}
-    assert len(given(third, 0.5)) > 20
+    assert len(granted_servers(third, 0.5)) > 20
 
 
 # Nodes that passed a living dispatcher over for lost words had a second one count beside it.
@@ -107,11 +107,11 @@
         node.directory.take_notice("s0", LIMIT)
     lost = iter([True, True])  # both questions of one request
     third.lost = lambda message: type(message).__name__ == "SlotAsk" and next(lost, False)
-    servers = given(third, 0.8)
+    servers = granted_servers(third, 0.8)
     assert first.name in third.slots._choice.passed(elapsed_ms())
     assert set(servers) == {"s1"}  # the second one in rank gives what is not limited
     gevent.sleep(0.5)
-    assert "s0" in given(third, 1.0)
+    assert "s0" in granted_servers(third, 1.0)
 
 
 def test_a_request_for_a_limited_holder_is_turned_away_while_its_dispatcher_is_in_doubt(start):
@@ -120,10 +120,10 @@
     first, _, third = in_order(cluster, name)
     third.directory.take_notice("s0", LIMIT)
     first.lost = lambda message: True
-    with third.slots.hold(wish(holder=record(0))) as slot:
+    with third.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is None
     started_ms = elapsed_ms()
-    with pytest.raises(TurnedAwayError), third.slots.hold(wish(holder=record(0))):
+    with pytest.raises(TurnedAwayError), third.slots.hold(requirements(holder=record(0))):
         pass
     assert elapsed_ms() - started_ms < 20.0
 
@@ -135,11 +135,11 @@
     for node in cluster.nodes:
         node.directory.take_notice("s0", LIMIT)
     first.lost = lambda message: True
-    given(second, UNREACHABLE_MS / 1000 + 0.3)
-    given(third, UNREACHABLE_MS / 1000 + 0.3)
-    servers = given(third, 3.0)
+    granted_servers(second, UNREACHABLE_MS / 1000 + 0.3)
+    granted_servers(third, UNREACHABLE_MS / 1000 + 0.3)
+    servers = granted_servers(third, 3.0)
     assert 6 <= len(servers) <= 9
-    assert second.slots._kept
+    assert second.slots._queues
 
 
 def test_a_dispatcher_that_stops_gives_limited_servers_no_more(start):
@@ -148,8 +148,8 @@
     for node in cluster.nodes:
         node.directory.take_notice("s0", LIMIT)
     with ExitStack() as held:
-        given(third, 0.3)
-        waiting = gevent.spawn(hold, third, wish(wait_ms=2000.0))
+        granted_servers(third, 0.3)
+        waiting = gevent.spawn(hold, third, requirements(wait_ms=2000.0))
         gevent.sleep(0.05)
         assert first.slots.waiting == 1 or waiting.ready()
         first.slots.leaving = True
@@ -171,7 +171,7 @@
     for node in cluster.nodes:
         node.directory.take_notice("s0", ServerNotice(limit_per_s=10.0))
     first.slots._started_ms = elapsed_ms()
-    assert len(given(third, 2.0)) <= 2 * 10 * STANDBY_SHARE + 2
+    assert len(granted_servers(third, 2.0)) <= 2 * 10 * STANDBY_SHARE + 2
 
 
 # Routes of different regions have queues of their own, and each gave the whole limit.
@@ -182,6 +182,8 @@
         node.directory.replace_servers([record(0)])
         node.directory.take_notice("s0", LIMIT)
     ways = [frozenset(), frozenset({"home"}), frozenset({"home", "abroad"})]
-    tasks = [gevent.spawn(given, cluster.nodes[0], 3.0, regions=regions) for regions in ways]
+    tasks = [
+        gevent.spawn(granted_servers, cluster.nodes[0], 3.0, regions=regions) for regions in ways
+    ]
     gevent.joinall(tasks)
     assert sum(len(task.value) for task in tasks) <= 3 * 2.5 + 2
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -33,7 +33,7 @@
     return ServerRecord(f"s{number}", SERVICE, "127.0.0.1", 9000 + number, zone, slots, False)
 
 
-def wish(holder=None, wait_ms=300.0, hold_ms=2000.0, priority=1):
+def requirements(holder=None, wait_ms=300.0, hold_ms=2000.0, priority=1):
     return SlotRequirements(SERVICE, priority, wait_ms, wait_ms, hold_ms, holder)
 
 
@@ -75,7 +75,8 @@
 
     def hold_all(self, held, count, node=0, **options):
         return [
-            held.enter_context(self.nodes[node].slots.hold(wish(**options))) for _ in range(count)
+            held.enter_context(self.nodes[node].slots.hold(requirements(**options)))
+            for _ in range(count)
         ]
 
 
@@ -118,22 +119,22 @@
     monkeypatch.setattr(groups, "MOST_SERVERS", 1)
     cluster = start([record(0, "a"), record(1, "b")])
     with ExitStack() as held:
-        given = cluster.hold_all(held, 6)
-        assert [slot.server_id for slot in given] == ["s0"] * 3 + ["s1"] * 3
+        granted = cluster.hold_all(held, 6)
+        assert [slot.server_id for slot in granted] == ["s0"] * 3 + ["s1"] * 3
 
 
 def test_a_small_service_is_one_group(start):
     cluster = start([record(0, "a"), record(1, "b")])
     with ExitStack() as held:
-        given = cluster.hold_all(held, 6)
-        assert sorted(slot.server_id for slot in given) == ["s0"] * 3 + ["s1"] * 3
+        granted = cluster.hold_all(held, 6)
+        assert sorted(slot.server_id for slot in granted) == ["s0"] * 3 + ["s1"] * 3
 
 
 def test_without_a_dispatcher_the_node_decides_by_itself(start):
     cluster = start([record(0)])
     for node in cluster.nodes:
         node.lost = lambda message: True
-    with cluster.nodes[0].slots.hold(wish()) as slot:
+    with cluster.nodes[0].slots.hold(requirements()) as slot:
         assert slot is None
 
 
@@ -141,26 +142,26 @@
     cluster = start([record(0)], zones=("a", "a", "a"))
     first = cluster.nodes[0]
     for _ in range(20):
-        with first.slots.hold(wish(holder=record(0))) as slot:
+        with first.slots.hold(requirements(holder=record(0))) as slot:
             assert slot is not None
-    keeper = next(node for node in cluster.nodes if node.slots._kept)
-    asker = next(node for node in cluster.nodes if node is not keeper)
-    keeper.lost = lambda message: True
+    dispatcher = next(node for node in cluster.nodes if node.slots._queues)
+    requester = next(node for node in cluster.nodes if node is not dispatcher)
+    dispatcher.lost = lambda message: True
     for _ in range(2):
-        with asker.slots.hold(wish(holder=record(0))) as slot:
+        with requester.slots.hold(requirements(holder=record(0))) as slot:
             assert slot is not None
-            assert slot.dispatcher != keeper.name
+            assert slot.dispatcher != dispatcher.name
 
 
 def test_a_node_that_is_about_to_stop_leaves_its_queues_to_another(start):
     cluster = start([record(0)], zones=("a", "a", "a"))
-    keeper = keeper_of(cluster, HOLDER)
-    keeper.slots.leaving = True
-    asker = next(node for node in cluster.nodes if node is not keeper)
-    with asker.slots.hold(wish(holder=record(0))) as slot:
+    dispatcher = dispatcher_of(cluster, HOLDER)
+    dispatcher.slots.leaving = True
+    requester = next(node for node in cluster.nodes if node is not dispatcher)
+    with requester.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
-    assert not keeper.slots._kept
-    assert sum(len(node.slots._kept) for node in cluster.nodes) == 1
+    assert not dispatcher.slots._queues
+    assert sum(len(node.slots._queues) for node in cluster.nodes) == 1
 
 
 def test_the_time_spent_in_the_own_zone_is_not_spent_again(start, monkeypatch):
@@ -183,7 +184,7 @@
         return len(sent) == 1
 
     cluster.nodes[0].lost = first_is_lost
-    with cluster.nodes[0].slots.hold(wish(holder=record(0))) as slot:
+    with cluster.nodes[0].slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
     assert MAX_TRIES > 1
 
@@ -192,27 +193,27 @@
     cluster = start([record(0)])
     cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotReturn"
     for _ in range(3):
-        with cluster.nodes[0].slots.hold(wish(holder=record(0), hold_ms=150.0)) as slot:
+        with cluster.nodes[0].slots.hold(requirements(holder=record(0), hold_ms=150.0)) as slot:
             assert slot is not None
-    with cluster.nodes[1].slots.hold(wish(holder=record(0), wait_ms=2000.0)) as slot:
+    with cluster.nodes[1].slots.hold(requirements(holder=record(0), wait_ms=2000.0)) as slot:
         assert slot is not None
 
 
 def test_an_answer_to_a_request_that_is_over_holds_nothing(start):
     cluster = start([record(0)])
     nodes = cluster.nodes
-    keeper = keeper_of(cluster, HOLDER)
-    asker = next(node for node in nodes if node is not keeper)
-    keeper.lost = lambda message: type(message).__name__ == "SlotWord"
-    with asker.slots.hold(wish(holder=record(0))) as slot:
+    dispatcher = dispatcher_of(cluster, HOLDER)
+    requester = next(node for node in nodes if node is not dispatcher)
+    dispatcher.lost = lambda message: type(message).__name__ == "SlotWord"
+    with requester.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
-        assert slot.dispatcher != keeper.name
-    keeper.lost = lambda message: False
+        assert slot.dispatcher != dispatcher.name
+    dispatcher.lost = lambda message: False
     gevent.sleep(2 * REPLY_TIMEOUT_S)
-    assert keeper.slots._kept[HOLDER].group.in_use == 0
+    assert dispatcher.slots._queues[HOLDER].group.in_use == 0
 
 
-def keeper_of(cluster, name):
+def dispatcher_of(cluster, name):
     address = groups.dispatcher(name, cluster.zones, ())
     return next(node for node in cluster.nodes if node.name == address)
 
@@ -223,7 +224,7 @@
     for node in cluster.nodes:
         node.directory.servers.regions = {"a": "abroad", "b": "home"}
         node.directory.replace_servers(records)
-    at_home = replace(wish(), regions=frozenset({"home"}))
+    at_home = replace(requirements(), regions=frozenset({"home"}))
     with ExitStack() as held:
         slots = [held.enter_context(node.slots.hold(at_home)) for node in cluster.nodes]
     assert [slot.server_id for slot in slots] == ["s1", "s1", "s1"]
@@ -242,7 +243,7 @@
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     first.slots.leaving = second.slots.leaving = True
-    with third.slots.hold(wish(holder=record(0), wait_ms=1000.0)) as slot:
+    with third.slots.hold(requirements(holder=record(0), wait_ms=1000.0)) as slot:
         assert slot is not None
         assert slot.dispatcher == third.name
     for node in cluster.nodes:
@@ -273,9 +274,9 @@
             elapsed_ms() + 9000.0
         )  # not asked by those who hold
         for _ in range(3):
-            held.enter_context(second.slots.hold(wish(holder=record(0), hold_ms=9000.0)))
+            held.enter_context(second.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
         assert second.slots.in_use == 3
-        waiting = gevent.spawn(slot_of, third, wish(holder=record(0), wait_ms=2000.0))
+        waiting = gevent.spawn(slot_of, third, requirements(holder=record(0), wait_ms=2000.0))
         gevent.sleep(0.4)
         assert len(asks) == 2
         assert second.slots.waiting == 1
@@ -299,8 +300,8 @@
     and the process stands still between the answer to the second one and its reading.
     """
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
-    keeper = keeper_of(cluster, HOLDER)
-    asker = next(node for node in cluster.nodes if node is not keeper)
+    dispatcher = dispatcher_of(cluster, HOLDER)
+    requester = next(node for node in cluster.nodes if node is not dispatcher)
     asks = []
 
     def is_first_ask(message):
@@ -312,12 +313,12 @@
         if type(message).__name__ == "SlotAsk":
             time.sleep(3 * REPLY_TIMEOUT_S)  # the whole process
 
-    take = keeper.slots.handle_message
-    asker.lost = is_first_ask
-    keeper.link.take_slots(answer_and_stand_still)
-    with asker.slots.hold(wish(holder=record(0))) as slot:
+    take = dispatcher.slots.handle_message
+    requester.lost = is_first_ask
+    dispatcher.link.take_slots(answer_and_stand_still)
+    with requester.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
-        assert slot.dispatcher == keeper.name
+        assert slot.dispatcher == dispatcher.name
     for node in cluster.nodes:
         node.stop()
 
@@ -326,10 +327,10 @@
     """The next dispatcher gave a full server's slots again until the first ones ended."""
     cluster = start([record(0)])
     with ExitStack() as held:
-        given = cluster.hold_all(held, 3, 0, holder=record(0))
-        keeper = next(node for node in cluster.nodes if node.name == given[0].dispatcher)
-        keeper.slots.leaving = True
-        asking = next(number for number, node in enumerate(cluster.nodes) if node is not keeper)
+        granted = cluster.hold_all(held, 3, 0, holder=record(0))
+        dispatcher = next(node for node in cluster.nodes if node.name == granted[0].dispatcher)
+        dispatcher.slots.leaving = True
+        asking = next(number for number, node in enumerate(cluster.nodes) if node is not dispatcher)
         with pytest.raises(TurnedAwayError):
             cluster.hold_all(held, 1, asking, holder=record(0), wait_ms=30.0)
 
@@ -340,10 +341,10 @@
     first, second, third = in_order(cluster)
     with ExitStack() as held:
         for _ in range(3):
-            held.enter_context(third.slots.hold(wish(holder=record(0), hold_ms=9000.0)))
+            held.enter_context(third.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
         first.slots.leaving = True
         with pytest.raises(TurnedAwayError):
-            held.enter_context(third.slots.hold(wish(holder=record(0), wait_ms=30.0)))
+            held.enter_context(third.slots.hold(requirements(holder=record(0), wait_ms=30.0)))
         assert second.slots.in_use == 3
     gevent.sleep(0.05)
     assert second.slots.in_use == first.slots.in_use == 0
@@ -353,17 +354,17 @@
     """Its own leases ended meanwhile, and it gave the slots of its substitute again."""
     cluster = start([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
-    with third.slots.hold(wish(holder=record(0))) as slot:
+    with third.slots.hold(requirements(holder=record(0))) as slot:
         assert slot.dispatcher == first.name
     first.lost = lambda message: True
     with ExitStack() as held:
         for _ in range(3):
-            held.enter_context(third.slots.hold(wish(holder=record(0), hold_ms=9000.0)))
+            held.enter_context(third.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
         assert second.slots.in_use == 3
         first.lost = lambda message: False
         gevent.sleep(RELEARN_MS / 1000 + 0.1)  # it is asked again from then on
         with pytest.raises(TurnedAwayError) as caught:
-            held.enter_context(third.slots.hold(wish(holder=record(0), wait_ms=30.0)))
+            held.enter_context(third.slots.hold(requirements(holder=record(0), wait_ms=30.0)))
         assert caught.value.dispatcher == first.name
 
 
@@ -372,6 +373,6 @@
     first, second, third = in_order(cluster)
     second.stop()
     started_ms = elapsed_ms()
-    with third.slots.hold(wish(holder=record(0))) as slot:
+    with third.slots.hold(requirements(holder=record(0))) as slot:
         assert slot.dispatcher == first.name
     assert elapsed_ms() - started_ms < 2 * LEARN_MS + 100.0
--- a/tests/functional/test_slots_at_restarts.py
+++ b/tests/functional/test_slots_at_restarts.py
@@ -13,13 +13,13 @@
 GATEWAYS = 4
 SERVERS = 3
 SLOTS = 4
-ROOM = 6  # of a server: its slots and half as many that wait there
+CAPACITY = 6  # of a server: its slots and half as many that wait there
 WORK_S = 0.9
 CALLERS = 30
-KNOWN_S = 6.0  # until all nodes know each other
-EACH_S = 4.0
-SERVED_PART = 0.8  # of what the servers' slots can do
-LINK_S = 0.005
+DISCOVERY_S = 6.0  # until all nodes know each other
+RESTART_INTERVAL_S = 4.0
+MIN_SERVED_FRACTION = 0.8  # of what the servers' slots can do
+LINK_DELAY_S = 0.005
 
 
 @pytest.fixture
@@ -29,7 +29,7 @@
     made.close()
 
 
-def beyond_room(upstream, sent, from_s):
+def arrivals_beyond_capacity(upstream, sent, from_s):
     """Return how many requests arrived while as many as the server has room for were there.
 
     One is there until its work ends, its caller has an answer, or its gateway is killed.
@@ -43,7 +43,7 @@
         end_s = min(ends.get(one.name) or inf, answered_s, *killed, inf)
         spans.append((request.received_ms / 1000, end_s))
     return sum(
-        sum(start < at and end > at + LINK_S for start, end in spans) >= ROOM
+        sum(start < at and end > at + LINK_DELAY_S for start, end in spans) >= CAPACITY
         for at, _ in spans
         if at >= from_s
     )
@@ -66,7 +66,7 @@
         first = index % GATEWAYS
         order = site.gateways[first:] + site.gateways[:first]
         tasks.append(gevent.spawn(caller.ask_forever, order))
-    gevent.sleep(KNOWN_S)
+    gevent.sleep(DISCOVERY_S)
     start_s = elapsed_ms() / 1000
     for gateway in site.gateways:
         if number == signal.SIGTERM:
@@ -75,14 +75,17 @@
         elif number == signal.SIGKILL:
             gateway.life.kill()
             gateway.start()
-        gevent.sleep(EACH_S)
+        gevent.sleep(RESTART_INTERVAL_S)
     gevent.killall(tasks)
     sent = {one.name: one for caller in callers for one in caller.asked}
     servers = [upstream for upstream in site.upstreams.values() if upstream.service == PLAIN]
-    beyond = {upstream.server_id: beyond_room(upstream, sent, start_s) for upstream in servers}
-    assert beyond == dict.fromkeys(beyond, 0)
+    excess = {
+        upstream.server_id: arrivals_beyond_capacity(upstream, sent, start_s)
+        for upstream in servers
+    }
+    assert excess == dict.fromkeys(excess, 0)
     served = sum(one.status == 200 for one in sent.values() if one.sent_s >= start_s)
-    assert served > SERVERS * SLOTS * GATEWAYS * EACH_S / WORK_S * SERVED_PART
+    assert served > SERVERS * SLOTS * GATEWAYS * RESTART_INTERVAL_S / WORK_S * MIN_SERVED_FRACTION
 
 
 def restart(gateway):
