--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -1,7 +1,8 @@
 """Sends each caller's request to one server and returns its answer.
 
-Runs in the task of the caller's connection. Decisions come from ``routing``
-(pure); this module waits, sends and keeps the time limits.
+The forwarder runs in the task of the caller's connection. The decisions are made in
+:mod:`ploverhatch.routing`, which does no I/O; this module waits, sends and enforces
+time limits.
 """
 
 import random
@@ -56,36 +57,47 @@
 LOG = PartLogger("forwarder")
 
 CONNECT_TIMEOUT_S = 0.3
-OFFER_FRACTION = 0.23  # of the objective: by then a request is offered to a server or refused
-USEFUL_FRACTION = 0.5  # of the objective: a request that gets its slot by then is mostly in time
-WAIT_FRACTION = 0.55  # of the time until the caller or the route gives up: then no slot helps
-HOLD_MARGIN_MS = 100.0  # a slot that all nodes share is leased for longer than it is used
-MAX_RETRY_AFTER_S = 2.0  # longer waits are of no use to callers, whose deadlines are seconds
-MOVE_FRACTION = 0.6  # of the objective: how long to wait for keys that change hands
-MIN_ATTEMPT_FRACTION = 0.1  # of the objective: less time than that is no use
+# The share of the objective after which a request that no server can take is refused.
+OFFER_FRACTION = 0.23
+# The share of the objective within which a granted slot mostly still meets the objective.
+USEFUL_FRACTION = 0.5
+# The share of the request's time limit after which a granted slot comes too late for an answer.
+WAIT_FRACTION = 0.55
+HOLD_MARGIN_MS = 100.0  # A shared slot's lease must outlast the request that uses it.
+MAX_RETRY_AFTER_S = 2.0  # Callers' deadlines are seconds, so a longer delay is of no use to them.
+MOVE_FRACTION = 0.6  # The share of the objective spent waiting for keys that change holders.
+MIN_ATTEMPT_FRACTION = 0.1  # With less of the objective left, another attempt is not made.
 RETRY_AFTER_BUSY_S = 0.15
 RETRY_AFTER_MOVE_S = 0.25
-RETRY_AFTER_STOP_S = 0.0  # another node can serve it at once
+RETRY_AFTER_STOP_S = 0.0  # Another node can serve the request at once.
 RETRY_PAUSE_S = 0.02
-DRAIN_MS = 2000.0  # until a server that says that it leaves gets nothing, where none is granted
+DRAIN_MS = 2000.0  # The default time after which a server that announced its leaving gets nothing.
 
 FAILED_RESULTS = frozenset(
     {AttemptResult.NOT_CONNECTED, AttemptResult.LOST, AttemptResult.TIMED_OUT}
 )
-# The server is there after it ran the request.
+# Outcomes which show that the server still runs after it handled the request.
 RAN_RESULTS = frozenset({AttemptResult.ANSWERED, AttemptResult.SERVER_ERROR})
 UNANSWERED_RESULTS = frozenset({AttemptResult.NOT_CONNECTED, AttemptResult.TIMED_OUT})
 
 
 def _single_node_quarantine() -> Quarantine:
-    """Return the quarantine of a node that has no others."""
+    """Return a quarantine for a node that knows no other nodes."""
     quarantine = Quarantine("", tuple, lambda message, to: None)
     quarantine.mark_synced()
     return quarantine
 
 
 class Forwarder:
-    """Serves callers' requests of one node."""
+    """Serves the requests that one node receives from callers.
+
+    :param budget: bounds retries; shared by all requests of the node.
+    :param shared_slots: slots that all nodes share; without them the node uses its own limits.
+    :param evacuate_ms: time after which an evacuated zone gets nothing.
+    :param quarantine: decides which requests are refused; without one the node decides alone.
+    :param drain_ms: time after which a server that announced to this node that it is leaving
+        gets nothing.
+    """
 
     def __init__(
         self,
@@ -104,7 +116,7 @@
         self._dialect = dialect
         self._budget = budget
         self._splitter = ShareSplitter()
-        self.planned_stop: PlannedStop | None = None  # once the process was told to stop
+        self.planned_stop: PlannedStop | None = None  # Set once the process is told to stop.
         self._under_way = RequestsUnderWay()
         self.sampled_keys: dict[str, list[int]] = {}
         self._quarantine = quarantine or _single_node_quarantine()
@@ -114,7 +126,10 @@
     # ---- entry ----------------------------------------------------------------------
 
     def handle(self, request: CallerRequest) -> CallerReply:
-        """Serve one request."""
+        """Serve one request and return the reply for its caller.
+
+        :raises CallerGoneError: when the caller closes its connection meanwhile.
+        """
         facts = None
         trace = RequestTrace()
         detail = ""
@@ -136,7 +151,7 @@
             result, detail = error.result, error.detail
             reply = self._refuse(error, facts)
         except Exception as error:
-            # A fault of ours: the caller learns that it may have run.
+            # An internal fault: the reply says that the request may have run.
             LOG.error("Request failed.", request=trace.request_id, cause=repr(error))
             result, detail = results.INTERNAL_ERROR, type(error).__name__
             reply = self._refuse(RefusedError(result), facts)
@@ -155,16 +170,16 @@
         return reply
 
     def end_under_way(self) -> int:
-        """Have the requests under way answered now, since the process ends.
+        """Answer all requests in flight now, because the process is about to exit.
 
-        These were taken before it was told to stop, and were granted more time than it has.
+        They were accepted before the process was told to stop, with deadlines later than its exit.
 
-        :returns: how many they are.
+        :returns: the number of requests.
         """
         return self._under_way.end_all(ProcessEndsError)
 
     def end_overdue(self) -> None:
-        """Have the requests answered whose time has passed, though their timers stood still."""
+        """Answer requests whose deadline passed while a suspension delayed their timers."""
         self._under_way.end_overdue(elapsed_ms(), DeadlineOverError)
 
     def _refuse(self, refusal: RefusedError, facts: RequestFacts | None) -> CallerReply:
@@ -205,9 +220,9 @@
         )
 
     def _limit_by_stop(self, deadline_ms: float) -> float:
-        """Return a request's deadline, no later than the end of a process that stops.
+        """Return the request's deadline, limited to the exit of a process that is stopping.
 
-        :raises RefusedError: when the process would end before the request does.
+        :raises RefusedError: when the process would exit before the request's deadline.
         """
         stop = self.planned_stop
         if stop is None:
@@ -245,7 +260,8 @@
             elif result in {AttemptResult.NOT_HOLDER, AttemptResult.NOT_CONNECTED}:
                 self._directory.changed.wait(RETRY_PAUSE_S)
             elif self._choice.unservable(call) is None:
-                # The same server again: not while it is as full as it was.
+                # The retry goes to the same server, which an immediate retry would find as full
+                # as before. The pause is random and at most a typical answer time.
                 gevent.sleep(upstream.answer_time.typical_ms / 1000 * random.random())
 
     def _sample(self, call: Call) -> None:
@@ -265,7 +281,7 @@
         no_holder = call.partitioned and result is AttemptResult.NOT_CONNECTED
         if step is NextStep.RETRY and no_holder and elapsed_ms() > call.offer_by_ms:
             return NextStep.FAIL if history.may_have_run else NextStep.REFUSE
-        # Only an attempt after one that may have arrived counts as a retry.
+        # An attempt counts as a retry only if an earlier one may have reached a server.
         is_retry = step is NextStep.RETRY and history.arrivals > 0
         if is_retry and not self._budget.spend(call.service, elapsed_ms()):
             return NextStep.FAIL if history.may_have_run else NextStep.REFUSE
@@ -280,7 +296,9 @@
         tried: set[str],
     ) -> CallerReply:
         if last is not None:
-            return self._forward_answer(last)  # the server's own failure, unchanged
+            return self._forward_answer(
+                last
+            )  # The server's own error response goes to the caller unchanged.
         if step is NextStep.REFUSE:
             unservable = self._choice.unservable(call, tried)
             after_s = unservable.after_s if unservable else 0.0
@@ -306,16 +324,16 @@
     def _attempt_when_permitted(
         self, call: Call, tried: set[str], history: AttemptHistory
     ) -> tuple[Upstream, AttemptResult, WireAnswer | None]:
-        """Send the request to one server once it may be sent."""
+        """Send the request to one server as soon as the quarantine permits it."""
         while True:
             self._quarantine.check(call, history.may_have_run)
-            with suppress(OnTrialElsewhereError):  # it came under suspicion in the queue
+            with suppress(OnTrialElsewhereError):  # It became suspect while it waited for a slot.
                 return self._attempt_once(call, tried, history)
 
     def _attempt_once(
         self, call: Call, tried: set[str], history: AttemptHistory
     ) -> tuple[Upstream, AttemptResult, WireAnswer | None]:
-        """Send the request to one server, in a slot of all nodes or else one of this node."""
+        """Send the request to one server in a shared slot, or else in a slot of this node."""
         upstream = None
         if call.partitioned:
             upstream = self._await_upstream(call, tried, history)
@@ -327,7 +345,7 @@
             if slot is not None and granted is not None:
                 self._quarantine.recheck(call, history.may_have_run)
                 with granted.granted_slot():
-                    result, answer = self._record_attempt(call, granted)
+                    result, answer = self._attempt_and_record(call, granted)
                 slot.failed = result in FAILED_RESULTS
                 slot.unanswered = result in UNANSWERED_RESULTS
                 if result is AttemptResult.ANSWERED:
@@ -335,7 +353,7 @@
                 return granted, result, answer
         if self._choice.all_need_dispatcher(call, tried):
             raise self._refusal_without_server(call, history, results.QUEUE_TIMEOUT)
-        # The wait for a slot may have been long: the holder is looked up again.
+        # The holder may have changed during the wait for a slot.
         upstream = self._await_upstream(call, tried, history)
         if self._choice.needs_dispatcher(upstream.record):
             raise self._refusal_without_server(call, history, results.QUEUE_TIMEOUT)
@@ -344,9 +362,10 @@
     def _acquire_shared_slot(
         self, call: Call, history: AttemptHistory, holder: Upstream | None, held_slots: ExitStack
     ) -> SharedSlot | None:
-        """Return a slot of all nodes, held_slots until the stack ends; ``None`` if nobody tells.
+        """Return a shared slot, which is held until ``held_slots`` is closed.
 
-        :raises RefusedError: when none can be expected in time.
+        :returns: ``None`` when no dispatcher answers.
+        :raises RefusedError: when no slot can be expected in time.
         """
         if self._shared_slots is None:
             return None
@@ -354,7 +373,7 @@
         received_ms = call.request.received_ms
         useful_ms = received_ms + call.route.objective_ms * USEFUL_FRACTION
         until_ms = received_ms + (call.deadline_ms - received_ms) * WAIT_FRACTION
-        if history.arrivals:  # it may have run: only an answer helps
+        if history.arrivals:  # The request may have run, so it can't be refused as not run.
             until_ms = call.deadline_ms
         attempts = call.trace.attempts
         requirements = SlotRequirements(
@@ -386,7 +405,7 @@
         try:
             with upstream.slot(call.route.priority, (until_ms - elapsed_ms()) / 1000):
                 self._quarantine.recheck(call, history.may_have_run)
-                return self._record_attempt(call, upstream)
+                return self._attempt_and_record(call, upstream)
         except QueueFullError as error:
             raise self._refusal_without_server(call, history, results.QUEUE_FULL) from error
         except NoSlotError as error:
@@ -402,8 +421,8 @@
     ) -> RefusedError:
         """Return the refusal of a request that found no server in time.
 
-        :param after_s: when a slot can be expected, where that is known.
-        :param detail: for the log; the service where nothing else is granted.
+        :param after_s: seconds until a slot can be expected; 0 when unknown.
+        :param detail: text for the log; the service by default.
         """
         if history.may_have_run:
             return RefusedError(results.ANSWER_LOST, ",".join(filter(None, (result.name, detail))))
@@ -411,7 +430,7 @@
         retry_after_s = RETRY_AFTER_BUSY_S if busy else RETRY_AFTER_MOVE_S
         return RefusedError(result, detail or call.service, max(retry_after_s, after_s))
 
-    def _record_attempt(
+    def _attempt_and_record(
         self, call: Call, upstream: Upstream
     ) -> tuple[AttemptResult, WireAnswer | None]:
         start_ms = elapsed_ms()
@@ -437,8 +456,8 @@
             return AttemptResult.NOT_CONNECTED, None
         sent_ms = elapsed_ms()
         left_ms = call.deadline_ms - sent_ms
-        # The waits for a slot and for the connection are over: what a server has asked for
-        # meanwhile holds, and nothing waits between this look and the send.
+        # The server may have asked for a backoff or announced that it leaves while this request
+        # waited for its slot and connection. No code between this check and the send waits.
         withheld = self._choice.exclusion(call, record.server_id) is not None
         if left_ms <= 0 or withheld:
             upstream.release(connection)
@@ -483,7 +502,7 @@
         payload: bytes,
         sent_ms: float,
     ) -> WireAnswer | AttemptResult:
-        """Send a request and return its answer, or how it failed."""
+        """Send a request and return the server's answer, or the outcome if there is none."""
         try:
             with gevent.Timeout((call.deadline_ms - sent_ms) / 1000):
                 return connection.exchange(call.request.method, payload)
@@ -493,7 +512,7 @@
         except AnswerCutError:
             self._quarantine.note_lost(call, upstream, sent_ms)
             return AttemptResult.LOST
-        except BaseException:  # the caller has left, or the process ends
+        except BaseException:  # The caller disconnected, or the process exits.
             self._quarantine.note_abandoned(call, upstream, sent_ms)
             raise
 
@@ -509,9 +528,9 @@
     # ---- choice of the server ---------------------------------------------------------
 
     def _await_upstream(self, call: Call, tried: set[str], history: AttemptHistory) -> Upstream:
-        """Return the server to send to; wait while keys change hands.
+        """Return the server to send to; wait while keys change holders.
 
-        :raises RefusedError: when there is none in time.
+        :raises RefusedError: when no server is available in time.
         """
         while True:
             if call.partitioned:
@@ -527,9 +546,9 @@
             self._directory.changed.wait(left_ms / 1000)
 
     def _refuse_unservable(self, call: Call, tried: set[str], history: AttemptHistory) -> None:
-        """Refuse a request at once where it is known that no server may be sent it.
+        """Refuse a request at once if it is unservable.
 
-        :raises RefusedError: with the time after which one may be.
+        :raises RefusedError: when it is; states when the caller may retry.
         """
         unservable = self._choice.unservable(call, tried)
         if unservable is not None:
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -1,9 +1,10 @@
-"""Which server a request may go to, by what this node knows.
+"""Chooses the server for a request by what this node knows.
 
-Requests with a key go to its holder, others to the server that is likely to answer
-first. Where all nodes share slots, a dispatcher chooses, and this is asked whether the
-server is still right when the slot has come. Whatever the way, :meth:`ServerChoice.bar`
-alone decides what may be sent to a server, and is asked once more right before the send.
+Requests with a key go to the key's holder, others to the server that is likely to answer
+first. Where nodes share slots, a dispatcher chooses the server, and this module checks that
+the server is still eligible once the slot is granted. In all cases
+:meth:`ServerChoice.exclusion` alone decides whether a server may be sent a request, and it is
+called once more right before the request is sent.
 """
 
 import random
@@ -22,24 +23,26 @@
 
 JITTER_FRACTION = 0.15
 DEFAULT_ANSWER_MS = 100.0
-BACKOFF_SPREAD_MS = 200.0  # callers that are told of one rest come back spread over so long
+# Callers that are refused because of one server's backoff retry spread over this time.
+BACKOFF_SPREAD_MS = 200.0
 RETRY_AFTER_NO_SERVER_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Unservable:
-    """No server may be sent a request, and no short wait changes that."""
+    """Why no server may be sent a request now or after a short wait."""
 
     result: Result
-    after_s: float  # when its caller may come back
-    detail: str  # for the log: which server's word it follows from, and how old it is
+    after_s: float  # Seconds after which the caller may retry.
+    detail: str  # Text for the log: the servers whose notices are the reason, and their age.
 
 
 class ServerChoice:
-    """Looks servers up for the requests of one node.
+    """Chooses servers for the requests of one node.
 
-    :param evacuate_ms: until an evacuated zone gets nothing.
-    :param drain_ms: until a server that said to this node that it leaves gets nothing.
+    :param evacuate_ms: time after which an evacuated zone gets nothing.
+    :param drain_ms: time after which a server that announced to this node that it is leaving
+        gets nothing.
     """
 
     def __init__(
@@ -48,12 +51,14 @@
         self._directory = directory
         self._pool = pool
         self._times = HolderTimes.of(drain_ms, evacuate_ms)
-        self._backed_off: set[str] = set()  # servers that asked for a rest and have not recovered
+        self._backed_off: set[str] = (
+            set()
+        )  # Servers that asked for a backoff and haven't recovered.
 
     def exclusion(self, call: Call, server_id: str) -> Bar | None:
-        """Return why a request may not be sent to a server now; ``None``: it may.
+        """Return why a request may not be sent to a server now, or ``None`` if it may.
 
-        First tries and repeats, with and without a key or a shared slot, all ask here.
+        This check applies to first attempts and retries, with and without a key or a shared slot.
         """
         return sending.bar(
             self._directory.servers,
@@ -65,7 +70,7 @@
         )
 
     def holder(self, call: Call) -> Upstream | None:
-        """Return the server that holds a request's key and may be sent it now."""
+        """Return the server that holds a request's key, if the request may be sent to it now."""
         server_id = self._holder_id(call)
         if server_id is None or not self._directory.keymaps_trusted:
             return None
@@ -81,7 +86,7 @@
         return found.holder.server_id if self._directory.is_granted(call.service, found) else None
 
     def fastest(self, call: Call, tried: set[str]) -> Upstream | None:
-        """Return the server that answers first, as far as this node alone knows."""
+        """Return the server that is expected to answer first, by this node's own estimates."""
         upstreams = [
             upstream
             for record in self._directory.servers.of_service(call.service)
@@ -104,9 +109,10 @@
         return self._pool.get(chosen) if chosen else None
 
     def upstream_for_slot(self, call: Call, server_id: str) -> Upstream | None:
-        """Return the server of a slot, unless it left or lost the key during the wait.
+        """Return the server of a granted slot, unless it left or lost the key during the wait.
 
-        One that comes back from a rest takes what this node's own slots there allow.
+        A server that recovers from a backoff gets no more requests than this node's own slots
+        there allow.
         """
         if call.partitioned:
             found = self.holder(call)
@@ -117,11 +123,14 @@
         return found if found is not None and found.has_capacity else None
 
     def note_backoff(self, server_id: str) -> None:
-        """A server asked this node for a rest."""
+        """Note that a server asked this node for a backoff."""
         self._backed_off.add(server_id)
 
     def excluded(self) -> tuple[str, ...]:
-        """Return the servers that a dispatcher need not give: they rest, or recover from it."""
+        """Return the servers whose slots are of no use to this node because of a backoff.
+
+        They are backing off, or are recovering and have no capacity left for this node.
+        """
         standings, now_ms = self._directory.servers.standings, elapsed_ms()
         excluded = []
         for server_id in list(self._backed_off):
@@ -133,7 +142,10 @@
         return tuple(sorted(excluded))
 
     def needs_dispatcher(self, record: ServerRecord) -> bool:
-        """Whether only the group's dispatcher may give a server's slots: it counts for all."""
+        """Whether only the group's dispatcher may grant a server's slots.
+
+        A rate limit holds for all nodes together, and only the dispatcher counts for all of them.
+        """
         servers = self._directory.servers
         if record.server_id in servers.standings.limit_per_s:
             return True
@@ -141,7 +153,10 @@
         return cold and self._directory.cold_per_s(record.service) > 0
 
     def all_need_dispatcher(self, call: Call, tried: Collection[str]) -> bool:
-        """Whether a dispatcher alone may give a request without a key any server."""
+        """Whether only a dispatcher may grant a slot at any eligible server.
+
+        This is always false for a request with a key.
+        """
         if call.partitioned:
             return False
         usable = [
@@ -152,10 +167,12 @@
         return bool(usable) and all(map(self.needs_dispatcher, usable))
 
     def unservable(self, call: Call, tried: Collection[str] = ()) -> Unservable | None:
-        """Return when to come back if it is known that no server may be sent a request.
+        """Return why no server can serve a request in time, or ``None`` if one might.
+
+        A holder that is leaving is about to hand its keys over, which is worth a wait until the
+        time for that is over. The other reasons outlast a request's time limit.
 
-        A holder that leaves is about to hand its keys over, which is worth a wait, unless
-        the time for that is over. All else a wait within a request's time changes nothing of.
+        :param tried: ids of servers that already failed this request.
         """
         known = self._directory.servers.records.values()
         records = [record for record in known if record.service == call.service]
@@ -195,7 +212,7 @@
         return Unservable(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, announcements or call.service)
 
     def _until_backoff_ends(self, server_ids: Collection[str]) -> Unservable:
-        """Return when the first of some rests is over; callers come back spread from then on."""
+        """Return a refusal until the first backoff ends, with retries spread from then on."""
         standings, now_ms = self._directory.servers.standings, elapsed_ms()
         left_ms, server_id = min(
             (standings.rest_left_ms(name, now_ms), name) for name in server_ids
@@ -205,14 +222,14 @@
         return Unservable(results.SERVERS_REST, after_s, detail)
 
     def _closed_by_operator(self, record: ServerRecord, call: Call) -> bool:
-        """Whether operators want nothing sent to a server."""
+        """Whether an evacuation or the route's regions rule a server out."""
         return record.evacuated or not record.lies_in(call.route.regions)
 
     def wait_until_ms(self, call: Call) -> float:
-        """Return until when a request waits for a server.
+        """Return until when a request waits for a server, in elapsed milliseconds.
 
-        A move whose holder answers is over soon. Where the holder is silent, its
-        lease has to lapse, which takes seconds: then the caller is told early.
+        A key moves soon if its holder answers. If the holder is unresponsive, its lease has to
+        expire first, which takes seconds, so the caller is refused early.
         """
         if call.partitioned and not self._directory.moves_slowly(call.service, call.token):
             return call.move_by_ms
