--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -198,17 +198,17 @@
         """
         after_ms = 0.0
         while self._may_know(call):
-            hold = self._ledger.hold(call.fingerprint)
-            left_s = (hold.until_ms - elapsed_ms()) / 1000 if hold else 0.0
+            decision = self._ledger.hold(call.fingerprint)
+            left_s = (decision.until_ms - elapsed_ms()) / 1000 if decision else 0.0
             if left_s > 0:
                 raise self._refusal(results.QUARANTINED, call, may_have_run, left_s)
-            if hold is None and not self._ledger.suspects(call.fingerprint.content):
+            if decision is None and not self._ledger.suspects(call.fingerprint.content):
                 return 0.0
             if self._permits.has(call):
                 return 0.0
             after_ms = self._permits.acquire(call)
             if after_ms > 0:
-                if hold is not None:
+                if decision is not None:
                     raise self._refusal(
                         results.QUARANTINED, call, may_have_run, QUARANTINED_TRIAL_RETRY_AFTER_S
                     )
@@ -219,9 +219,9 @@
     def _refusal(
         self, result: Result, call: Call, may_have_run: bool, after_s: float
     ) -> RefusedError:
-        hold = self._ledger.hold(call.fingerprint)
+        decision = self._ledger.hold(call.fingerprint)
         record = self._ledger.get(call.fingerprint.content)
-        ends = hold.ends if hold else record.unanswered if record else ()
+        ends = decision.ends if decision else record.unanswered if record else ()
         reason = self._reason(ends) if ends else ""
         if may_have_run:
             return RefusedError(results.ANSWER_LOST, reason)
@@ -319,8 +319,8 @@
             after_ms=round(ended_ms - copy.sent_ms),
         )
         content, caller = copy.fingerprint
-        end = ServerEnd(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
-        if self._ledger.note_end(content, end):
+        crash = ServerEnd(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
+        if self._ledger.note_end(content, crash):
             self._note_change(content)
 
     # ---- between nodes ------------------------------------------------------------------
@@ -363,10 +363,10 @@
     def _send_reports(self) -> None:
         contents, self._unreported = self._unreported, set()
         self._reported_s = elapsed_ms() / 1000
-        told = self._reports(contents)
+        reports = self._reports(contents)
         members = list(self._members())
-        for address in self._affordable(members, len(told)):
-            for message in told:
+        for address in self._affordable(members, len(reports)):
+            for message in reports:
                 self._send(message, address)
 
     def _reports(self, contents: Iterable[bytes]) -> list[CrashesTold]:
@@ -388,15 +388,15 @@
         refill = (now_ms - self._refilled_ms) / 1000 * MAX_SENT_PER_S
         self._send_budget = min(MAX_SENT_BURST, self._send_budget + refill)
         self._refilled_ms = now_ms
-        most = int(self._send_budget / max(each, 1))
-        chosen = members if len(members) <= most else random.sample(members, most)
+        max_nodes = int(self._send_budget / max(each, 1))
+        chosen = members if len(members) <= max_nodes else random.sample(members, max_nodes)
         self._send_budget -= len(chosen) * each
         return chosen
 
-    def handle_report(self, told: CrashesTold, _peer: Address) -> None:
+    def handle_report(self, report: CrashesTold, _peer: Address) -> None:
         """Take what another node knows."""
         now_ms = elapsed_ms()
-        for record in told.records:
+        for record in report.records:
             if not self._merge(record, now_ms):
                 continue
             self._log_quarantine(record.content)
@@ -404,21 +404,21 @@
             # Nodes hear of new ones seconds later; these report to the leader by then.
             if self._leads():
                 self._report_soon(record.content)
-        if told.whole:
+        if report.whole:
             self.mark_synced()
 
-    def _merge(self, told: ToldRecord, now_ms: float) -> bool:
+    def _merge(self, entry: ToldRecord, now_ms: float) -> bool:
         """Take one record; return whether it told something new."""
-        before = self._ledger.get(told.content)
-        heard = messages.decode(told, now_ms, self._ran_until_ms())
-        if not self._ledger.merge(told.content, heard):
+        before = self._ledger.get(entry.content)
+        received = messages.decode(entry, now_ms, self._ran_until_ms())
+        if not self._ledger.merge(entry.content, received):
             return False
-        after = self._ledger.get(told.content)
+        after = self._ledger.get(entry.content)
         if after is not None and after.unanswered and not (before and before.unanswered):
             last = after.unanswered[-1]
             LOG.info(
                 "Heard of an end under a request.",
-                content=shown(told.content),
+                content=shown(entry.content),
                 server=last.server_id,
                 witness=last.witness,
                 ended_ms_ago=round(now_ms - last.ended_ms),
@@ -434,15 +434,15 @@
         for content in saved.load(self._ledger, records, elapsed_ms()):
             self._note_change(content)
 
-    def handle_query(self, ask: CrashesAsk, peer: Address) -> None:
+    def handle_query(self, query: CrashesAsk, peer: Address) -> None:
         """Tell all that is known to a node that knows something else."""
-        same = self._ledger.is_empty or ask.summary == self._ledger.summary
-        if same and not ask.just_started:
+        same = self._ledger.is_empty or query.summary == self._ledger.summary
+        if same and not query.just_started:
             return
-        told = self._reports(content for content, _ in self._ledger) or [CrashesTold([])]
-        told[-1] = CrashesTold(told[-1].records, whole=True)
-        for address in self._affordable([peer], len(told)):
-            for message in told:
+        reports = self._reports(content for content, _ in self._ledger) or [CrashesTold([])]
+        reports[-1] = CrashesTold(reports[-1].records, whole=True)
+        for address in self._affordable([peer], len(reports)):
+            for message in reports:
                 self._send(message, address)
 
     def query_forever(self) -> None:
@@ -471,23 +471,24 @@
 
     def _log_quarantine(self, content: bytes) -> None:
         """Tell when a request is held, for longer than before, or no more."""
-        holds = self._ledger.holds(content)
-        if not holds:
+        decisions = self._ledger.holds(content)
+        if not decisions:
             if self._logged.pop(content, None):
                 LOG.info("Request is let through again.", content=shown(content))
             return
-        hold = max(holds, key=lambda hold: len(hold.ends))
-        if len(hold.ends) <= self._logged.get(content, 0):
+        decision = max(decisions, key=lambda decision: len(decision.ends))
+        if len(decision.ends) <= self._logged.get(content, 0):
             return
-        self._logged[content] = len(hold.ends)
+        self._logged[content] = len(decision.ends)
         now_ms = elapsed_ms()
         LOG.warning(
             "Request is kept from servers.",
             content=shown(content),
             ends="|".join(
-                f"{end.server_id}@{end.witness}:{now_ms - end.ended_ms:.0f}" for end in hold.ends
+                f"{end.server_id}@{end.witness}:{now_ms - end.ended_ms:.0f}"
+                for end in decision.ends
             ),
-            for_s=round((hold.until_ms - now_ms) / 1000),
+            for_s=round((decision.until_ms - now_ms) / 1000),
         )
 
     def _expire_logged(self) -> None:
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -128,26 +128,26 @@
     """A request that waits for its dispatcher's word."""
 
     def __init__(self) -> None:
-        self.asked: Address = ("", 0)  # the node whose word is waited for
-        self.word: SlotWord | None = None
+        self.asked: Address = ("", 0)  # the node whose reply is waited for
+        self.reply: SlotWord | None = None
         self._changed = Event()
 
-    def accept(self, word: SlotWord) -> None:
+    def accept(self, reply: SlotWord) -> None:
         """Take a word; a repeated place in the queue tells nothing new."""
-        if self.word is None or not word.queued:
-            self.word = word
+        if self.reply is None or not reply.queued:
+            self.reply = reply
             self._changed.set()
 
     def wait(self, timeout_s: float) -> bool:
         """Wait for a word that was not waited for before; false when there is none."""
-        came = self._changed.wait(max(timeout_s, 0.0))
-        if not came:
+        changed = self._changed.wait(max(timeout_s, 0.0))
+        if not changed:
             # Where the process stood still, the timer goes off before the word is read that
             # has long come: without a look at it a sound dispatcher is passed over for 1 s.
             gevent.sleep(0)
-            came = self._changed.is_set()
+            changed = self._changed.is_set()
         self._changed.clear()
-        return bool(came)
+        return bool(changed)
 
 
 @dataclass(slots=True)
@@ -221,11 +221,11 @@
         """
         start_ms = elapsed_ms()
         turned_away: TurnedAwayError | None = None
-        for name, part in self._groups(requirements):
+        for name, fraction in self._groups(requirements):
             left = requirements.remaining_after(elapsed_ms() - start_ms)
             try:
                 with self._hold_in(
-                    name, left, min(requirements.wait_ms * part, left.wait_ms)
+                    name, left, min(requirements.wait_ms * fraction, left.wait_ms)
                 ) as slot:
                     yield slot
                     return
@@ -245,9 +245,9 @@
         sizes = groups.groups_of(
             self._directory.servers.of_service(requirements.service), requirements.regions
         )
-        near = [name for name in sizes if name.zone in {"", self._zone}]
-        others = [name for name in sizes if name not in near]
-        found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in near]
+        own_zone = [name for name in sizes if name.zone in {"", self._zone}]
+        others = [name for name in sizes if name not in own_zone]
+        found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in own_zone]
         if others:
             weights = [sizes[name] for name in others]
             found.append((random.choices(others, weights)[0], 1.0))
@@ -262,12 +262,12 @@
         asked: list[str] = []
         self._pending[number] = _PendingRequest()
         try:
-            word = self._await_reply(number, name, requirements, wait_ms, asked)
-            if word is not None and word.server:
-                slot.server_id, slot.dispatcher = word.server, asked[-1]
+            reply = self._await_reply(number, name, requirements, wait_ms, asked)
+            if reply is not None and reply.server:
+                slot.server_id, slot.dispatcher = reply.server, asked[-1]
                 self._note_granted(number, name, slot, requirements.hold_ms)
-            elif word is not None and word.after_ms > 0:
-                raise TurnedAwayError(word.after_ms, asked[-1])
+            elif reply is not None and reply.after_ms > 0:
+                raise TurnedAwayError(reply.after_ms, asked[-1])
             yield slot if slot.server_id else None
         finally:
             del self._pending[number]
@@ -281,9 +281,9 @@
         wait_ms: float,
         asked: list[str],
     ) -> SlotWord | None:
-        """Return a dispatcher's last word, asking the next one where one stops or is silent.
+        """Return a dispatcher's last word, asking the next one where one stops or is unanswered.
 
-        :param asked: takes the nodes that may have given a slot; the last one gave the word.
+        :param asked: takes the nodes that may have given a slot; the last one gave the reply.
         """
         pending, start_ms, unresponsive = self._pending[number], elapsed_ms(), 0
         for _ in range(MAX_NODES_ASKED):
@@ -297,18 +297,18 @@
             if not self._enforces_limits(name, node):
                 left = self._excluding_limited(name, left)
             asked.append(node)
-            ask = self._request_message(number, name, left, max(0.0, wait_ms - spent_ms), node)
-            word = self._send_request(ask, pending, node)
-            if word is not None and word.queued:
-                word = self._await_slot(pending, word, ask.wait_ms)
-            if word is not None and not word.leaving:
-                return word
-            unresponsive += word is None
+            message = self._request_message(number, name, left, max(0.0, wait_ms - spent_ms), node)
+            reply = self._send_request(message, pending, node)
+            if reply is not None and reply.queued:
+                reply = self._await_slot(pending, reply, message.wait_ms)
+            if reply is not None and not reply.leaving:
+                return reply
+            unresponsive += reply is None
             if unresponsive >= MAX_UNRESPONSIVE_NODES:
                 return None
-            if word is not None:
+            if reply is not None:
                 self._choice.stops(node, elapsed_ms())
-                pending.word = None
+                pending.reply = None
         return None
 
     def _limits_unenforced(self, name: GroupName, node: str) -> bool:
@@ -327,7 +327,7 @@
         """Return a slot, or a place in the queue, to all dispatchers that may count it."""
         held = self._held.pop(number, None)
         dispatchers: set[Address] = {HostPort.parse(node) for node in asked}
-        back = SlotReturn(
+        message = SlotReturn(
             number,
             name.service,
             name.zone,
@@ -338,8 +338,8 @@
             name.regions,
             self._directory.limits_of([slot.server_id]),
         )
-        for keeper in dispatchers | (held.dispatchers if held else set()):
-            self._send(back, keeper)
+        for address in dispatchers | (held.dispatchers if held else set()):
+            self._send(message, address)
 
     def _request_message(
         self,
@@ -389,32 +389,39 @@
 
         :raises TurnedAwayError: when it is for a holder that names one.
         """
-        named = self._directory.servers.standings.limit_per_s
-        limited = [server_id for server_id in self._limited_servers(name) if server_id in named]
+        limit_per_s = self._directory.servers.standings.limit_per_s
+        limited = [
+            server_id for server_id in self._limited_servers(name) if server_id in limit_per_s
+        ]
         if limited and requirements.holder is not None:
             raise TurnedAwayError(UNREACHABLE_MS)
         return replace(requirements, excluded=tuple(sorted({*requirements.excluded, *limited})))
 
-    def _send_request(self, ask: SlotAsk, pending: _PendingRequest, node: str) -> SlotWord | None:
+    def _send_request(
+        self, message: SlotAsk, pending: _PendingRequest, node: str
+    ) -> SlotWord | None:
         """Return a dispatcher's answer; ``None`` when there is none in time."""
         address = pending.asked = HostPort.parse(node)
         for _ in range(MAX_TRIES):
-            self._send(ask, address)
+            self._send(message, address)
             if pending.wait(REPLY_TIMEOUT_S):
-                return pending.word
+                return pending.reply
         if self._choice.not_answered(node, elapsed_ms()):
             LOG.info(
-                "Dispatcher does not answer.", node=node, service=ask.service, zone=ask.group_zone
+                "Dispatcher does not answer.",
+                node=node,
+                service=message.service,
+                zone=message.group_zone,
             )
         return None
 
-    def _await_slot(self, pending: _PendingRequest, word: SlotWord, wait_ms: float) -> SlotWord:
+    def _await_slot(self, pending: _PendingRequest, reply: SlotWord, wait_ms: float) -> SlotWord:
         """Wait for the slot of a request that has a place in the queue."""
-        if pending.word is word:
+        if pending.reply is reply:
             pending.wait(wait_ms / 1000 + REPLY_MARGIN_S)
-        if pending.word is None or pending.word is word:
-            return SlotWord(word.number, after_ms=wait_ms)
-        return pending.word
+        if pending.reply is None or pending.reply is reply:
+            return SlotWord(reply.number, after_ms=wait_ms)
+        return pending.reply
 
     # ---- messages -----------------------------------------------------------------------
 
@@ -422,44 +429,44 @@
         """Take a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
-    def _handle_reply(self, word: SlotWord, peer: Address) -> None:
-        if not word.leaving:
+    def _handle_reply(self, reply: SlotWord, peer: Address) -> None:
+        if not reply.leaving:
             self._choice.answered(f"{peer[0]}:{peer[1]}")
-        pending = self._pending.get(word.number)
+        pending = self._pending.get(reply.number)
         if pending is None:
             return  # the request is over, and gave everything back
-        if word.leaving and peer != pending.asked:
+        if reply.leaving and peer != pending.asked:
             return  # a repeated answer of a node that was passed over
-        pending.accept(word)
+        pending.accept(reply)
 
-    def _handle_request(self, ask: SlotAsk, peer: Address) -> None:
-        name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
+    def _handle_request(self, message: SlotAsk, peer: Address) -> None:
+        name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         ceded_ms = self._ceded_ms.get(name, -1e12)
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
-            self._send(SlotWord(ask.number, leaving=True), peer)
+            self._send(SlotWord(message.number, leaving=True), peer)
             return
-        self._directory.hear_limits(ask.limits, LIMIT_SOURCE)
+        self._directory.hear_limits(message.limits, LIMIT_SOURCE)
         now_ms = elapsed_ms()
         is_new = name not in self._queues
         queue = self._queues.setdefault(name, _Queue(Group(rates=self._rates)))
         queue.used_ms = now_ms
-        if is_new or (ask.elsewhere and now_ms - queue.asked_ms >= RELEARN_MS):
+        if is_new or (message.elsewhere and now_ms - queue.asked_ms >= RELEARN_MS):
             self._query_held_slots(name, queue, now_ms)
         if now_ms - queue.refreshed_ms > REFRESH_MS:
             servers = self._directory.servers
             bounds = self._bounds(name)
-            records = groups.members_of(name, servers.of_service(ask.service))
+            records = groups.members_of(name, servers.of_service(message.service))
             queue.group.set_members(records, now_ms, bounds)
             queue.refreshed_ms = now_ms
         request = Wish(
-            Asker(peer, ask.number),
-            ask.priority,
-            now_ms + ask.useful_ms,
-            now_ms + ask.wait_ms,
-            ask.hold_ms,
-            ask.avoid,
-            ask.zone,
-            frozenset(ask.barred),
+            Asker(peer, message.number),
+            message.priority,
+            now_ms + message.useful_ms,
+            now_ms + message.wait_ms,
+            message.hold_ms,
+            message.avoid,
+            message.zone,
+            frozenset(message.barred),
         )
         self._send_results(queue.group.ask(request, now_ms))
 
@@ -470,44 +477,50 @@
         if not queue.awaited:
             return
         queue.group.learn(now_ms + MAX_LEARN_MS)
-        ask = HeldAsk(name.service, name.zone, name.holder, name.regions)
+        message = HeldAsk(name.service, name.zone, name.holder, name.regions)
         for address in queue.awaited:
-            self._send(ask, address)
+            self._send(message, address)
 
-    def _handle_held_request(self, ask: HeldAsk, peer: Address) -> None:
-        name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
+    def _handle_held_request(self, message: HeldAsk, peer: Address) -> None:
+        name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         now_ms = elapsed_ms()
         self._cede(name, f"{peer[0]}:{peer[1]}", now_ms)
-        told = []
+        entries = []
         for number, held in self._held.items():
             if held.name == name:
                 held.dispatchers.add(peer)
-                told.append((number, held.server_id, held.until_ms - now_ms))
-        word = HeldWord(ask.service, ask.group_zone, ask.holder, ask.regions, told[:MAX_HELD_SLOTS])
-        self._send(word, peer)
+                entries.append((number, held.server_id, held.until_ms - now_ms))
+        reply = HeldWord(
+            message.service,
+            message.group_zone,
+            message.holder,
+            message.regions,
+            entries[:MAX_HELD_SLOTS],
+        )
+        self._send(reply, peer)
 
-    def _cede(self, name: GroupName, keeper: str, now_ms: float) -> None:
+    def _cede(self, name: GroupName, other: str, now_ms: float) -> None:
         """Leave a group to a node that keeps its queue again and ranks before this one.
 
         Else both would give the same slots, each to the nodes that have it for the dispatcher.
         """
-        self._choice.returned(keeper)
+        self._choice.returned(other)
         members = self._members()
-        both = {node: members[node] for node in (keeper, self._own_address) if node in members}
-        if len(both) < 2 or groups.dispatcher(name, both, ()) != keeper:
+        both = {node: members[node] for node in (other, self._own_address) if node in members}
+        if len(both) < 2 or groups.dispatcher(name, both, ()) != other:
             return
         self._ceded_ms[name] = now_ms
         queue = self._queues.pop(name, None)
         if queue is not None:
             self._redirect(queue)
 
-    def _handle_held_reply(self, word: HeldWord, peer: Address) -> None:
-        name = GroupName(word.service, word.group_zone, word.holder, word.regions)
+    def _handle_held_reply(self, reply: HeldWord, peer: Address) -> None:
+        name = GroupName(reply.service, reply.group_zone, reply.holder, reply.regions)
         queue = self._queues.get(name)
         if queue is None or peer not in queue.awaited:
             return
         now_ms = elapsed_ms()
-        for number, server_id, left_ms in word.held:
+        for number, server_id, left_ms in reply.held:
             queue.group.adopt(Asker(peer, number), server_id, left_ms, now_ms)
         queue.awaited.discard(peer)
         if not queue.awaited:
@@ -539,9 +552,11 @@
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         queue = self._queues.get(name)
         if queue is not None:
-            asker = Asker(peer, message.number)
-            took_ms, failed, silent = message.took_ms, message.failed, message.unanswered
-            self._send_results(queue.group.give_back(asker, took_ms, failed, elapsed_ms(), silent))
+            requester = Asker(peer, message.number)
+            took_ms, failed, unanswered = message.took_ms, message.failed, message.unanswered
+            self._send_results(
+                queue.group.give_back(requester, took_ms, failed, elapsed_ms(), unanswered)
+            )
 
     def _send_results(self, answers: list[Answer]) -> None:
         for answer in answers:
@@ -556,8 +571,8 @@
             self._redirect(queue)
 
     def _redirect(self, queue: _Queue) -> None:
-        for asker in queue.group.dismiss():
-            self._send(SlotWord(asker.number, leaving=True), asker.node)
+        for requester in queue.group.dismiss():
+            self._send(SlotWord(requester.number, leaving=True), requester.node)
 
     def _expire_records(self, now_ms: float) -> None:
         ceded, served_by = self._ceded_ms, self._served_by
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -146,40 +146,40 @@
         claim.leader = None
         return self._trials.ask(content, claim.number, elapsed_ms())
 
-    def _ask_leader(self, node: Node, ask: TrialAsk) -> float | None:
-        word = self._replies[ask.number] = AsyncResult()
+    def _ask_leader(self, node: Node, request: TrialAsk) -> float | None:
+        reply = self._replies[request.number] = AsyncResult()
         try:
             waits = overslept = 0
             while waits < MAX_TRIES:
                 start_ms = elapsed_ms()
-                self._send(ask, node)
-                word.wait(REPLY_TIMEOUT_S)
+                self._send(request, node)
+                reply.wait(REPLY_TIMEOUT_S)
                 # Where the process stood still, the timer goes off before the word is read.
                 gevent.sleep(0)
-                if word.ready():
-                    return float(word.get())
+                if reply.ready():
+                    return float(reply.get())
                 took_s = (elapsed_ms() - start_ms) / 1000
                 if took_s > OVERSLEPT_FACTOR * REPLY_TIMEOUT_S and overslept < MAX_OVERSLEPT:
                     overslept += 1
                 else:
                     waits += 1
         finally:
-            del self._replies[ask.number]
+            del self._replies[request.number]
         return None
 
-    def handle_request(self, ask: TrialAsk, peer: Node) -> None:
+    def handle_request(self, request: TrialAsk, peer: Node) -> None:
         """Answer another node, to which this one leads."""
-        after_ms = self._trials.ask(ask.content, (peer, ask.number), elapsed_ms())
-        self._send(TrialWord(ask.number, after_ms), peer)
+        after_ms = self._trials.ask(request.content, (peer, request.number), elapsed_ms())
+        self._send(TrialWord(request.number, after_ms), peer)
 
-    def handle_reply(self, word: TrialWord, peer: Node) -> None:
+    def handle_reply(self, reply: TrialWord, peer: Node) -> None:
         """Take the leader's answer; one that comes too late tells that the leader is there."""
         if peer == self._leader():
             self._skip_leader_until_ms = -math.inf
-        waits = self._replies.get(word.number)
-        if waits is not None:
-            waits.set(word.after_ms)
+        pending = self._replies.get(reply.number)
+        if pending is not None:
+            pending.set(reply.after_ms)
 
-    def handle_finished(self, over: TrialOver, peer: Node) -> None:
+    def handle_finished(self, message: TrialOver, peer: Node) -> None:
         """Take a permit back."""
-        self._trials.end(over.content, (peer, over.number))
+        self._trials.end(message.content, (peer, message.number))
