--- a/ploverhatch/gateway/answer_record.py
+++ b/ploverhatch/gateway/answer_record.py
@@ -1,7 +1,7 @@
-"""Tells whether callers took their answers, as far as the kernel knows.
+"""Logs whether callers received their answers, as far as the kernel knows.
 
-Ordinary requests write no line, so a process that stops would leave no word on which of its
-last requests were answered and which were cut. Their names are told many to a line.
+Ordinary requests write no log line, so the log of a stopped process wouldn't show which of its
+last requests were answered and which were cut off. Their ids are logged, many to a line.
 """
 
 import fcntl
@@ -16,42 +16,44 @@
 LOG = PartLogger("callers")
 
 NAMES_PER_LINE = 40
-MAX_NAMES = 4000  # of one stop: ten times what a small machine answers in a grace time
+# The number of ids logged at one stop: ten times what a small machine answers in a grace period.
+MAX_NAMES = 4000
 _INT = struct.Struct("i")
 
 
 @dataclass(frozen=True, slots=True)
 class SentAnswer:
-    """A whole answer that was written to a caller's connection."""
+    """A complete answer that was written to a caller's connection."""
 
     request_id: str
     status: int
-    size: int  # bytes
+    size: int  # In bytes.
 
 
 def unacknowledged_bytes(sock: Any) -> int | None:
-    """Return how many written bytes the other end hasn't acknowledged; ``None``: not known."""
+    """Return how many written bytes the peer hasn't acknowledged; ``None`` if that is unknown."""
     try:
         (count,) = _INT.unpack(fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(_INT.size)))
-    except (OSError, ValueError):  # closed already
+    except (OSError, ValueError):  # The socket is closed already.
         return None
     return int(count)
 
 
 class AnswerRecord:
-    """The answers of one process since it was told to stop."""
+    """The answers that one process has sent since it was told to stop."""
 
     def __init__(self) -> None:
         self.taken = 0
         self.untaken = 0
-        self.unknown = 0  # the system told nothing of their connections any more
+        self.unknown = 0  # The system no longer reported the state of their connections.
         self._names: list[str] = []
 
     def note(self, answers: Iterable[SentAnswer], unacknowledged: int | None) -> None:
-        """Note the answers of a connection that ends, in the order in which they were sent.
+        """Note the answers of a connection that has ended.
 
-        :param unacknowledged: bytes at its end; the last answers are those that miss some.
-            ``None`` where that isn't known.
+        :param answers: the answers in the order in which they were sent.
+        :param unacknowledged: the number of unacknowledged bytes, which belong to the last
+            answers; ``None`` if it is unknown.
         """
         if unacknowledged is None:
             self.unknown += len(list(answers))
@@ -74,13 +76,13 @@
     def _note_taken(self, answer: SentAnswer) -> None:
         self.taken += 1
         if self.taken > MAX_NAMES:
-            return  # counted only
+            return  # Only counted.
         self._names.append(f"{answer.request_id}:{answer.status}")
         if len(self._names) >= NAMES_PER_LINE:
             self.flush()
 
     def flush(self) -> None:
-        """Write the names that wait for a full line."""
+        """Write the ids that wait for a full line."""
         names, self._names = self._names, []
         if names:
             LOG.info("Answers taken.", requests="|".join(names))
--- a/ploverhatch/gateway/call.py
+++ b/ploverhatch/gateway/call.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through a node."""
+"""A caller's request while a node serves it."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,11 @@
 
 @dataclass(slots=True)
 class Call:
-    """A request after matching; times are elapsed milliseconds."""
+    """A request after it was matched to a route; times are elapsed milliseconds.
+
+    :param offer_by_ms: when a request that no server can take is refused.
+    :param move_by_ms: when a request whose key changes holders is refused.
+    """
 
     request: CallerRequest
     facts: RequestFacts
@@ -22,25 +26,25 @@
     offer_by_ms: float
     move_by_ms: float
     trace: RequestTrace
-    token: int = 0  # of the key's range, when it was looked up
+    token: int = 0  # The fencing token of the key's range at the last lookup.
     _short_digest: bytes = field(default=b"", init=False)
     _fingerprint: Fingerprint | None = field(default=None, init=False)
 
     @property
     def remaining_ms(self) -> float:
-        """Time until the caller's deadline or the route's timeout."""
+        """Milliseconds until the earlier of the caller's deadline and the route's time-out."""
         return self.deadline_ms - elapsed_ms()
 
     @property
     def short_digest(self) -> bytes:
-        """What few other requests share; cheap, and made when it is first asked for."""
+        """A cheap digest that few other requests share; computed on first use."""
         if not self._short_digest:
             self._short_digest = hint(self.request.target, self.request.body)
         return self._short_digest
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What tells the same request apart; made when it is first asked for."""
+        """The digests that identify the request and its caller; computed on first use."""
         if self._fingerprint is None:
             request, facts = self.request, self.facts
             key = b"" if facts.shard_key is None else b"%d" % facts.shard_key
--- a/ploverhatch/gateway/dialect.py
+++ b/ploverhatch/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What differs between platforms in the requests that pass a gateway."""
+"""The interface to the parts of requests and control calls that differ between platforms."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 
 class MalformedRequestError(ValueError):
-    """The request's header fields are not in the expected form."""
+    """A header field of the request is malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrantCall:
-    """A lease on keys for one server; ``hold_ms`` counts from its arrival."""
+    """Grants a server a lease on a key range; ``hold_ms`` counts from the call's arrival."""
 
     first: int
     last: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseCall:
-    """Takes keys back; answered when what ran on them has ended."""
+    """Revokes a key range; the server answers once the requests for these keys have ended."""
 
     first: int
     last: int
@@ -34,11 +34,11 @@
 
 
 class GrantRefusedError(Exception):
-    """The server has seen a higher token on one of the keys."""
+    """The server has seen a higher fencing token for one of the keys."""
 
 
 class OtherInstanceError(Exception):
-    """Another life or another server answered: the one meant has ended."""
+    """Another server, or another incarnation, answered: the intended one has ended."""
 
 
 class Dialect(ABC):
@@ -46,53 +46,60 @@
 
     @abstractmethod
     def facts(self, request: CallerRequest) -> RequestFacts:
-        """Read a caller's header fields.
+        """Read the header fields of a caller's request.
 
-        :raises MalformedRequestError: when one has another form.
+        :raises MalformedRequestError: when a header field is malformed.
         """
 
     @abstractmethod
     def encode_request(self, request: CallerRequest, server_id: str, remaining_ms: float) -> bytes:
-        """Return the request as it goes to a server."""
+        """Return the bytes of the request to a server.
+
+        :param remaining_ms: time until the request's deadline.
+        """
 
     @abstractmethod
     def classify_answer(
         self, facts: RequestFacts, server_id: str, answer: WireAnswer
     ) -> AttemptResult:
-        """Tell what a server's whole answer proves."""
+        """Return the outcome of an attempt from the server's complete answer."""
 
     @abstractmethod
     def notice(self, request_id: bytes, server_id: str, answer: WireAnswer) -> ServerNotice:
-        """Read what a server's whole answer says of the server itself.
+        """Return what a server's complete answer states about the server itself.
 
-        :param request_id: of the request; empty for a control call.
+        :param request_id: id of the request; empty for a control call.
         """
 
     @abstractmethod
     def reply_headers(self, answer: WireAnswer) -> HeaderList:
-        """Return the header fields of an answer that go to the caller."""
+        """Return the header fields of an answer that are forwarded to the caller."""
 
     @abstractmethod
     def refusal_headers(
         self, facts: RequestFacts | None, retry_after_s: float | None
     ) -> HeaderList:
-        """Return header fields of an answer of our own."""
+        """Return the header fields of a refusal by the gateway.
+
+        :param facts: the request's header fields; ``None`` if they are malformed.
+        :param retry_after_s: delay before a retry; ``None`` if a retry is of no use.
+        """
 
     @abstractmethod
     def encode_grant(self, call: GrantCall, server_id: str, host: str) -> bytes:
-        """Return a grant as it goes to a server."""
+        """Return the bytes of a grant to a server."""
 
     @abstractmethod
     def encode_release(self, call: ReleaseCall, server_id: str, host: str) -> bytes:
-        """Return a release as it goes to a server."""
+        """Return the bytes of a release to a server."""
 
     @abstractmethod
     def read_grant(self, answer: WireAnswer) -> None:
         """Check the answer to a grant.
 
-        :raises GrantRefusedError: when a higher token was seen.
+        :raises GrantRefusedError: when the server has seen a higher token.
         :raises OtherInstanceError: when another server has the address.
-        :raises ValueError: on any other answer but success.
+        :raises ValueError: on any other unsuccessful answer.
         """
 
     @abstractmethod
@@ -100,5 +107,5 @@
         """Return the handover from the answer to a release.
 
         :raises OtherInstanceError: when another server has the address.
-        :raises ValueError: on any answer but success.
+        :raises ValueError: on any other unsuccessful answer.
         """
--- a/ploverhatch/gateway/messages.py
+++ b/ploverhatch/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between the parts of a gateway process."""
+"""Messages between the parts of a gateway process."""
 
 from dataclasses import dataclass, field
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, eq=False)
 class CallerRequest:
-    """A caller's whole request; times are elapsed milliseconds."""
+    """A caller's complete request; times are elapsed milliseconds."""
 
     method: bytes
-    target: bytes  # path and query as they were sent
+    target: bytes  # The path and query as they were sent.
     headers: HeaderList
     body: bytes
-    received_ms: float  # when its first byte was read
-    caller: bytes = b""  # address of the other end of its connection, without the port
-    request_id: str = "-"  # by which logs know it, once its header fields are understood
+    received_ms: float  # When its first byte was read.
+    caller: bytes = b""  # The caller's address without the port.
+    request_id: str = "-"  # The id for logs; set once the header fields are parsed.
 
     @property
     def path(self) -> bytes:
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class CallerReply:
-    """What the caller gets."""
+    """The response to a caller."""
 
     status: int
     headers: HeaderList = field(default_factory=list)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a request's header fields say."""
+    """The values of a request's header fields that the gateway uses."""
 
     host: bytes
     request_id: bytes
@@ -44,8 +44,8 @@
 
 
 class CallerGoneError(BaseException):
-    """The caller closed its connection; raised into the task that serves it."""
+    """The caller closed its connection; raised in the task that serves it."""
 
 
 class DeadlineOverError(BaseException):
-    """The request's time passed while the machine was suspended; raised into its task."""
+    """The request's deadline passed during a suspension of the machine; raised in its task."""
--- a/ploverhatch/gateway/metrics.py
+++ b/ploverhatch/gateway/metrics.py
@@ -1,7 +1,7 @@
-"""Counters of a gateway, told as text in Prometheus' exposition format.
+"""Counters of a gateway, written in Prometheus' text exposition format.
 
-``prometheus_client`` costs 12 MB a process here (measured by import), where a
-megabyte is priced; the few counters a gateway has need none of it.
+This module doesn't use ``prometheus_client``, which takes 12 MB of memory per process, while
+memory is priced by the megabyte and a gateway has only a few counters.
 """
 
 from collections import Counter
@@ -17,22 +17,24 @@
     def __init__(self) -> None:
         self.results: Counter[int] = Counter()
         self.attempts: Counter[str] = Counter()
-        self.sends: Counter[str] = Counter()  # to servers that leave, rest or name a limit
+        self.sends: Counter[str] = (
+            Counter()
+        )  # To servers that leave, back off or have a rate limit.
         self._durations: Counter[float] = Counter()
         self._gauges: dict[str, Callable[[], float]] = {}
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Add a value that is read when it is asked for."""
+        """Add a value that is read for each call of :meth:`text`."""
         self._gauges[name] = read
 
     def count_request(self, result_code: int, took_ms: float) -> None:
-        """Count a request."""
+        """Count a finished request."""
         self.results[result_code] += 1
         bucket = next((limit for limit in BUCKETS_MS if took_ms <= limit), float("inf"))
         self._durations[bucket] += 1
 
     def text(self) -> bytes:
-        """Return all values."""
+        """Return all values in the exposition format."""
         rows = [
             f'{PREFIX}requests_total{{result="{code}"}} {count}'
             for code, count in sorted(self.results.items())
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -1,9 +1,10 @@
-"""Keeps requests that end servers away from them, by what all nodes have seen.
+"""Keeps requests that crash servers away from servers, by what all nodes have observed.
 
-A node that finds that a server ended under a request tells all others by a datagram, and
-every node asks another one at a steady pace whether that one knows more. So what was seen
-reaches each node within a second or two, also one that has just started or was cut off,
-whoever leads. What follows from it is decided in :mod:`ploverhatch.quarantine`.
+A node that finds that a server crashed while it ran a request reports this to all other nodes
+by datagram. In addition, every node regularly asks another one whether it knows more. So each
+observation reaches every node within a second or two, including nodes that have just started
+or were disconnected, whichever node leads. What follows from the observations is decided in
+:mod:`ploverhatch.quarantine`. A server that freezes counts as crashed.
 """
 
 import math
@@ -34,25 +35,30 @@
 
 Send = Callable[[CrashesTold | CrashesAsk, Address], None]
 
-UNRESOLVED_KEPT_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
-MAX_UNRESOLVED = 16  # of one server
-ABANDONED_WORK_MS = 300.0  # after its caller has left; what ends its server does so sooner
-PROBE_TIMEOUT_S = 0.1  # a dead port refuses within a round trip; a cut link says nothing
-DEFAULT_ANSWER_MS = 100.0  # of a server that has answered nothing yet
-FROZEN_FACTOR = 4.0  # times its usual answer time: a server that is silent for so long
-REPORT_INTERVAL_S = 0.02  # between tellings: what is seen meanwhile is told together
-QUERY_INTERVAL_S = 1.0  # between asks of one other node
-# A node that has just started asks some others before it sends requests on: they answer
-# within a round trip. Where none does it waits no longer, and goes on asking.
+# The store entry of a crashed server is removed by then, after three missed heartbeats.
+UNRESOLVED_KEPT_MS = 6000.0
+MAX_UNRESOLVED = 16  # The greatest number of unresolved attempts per server.
+# A server may work on a request for so long after its caller left; a crash comes sooner.
+ABANDONED_WORK_MS = 300.0
+# A dead port refuses a connection within a round trip; a broken link doesn't answer at all.
+PROBE_TIMEOUT_S = 0.1
+DEFAULT_ANSWER_MS = 100.0  # The assumed answer time of a server that hasn't answered yet.
+# A server that answers nothing for so many times its usual answer time is frozen.
+FROZEN_FACTOR = 4.0
+REPORT_INTERVAL_S = 0.02  # Crashes that are observed meanwhile are reported together.
+QUERY_INTERVAL_S = 1.0
+# A node that has just started queries some others before it sends requests to servers. They
+# reply within a round trip. If none does, the node stops waiting but goes on querying.
 INITIAL_QUERIES = 3
 INITIAL_REPLY_TIMEOUT_S = 0.3
-MEMBERS_TIMEOUT_S = 1.0  # until it is known which other nodes there are
-MAX_RECORDS_PER_REPORT = 24  # records in one datagram: each has 200 bytes, one with eight ends 500
-# Datagrams of tellings: a hundred nodes hear of ten ends a second from one node.
+MEMBERS_TIMEOUT_S = 1.0  # The longest wait at the start for the list of other nodes.
+# A record takes 200 bytes of a datagram, one with eight crashes 500.
+MAX_RECORDS_PER_REPORT = 24
+# With this many datagrams a node can report ten crashes a second to a hundred nodes.
 MAX_SENT_PER_S = 1000.0
 MAX_SENT_BURST = 2000.0
-# Callers of a request of which another copy is on trial come back after so long: where one
-# server ended under it, it is mostly answered by then; where it was held, it is rarely.
+# The retry delay for callers while another copy of their request is on trial. The trial of a
+# request that crashed one server has mostly ended by then, that of a quarantined one rarely.
 TRIAL_RETRY_AFTER_S = 0.25
 QUARANTINED_TRIAL_RETRY_AFTER_S = 1.0
 
@@ -75,9 +81,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _UnresolvedAttempt:
-    """A copy that ended without an answer while its server may have been there.
+    """A copy that ended without an answer, though its server may still have been running.
 
-    ``broke`` says that the server broke its connection, else this node did.
+    :param left_ms: when the copy ended, in elapsed milliseconds.
+    :param connection_lost: whether the server closed the connection; otherwise this node did.
     """
 
     copy: _SentCopy
@@ -85,24 +92,25 @@
     connection_lost: bool
 
     def is_harmless(self, last_answer_ms: float) -> bool:
-        """Whether an answer to another request shows that the server went on after it."""
+        """Whether a later answer to another request shows that the server survived."""
         return last_answer_ms >= self.left_ms + (0.0 if self.connection_lost else ABANDONED_WORK_MS)
 
 
 class OnTrialElsewhereError(Exception):
-    """Another copy of a request under suspicion is under way, or is about to be."""
+    """Another copy of a suspect request is in flight, or is about to be sent."""
 
 
 class Quarantine:
-    """One node's part.
+    """Checks one node's requests, and shares what the node observes with other nodes.
 
-    :param node: its name, as the witness of what it sees.
-    :param members: addresses of the other nodes that are known.
+    :param node: name of this node, reported as the witness of what it observes.
+    :param members: returns the addresses of the other known nodes.
     :param send: sends a message to a node.
-    :param await_members: waits for so many seconds at most until the other nodes are known.
+    :param await_members: waits until the other nodes are known, for at most so many seconds.
     :param leads: whether this node leads, so that all others report to it.
-    :param ran_until_ms: until when the process ran before it stood still, if it just did.
-    :param permits: for copies of requests under suspicion; by itself alone without it.
+    :param permits: permits for copies of suspect requests; without it, the node alone decides.
+    :param ran_until_ms: returns the start of a suspension that has just ended, else the present
+        time; both in elapsed milliseconds.
     """
 
     def __init__(
@@ -115,7 +123,7 @@
         permits: TrialPermits | None = None,
         ran_until_ms: Callable[[], float] = elapsed_ms,
     ) -> None:
-        self.crashes = 0  # requests under which a server was found to have ended
+        self.crashes = 0  # Crashes that this node observed under requests, without freezes.
         self._node = node
         self._members = members
         self._send = send
@@ -126,44 +134,46 @@
         self._ran_until_ms = ran_until_ms
         self._permits = permits or TrialPermits(lambda: None, lambda: 1, lambda message, to: None)
         self._first_copies = FirstCopies()
-        self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # by server
+        self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # By server.
         self._unreported: set[bytes] = set()
-        self._reported_s = -math.inf  # when it was told last, elapsed
-        self._logged: dict[bytes, int] = {}  # contents that are held: by how many ends
+        self._reported_s = -math.inf  # When reports were last sent, in elapsed seconds.
+        self._logged: dict[bytes, int] = {}  # The number of crashes of each quarantined digest.
         self._send_budget = MAX_SENT_BURST
         self._refilled_ms = elapsed_ms()
 
     @property
     def quarantined_count(self) -> int:
-        """How many contents are held for some caller."""
+        """The number of request digests that are quarantined for some caller."""
         return self._ledger.held(elapsed_ms())
 
     @property
     def known_count(self) -> int:
-        """How many contents are remembered, held or not."""
+        """The number of request digests with a record, quarantined or not."""
         return len(self._ledger)
 
     @property
     def synced(self) -> bool:
-        """Whether another node was asked what it knows, or none answers."""
+        """Whether another node's records were received, or no node replied to a query."""
         return bool(self._synced.is_set())
 
     def mark_synced(self) -> None:
-        """Send requests on without asking other nodes first."""
+        """Treat this node's records as synchronized, so that requests wait for no other node."""
         self._synced.set()
 
     # ---- for requests of this node ------------------------------------------------------
 
     def check(self, call: Call, may_have_run: bool) -> None:
-        """Let a request be sent to a server; wait for a while where a copy is on trial.
+        """Return once a request may be sent to a server; wait while another copy is on trial.
 
-        Once a server has ended under a request, and until a copy of it is answered, one copy
-        at a time is under way at all nodes together: what ends servers ends one after the
-        other, until three ends hold it, and what is popular waits for a single answer. Without
-        that, all copies of the moment go to the servers that are left before any node can know
-        of three ends.
+        Once a request has crashed a server, and until a copy of it is answered, all nodes together
+        send one copy at a time. So a request that crashes servers crashes successive ones until
+        three crashes quarantine it, and a popular request waits for a single answer. Otherwise
+        all copies of the moment would reach the remaining servers before any node could know of
+        three crashes.
 
-        :raises RefusedError: when it is held, or another copy's trial takes too long.
+        :param may_have_run: whether an earlier attempt may have run the request.
+        :raises RefusedError: when the request is quarantined, or another copy's trial takes too
+            long.
         """
         self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
         until_ms = call.move_by_ms if may_have_run else call.offer_by_ms
@@ -175,7 +185,7 @@
             self._permits.changed.wait(min(after_ms, left_ms) / 1000)
 
     def _await_first_copy(self, call: Call, until_ms: float) -> None:
-        """Wait for a moment while another copy of what nobody was answered yet goes ahead."""
+        """Wait briefly while the first copy of a request that has no answer yet is in flight."""
         while (wait_ms := self._first_copies.ask(call.short_digest, call, elapsed_ms())) > 0:
             left_ms = min(wait_ms, until_ms - elapsed_ms())
             if left_ms <= 0:
@@ -183,18 +193,18 @@
             self._permits.changed.wait(left_ms / 1000)
 
     def recheck(self, call: Call, may_have_run: bool) -> None:
-        """Look once more right before a request is sent, after the wait for its slot.
+        """Check a request again right before it is sent, after the wait for its slot.
 
-        :raises RefusedError: when it is held.
-        :raises OnTrialElsewhereError: when it has to wait, which needs no slot.
+        :raises RefusedError: when the request is quarantined.
+        :raises OnTrialElsewhereError: when the request has to wait, which it does without a slot.
         """
         if self._permit_wait_ms(call, may_have_run) > 0:
             raise OnTrialElsewhereError
 
     def _permit_wait_ms(self, call: Call, may_have_run: bool) -> float:
-        """Return after how many milliseconds to ask again; 0: it may be sent now.
+        """Return the milliseconds until the next check, or 0 if the request may be sent now.
 
-        :raises RefusedError: when it is held.
+        :raises RefusedError: when the request is quarantined.
         """
         after_ms = 0.0
         while self._may_know(call):
@@ -213,7 +223,7 @@
                         results.QUARANTINED, call, may_have_run, QUARANTINED_TRIAL_RETRY_AFTER_S
                     )
                 return after_ms
-            # While the permit was asked for, more may have become known.
+            # Reports may have arrived while the permit was requested.
         return 0.0
 
     def _refusal(
@@ -233,13 +243,13 @@
         return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
     def note_finished(self, call: Call) -> None:
-        """A request has ended, so that another copy may go on trial."""
+        """Note that a request has finished, so that another copy may go on trial."""
         if self._first_copies.over(call.short_digest, call):
             self._permits.changed.raise_()
         self._permits.release(call)
 
     def note_answer(self, call: Call) -> None:
-        """A server has answered a request: it has not ended under it."""
+        """Note that a server answered a request and so survived it."""
         self._first_copies.answered(call.short_digest, elapsed_ms())
         if not self._ledger.may_know(call.short_digest):
             return
@@ -247,24 +257,25 @@
             self._note_change(call.fingerprint.content)
 
     def note_lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
-        """A server broke a request's connection before its answer: look whether it has ended.
+        """Note that a server closed the connection before its answer; probe whether it crashed.
 
-        Returns when that is known, so that a request that is held by it is sent nowhere
-        else. The look goes on when the caller leaves meanwhile.
+        This returns when the result is known or the probe times out, so that a request which is
+        quarantined because of this crash isn't retried elsewhere. The probe goes on if the caller
+        disconnects meanwhile.
         """
         if _announced(upstream):
             return
         gevent.spawn(self._probe, call, upstream, sent_ms, elapsed_ms()).join(PROBE_TIMEOUT_S)
 
     def note_timeout(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
-        """A server gave no answer in time: it has frozen if it answered nothing else since."""
+        """Note that a server didn't answer in time; it is frozen if it answered nothing since."""
         now_ms = min(elapsed_ms(), self._ran_until_ms())
         usual_ms = upstream.answer_time.mean_ms or DEFAULT_ANSWER_MS
         if upstream.last_answer_ms >= sent_ms or now_ms - sent_ms < FROZEN_FACTOR * usual_ms:
             self.note_abandoned(call, upstream, sent_ms)
             return
         if self._first_copies.answered_since(call.short_digest, sent_ms):
-            return  # another copy did no harm
+            return  # Another copy was answered since then, so the request is harmless.
         self._note_crash(_SentCopy.of(call, upstream, sent_ms), now_ms, frozen=True)
 
     def _probe(self, call: Call, upstream: Upstream, sent_ms: float, lost_ms: float) -> None:
@@ -272,11 +283,11 @@
         if upstream.has_ended(PROBE_TIMEOUT_S):
             self._note_crash(copy, lost_ms)
             self.note_server_ended(upstream)
-        else:  # its next life may have the port already
+        else:  # The server's next incarnation may listen on the port already.
             self._add_unresolved(upstream, _UnresolvedAttempt(copy, lost_ms, connection_lost=True))
 
     def note_abandoned(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
-        """A request's caller has left, or its time is over, while a server worked on it."""
+        """Note that a request's caller left, or its time ended, while a server worked on it."""
         copy = _SentCopy.of(call, upstream, sent_ms)
         self._add_unresolved(
             upstream, _UnresolvedAttempt(copy, elapsed_ms(), connection_lost=False)
@@ -288,10 +299,11 @@
             self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(attempt)
 
     def note_server_ended(self, upstream: Upstream) -> None:
-        """A server has surely ended: its port is dead, or another life or none has its entry.
+        """Note that a server has certainly ended.
 
-        Requests that ended without an answer shortly before, and after which it answered
-        nothing, were the last that it worked on.
+        Its port refuses connections, or its entry is gone or belongs to another incarnation.
+        Requests that ended without an answer shortly before, and after which the server answered
+        nothing, were the last that it worked on, so its crash is attributed to them.
         """
         now_ms = elapsed_ms()
         for attempt in self._unresolved.pop(upstream.record.server_id, ()):
@@ -308,10 +320,12 @@
                 del self._unresolved[server_id]
 
     def _note_crash(self, copy: _SentCopy, ended_ms: float, frozen: bool = False) -> None:
-        """A server has ended under a request, or frozen."""
+        """Record and report that a server crashed or froze while it ran a request."""
         self.crashes += not frozen
         LOG.warning(
-            "Server froze under a request." if frozen else "Server ended under a request.",
+            "Server froze while it ran a request."
+            if frozen
+            else "Server crashed while it ran a request.",
             request=copy.request_id,
             content=copy.fingerprint,
             server=copy.server_id,
@@ -326,11 +340,11 @@
     # ---- between nodes ------------------------------------------------------------------
 
     def log_suspect_send(self, call: Call, server_id: str) -> None:
-        """Tell of a request that is sent though servers are known to have ended under it."""
+        """Log that a request is sent although it is known to have crashed servers."""
         record = self._ledger.get(call.fingerprint.content) if self._may_know(call) else None
         if record is not None and record.unanswered:
             LOG.info(
-                "Sent under suspicion.",
+                "Suspect request sent.",
                 request=call.trace.request_id,
                 content=call.fingerprint,
                 server=server_id,
@@ -338,17 +352,17 @@
             )
 
     def _may_know(self, call: Call) -> bool:
-        """Whether anything may be known of a request; cheap, as all requests ask."""
+        """Whether a record of a request may exist; cheap, since it is called for each request."""
         return self._ledger.may_know(call.short_digest)
 
     def _note_change(self, content: bytes) -> None:
         self._log_quarantine(content)
         self._report_soon(content)
-        self._permits.changed.raise_()  # those who wait for a copy's trial look again
+        self._permits.changed.raise_()  # Requests that wait for a trial check again.
 
     def _report_soon(self, content: bytes) -> None:
         if not self._unreported:
-            # The first one at once: the other nodes send copies on until they know of it.
+            # The first report is sent at once, because other nodes send copies until they get it.
             gevent.spawn_later(
                 max(0.0, self._reported_s + REPORT_INTERVAL_S - elapsed_ms() / 1000),
                 self._send_reports,
@@ -356,7 +370,7 @@
         self._unreported.add(content)
 
     def send_reports_now(self) -> None:
-        """Tell what waits to be told together, since the process ends."""
+        """Send the reports that wait to be sent together, because the process is about to exit."""
         if self._unreported:
             self._send_reports()
 
@@ -380,9 +394,11 @@
         return [CrashesTold(records[start : start + MAX_RECORDS_PER_REPORT]) for start in starts]
 
     def _affordable(self, members: list[Address], each: int) -> list[Address]:
-        """Return the nodes to tell; some of them, where too much was told lately.
+        """Return the nodes to send to; a random part of them if the send budget is used up.
 
-        The others ask for it.
+        The other nodes receive the same records by their own queries.
+
+        :param each: the number of datagrams for each node.
         """
         now_ms = elapsed_ms()
         refill = (now_ms - self._refilled_ms) / 1000 * MAX_SENT_PER_S
@@ -394,21 +410,22 @@
         return chosen
 
     def handle_report(self, report: CrashesTold, _peer: Address) -> None:
-        """Take what another node knows."""
+        """Merge the records that another node sent."""
         now_ms = elapsed_ms()
         for record in report.records:
             if not self._merge(record, now_ms):
                 continue
             self._log_quarantine(record.content)
             self._permits.changed.raise_()
-            # Nodes hear of new ones seconds later; these report to the leader by then.
+            # Nodes learn of a new node only after seconds, and until then it reports to the
+            # leader.
             if self._leads():
                 self._report_soon(record.content)
         if report.whole:
             self.mark_synced()
 
     def _merge(self, entry: ToldRecord, now_ms: float) -> bool:
-        """Take one record; return whether it told something new."""
+        """Merge one record; return whether it contained anything new."""
         before = self._ledger.get(entry.content)
         received = messages.decode(entry, now_ms, self._ran_until_ms())
         if not self._ledger.merge(entry.content, received):
@@ -417,7 +434,7 @@
         if after is not None and after.unanswered and not (before and before.unanswered):
             last = after.unanswered[-1]
             LOG.info(
-                "Heard of an end under a request.",
+                "Crash report received.",
                 content=shown(entry.content),
                 server=last.server_id,
                 witness=last.witness,
@@ -426,16 +443,16 @@
         return True
 
     def quarantined_records(self) -> list[ToldRecord]:
-        """Return what is held, as it is saved."""
+        """Return the records of quarantined requests, in the form in which they are saved."""
         return saved.held_records(self._ledger, elapsed_ms())
 
     def load(self, records: list[ToldRecord]) -> None:
-        """Take what was saved before, and tell the other nodes."""
+        """Load saved records and report them to the other nodes."""
         for content in saved.load(self._ledger, records, elapsed_ms()):
             self._note_change(content)
 
     def handle_query(self, query: CrashesAsk, peer: Address) -> None:
-        """Tell all that is known to a node that knows something else."""
+        """Send all records to a node whose records differ, or that has just started."""
         same = self._ledger.is_empty or query.summary == self._ledger.summary
         if same and not query.just_started:
             return
@@ -446,7 +463,7 @@
                 self._send(message, address)
 
     def query_forever(self) -> None:
-        """Ask some other nodes at the start, and then one after the other."""
+        """Query some other nodes at the start, and then a random one at each interval, forever."""
         self._send_initial_queries()
         while True:
             gevent.sleep(QUERY_INTERVAL_S)
@@ -470,11 +487,11 @@
     # ---- for operators --------------------------------------------------------------------
 
     def _log_quarantine(self, content: bytes) -> None:
-        """Tell when a request is held, for longer than before, or no more."""
+        """Log when a request becomes quarantined, stays so for longer, or is released."""
         decisions = self._ledger.holds(content)
         if not decisions:
             if self._logged.pop(content, None):
-                LOG.info("Request is let through again.", content=shown(content))
+                LOG.info("Request no longer quarantined.", content=shown(content))
             return
         decision = max(decisions, key=lambda decision: len(decision.ends))
         if len(decision.ends) <= self._logged.get(content, 0):
@@ -482,7 +499,7 @@
         self._logged[content] = len(decision.ends)
         now_ms = elapsed_ms()
         LOG.warning(
-            "Request is kept from servers.",
+            "Request quarantined.",
             content=shown(content),
             ends="|".join(
                 f"{end.server_id}@{end.witness}:{now_ms - end.ended_ms:.0f}"
@@ -497,5 +514,5 @@
 
 
 def _announced(upstream: Upstream) -> bool:
-    """Whether a server said that it is about to end."""
+    """Whether a server announced that it is about to stop."""
     return upstream.record.draining or upstream.record.says_it_leaves
--- a/ploverhatch/gateway/quarantine_persistence.py
+++ b/ploverhatch/gateway/quarantine_persistence.py
@@ -1,4 +1,7 @@
-"""Keeps held requests in the store while this node leads, for when all nodes are lost at once."""
+"""Saves quarantined requests in the store while this node leads.
+
+So the quarantine survives the simultaneous loss of all nodes.
+"""
 
 from collections.abc import Callable
 
@@ -19,14 +22,14 @@
 
 LOG = PartLogger("quarantine")
 
-POLL_S = 0.25  # between looks whether this node leads
-SAVE_MS = 2000.0  # between writes
+POLL_S = 0.25  # The interval of checks whether this node leads.
+SAVE_MS = 2000.0  # The least time between two writes.
 
 
 class QuarantinePersistence:
-    """Loads what the last leader saved, then saves what is held whenever that changes.
+    """Loads what the last leader saved, then saves the quarantined requests when they change.
 
-    :param leads: whether this node leads.
+    :param leads: returns whether this node leads.
     """
 
     def __init__(self, store: ObjectStore, quarantine: Quarantine, leads: Callable[[], bool]):
@@ -35,11 +38,13 @@
         self._leads = leads
         self._stored: VersionedObject | None = None
         self._loaded = False
-        self._saved: frozenset[tuple[bytes, int]] = frozenset()  # contents, and their ends
+        self._saved: frozenset[tuple[bytes, int]] = (
+            frozenset()
+        )  # Digests with their number of crashes.
         self._saved_ms = -1e12
 
     def run(self) -> None:
-        """Do that forever."""
+        """Load and save forever, while this node leads."""
         while True:
             gevent.sleep(POLL_S)
             if not self._leads():
@@ -51,9 +56,11 @@
                 elif elapsed_ms() - self._saved_ms >= SAVE_MS:
                     self._save()
             except StoreCallError as error:
-                LOG.warning("Held requests not read or saved.", cause=error)
+                LOG.warning("Quarantined requests not read or saved.", cause=error)
                 self._saved_ms = elapsed_ms()
-            except RevisionConflictError as error:  # a leader before, or a lost answer
+            except (
+                RevisionConflictError
+            ) as error:  # Written by an earlier leader, or the answer to a write was lost.
                 self._stored = error.current
 
     def _load(self) -> None:
@@ -64,7 +71,7 @@
         try:
             records = msgspec.convert(self._stored.spec, list[ToldRecord])
         except ValueError as error:
-            LOG.error("Held requests not understood.", cause=error)
+            LOG.error("Saved quarantined requests are malformed.", cause=error)
             return
         self._saved = _summary(records)
         self._quarantine.load(records)
--- a/ploverhatch/gateway/request_log.py
+++ b/ploverhatch/gateway/request_log.py
@@ -1,7 +1,7 @@
-"""One log line for each request that did not go the ordinary way.
+"""Writes one log line for each request that wasn't ordinary.
 
-A request is ordinary when its first attempt was answered within the route's
-objective; those are only counted. docs/LOGS.md lists the fields.
+A request is ordinary if its first attempt was answered within the route's objective.
+Ordinary requests are only counted. docs/LOGS.md lists the fields.
 """
 
 from dataclasses import dataclass, field
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptNote:
-    """One attempt, as it is told."""
+    """One attempt, as it is logged."""
 
     server_id: str
-    token: int  # of the key's range; 0 where keys do not matter
-    after_ms: float  # since the request was read
+    token: int  # The fencing token of the key's range; 0 for a request without a key.
+    after_ms: float  # The time from the first byte of the request to this attempt.
     took_ms: float
     result: AttemptResult
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What happened to one request so far; times in milliseconds."""
+    """What has happened to one request so far; times are in milliseconds."""
 
     request_id: str = "-"
     route: str = "-"
@@ -39,18 +39,18 @@
     version: int = 0
     objective_ms: float = 0.0
     attempts: list[AttemptNote] = field(default_factory=list)
-    sent: bool = False  # a server may have got it
-    slot: str = ""  # the last word on a slot that all nodes share, and which node gave it
+    sent: bool = False  # Whether a server may have received it.
+    slot: str = ""  # The last reply to a request for a shared slot, and the node that sent it.
 
     def finish(self, status: int, result_code: int, detail: str, took_ms: float) -> None:
-        """Write the line, unless the request was an ordinary one."""
+        """Write the line, unless the request was ordinary."""
         first_try = len(self.attempts) == 1 and self.attempts[0].result is AttemptResult.ANSWERED
         if first_try and took_ms <= self.objective_ms:
             return
         self._log("Request ended.", status, result_code, detail, took_ms)
 
     def log_unanswered(self, cause: str, took_ms: float) -> None:
-        """Write the line of a request whose caller got no answer."""
+        """Write the line of a request whose caller received no answer."""
         self._log("Request without answer.", 0, 0, cause, took_ms)
 
     def _log(
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -1,9 +1,10 @@
-"""Slots of servers that all nodes share: this node's requests, and the queues it keeps.
+"""Server slots that all nodes share: this node's slot requests, and the queues that it keeps.
 
-A request asks its group's dispatcher, which may be this node, by a datagram, and
-goes straight to the server whose slot it was given. Decisions are in
-:mod:`ploverhatch.admission`. Where no dispatcher answers in time, the node goes
-on with its own limits: nothing is promised that depends on an answer.
+Servers form groups, and one node at a time, the dispatcher, grants the slots of a group. A
+request asks its group's dispatcher, which may be this node, by a datagram, and then goes
+straight to the server whose slot was granted. The decisions are made in
+:mod:`ploverhatch.admission`. If no dispatcher answers in time, the node goes on with its own
+limits, because no guarantee depends on an answer.
 """
 
 import itertools
@@ -38,33 +39,40 @@
 
 LOG = PartLogger("slots")
 
-REPLY_TIMEOUT_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
+# A dispatcher is sent a request MAX_TRIES times, with this time-out, before it is skipped.
+REPLY_TIMEOUT_S = 0.025
 MAX_TRIES = 2
-MAX_NODES_ASKED = 4  # where the first ones are about to stop, as in a restart of all in turn
-MAX_UNRESPONSIVE_NODES = 2  # of these, that give no answer: each one costs the time of two answers
-LEARN_MS = 25.0  # a new dispatcher asks all nodes for the slots they hold, and waits so long
-MAX_LEARN_MS = 500.0  # ... where the process stands still meanwhile
-MAX_HELD_SLOTS = 200  # slots that one message tells
-CEDED_MS = 250.0  # until all nodes ask the one that a group was left to
-RELEARN_MS = 1000.0  # between these questions
-OTHER_DISPATCHER_MS = 10_000.0  # slots are held for less: who gave some before then says nothing
-REPLY_MARGIN_S = 0.02  # the way of an answer to one that waits
-# Of the time that a request waits, spent in its own zone where other zones have servers.
+# In a rolling restart, the first dispatchers that are asked may all be about to stop.
+MAX_NODES_ASKED = 4
+# Each node that doesn't answer costs the request MAX_TRIES time-outs.
+MAX_UNRESPONSIVE_NODES = 2
+# A new dispatcher asks all nodes for the slots in use, and waits so long for their replies.
+LEARN_MS = 25.0
+MAX_LEARN_MS = 500.0  # The bound on that wait if the process is suspended meanwhile.
+MAX_HELD_SLOTS = 200  # The number of slots in one reply.
+# All nodes ask the dispatcher to which a group was ceded after this time at the latest.
+CEDED_MS = 250.0
+RELEARN_MS = 1000.0  # The least time between two queries for the slots in use of one group.
+# Slots are held for less, so none is left of a dispatcher that granted its last one before.
+OTHER_DISPATCHER_MS = 10_000.0
+REPLY_MARGIN_S = 0.02  # The time that a reply takes to reach a node that waits for a slot.
+# The share of a request's wait that is spent on its own zone if other zones have servers.
 OWN_ZONE_WAIT_FRACTION = 0.3
-REFRESH_MS = 100.0  # how old the members of a group may be at its dispatcher
-IDLE_QUEUE_MS = 20_000.0  # a queue that nobody asked for so long is forgotten
-DISCOVERY_MS = 6000.0  # from the start of a node until all others know it
-STANDBY_SHARE = 0.5  # of a limit: enforced by a node that is not surely the only one
-LIMIT_SOURCE = "a-request"  # who told of a limit, in the log
-TICK_S = 0.025  # between looks for slots whose time is over
+REFRESH_MS = 100.0  # The greatest age of a dispatcher's list of a group's servers.
+IDLE_QUEUE_MS = 20_000.0  # A queue without requests for so long is dropped.
+DISCOVERY_MS = 6000.0  # All other nodes know a node this long after its start.
+# The share of a rate limit that a node grants while another node may grant slots beside it.
+STANDBY_SHARE = 0.5
+LIMIT_SOURCE = "a-request"  # The source of a rate limit in the log.
+TICK_S = 0.025  # The interval of checks for expired slots.
 NO_INFORMATION_MS = 0.0
 
 
 class TurnedAwayError(Exception):
     """No slot can be expected in time.
 
-    :param after_ms: when one can be expected.
-    :param dispatcher: the node that said so.
+    :param after_ms: milliseconds until a slot can be expected.
+    :param dispatcher: address of the node that rejected the request.
     """
 
     def __init__(self, after_ms: float, dispatcher: str = "") -> None:
@@ -75,12 +83,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequirements:
-    """What a request needs; times are milliseconds from now.
-
-    With a slot within ``useful_ms`` its answer is in time; within ``wait_ms`` it is
-    of use at least. ``holder`` is the server that must run it, ``None`` where any of
-    the service may; ``avoid`` one that failed the request before. ``regions`` are those
-    whose servers may run it; empty for all. ``barred`` are servers that this node may not use.
+    """The slot that a request needs; times are milliseconds from now.
+
+    :param useful_ms: time within which a granted slot still meets the objective.
+    :param wait_ms: time within which a granted slot is still of use.
+    :param hold_ms: the longest time for which the request needs the slot.
+    :param holder: the server that must run the request, or ``None`` if any of the service may.
+    :param avoid: id of a server that failed the request before; empty for none.
+    :param regions: the regions whose servers may run the request; empty for all.
+    :param excluded: ids of servers that this node may not use now.
     """
 
     service: str
@@ -94,7 +105,7 @@
     excluded: tuple[str, ...] = ()
 
     def remaining_after(self, spent_ms: float) -> "SlotRequirements":
-        """Return what is left of the requirements after a time."""
+        """Return the requirements with all times reduced by the time spent."""
         return replace(
             self,
             useful_ms=max(0.0, self.useful_ms - spent_ms),
@@ -105,7 +116,10 @@
 
 @dataclass(slots=True)
 class SharedSlot:
-    """A slot that was given; the fields that say how it went are set before it goes back."""
+    """A granted slot.
+
+    The holder sets ``took_ms``, ``failed`` and ``unanswered`` before the slot is released.
+    """
 
     server_id: str = ""
     dispatcher: str = ""
@@ -116,34 +130,34 @@
 
 @dataclass(slots=True)
 class _HeldSlot:
-    """A slot that a request of this node has."""
+    """A slot that a request of this node holds."""
 
     name: GroupName
     server_id: str
     until_ms: float
-    dispatchers: set[Address]  # dispatchers that count it
+    dispatchers: set[Address]  # The nodes that count the slot as in use.
 
 
 class _PendingRequest:
-    """A request that waits for its dispatcher's word."""
+    """A slot request that waits for its dispatcher's reply."""
 
     def __init__(self) -> None:
-        self.asked: Address = ("", 0)  # the node whose reply is waited for
+        self.asked: Address = ("", 0)  # The node that was asked last.
         self.reply: SlotWord | None = None
         self._changed = Event()
 
     def accept(self, reply: SlotWord) -> None:
-        """Take a word; a repeated place in the queue tells nothing new."""
+        """Accept a reply, unless it only repeats that the request is queued."""
         if self.reply is None or not reply.queued:
             self.reply = reply
             self._changed.set()
 
     def wait(self, timeout_s: float) -> bool:
-        """Wait for a word that was not waited for before; false when there is none."""
+        """Wait for a new reply; return whether one came in time."""
         changed = self._changed.wait(max(timeout_s, 0.0))
         if not changed:
-            # Where the process stood still, the timer goes off before the word is read that
-            # has long come: without a look at it a sound dispatcher is passed over for 1 s.
+            # After a suspension of the process the timer fires before a reply that has already
+            # arrived is read. Without this check a working dispatcher is skipped for 1 s.
             gevent.sleep(0)
             changed = self._changed.is_set()
         self._changed.clear()
@@ -152,22 +166,23 @@
 
 @dataclass(slots=True)
 class _Queue:
-    """A queue that this node keeps."""
+    """The queue of a group whose dispatcher this node is."""
 
     group: Group
-    refreshed_ms: float = -1e12  # when its members were last looked up
+    refreshed_ms: float = -1e12  # When the group's servers were last looked up.
     used_ms: float = 0.0
-    asked_ms: float = -1e12  # when the nodes were asked what they hold
-    awaited: set[Address] = field(default_factory=set)  # nodes that have not said it yet
+    asked_ms: float = -1e12  # When the nodes were asked for slots in use.
+    awaited: set[Address] = field(default_factory=set)  # Nodes that haven't replied yet.
 
 
 class SharedSlots:
-    """One node's part.
+    """Requests and grants shared slots on behalf of one node.
 
-    :param zone: of this node.
-    :param members: zones of all nodes by address.
+    :param zone: the zone of this node.
+    :param members: returns the zones of all nodes by address.
     :param send: sends a message to a node.
-    :param own: address of this node; where it is not given, the node counts as the first.
+    :param own: address of this node. Without it, the node counts as the first in rank for each
+        group.
     """
 
     def __init__(
@@ -187,11 +202,11 @@
         self._numbers = itertools.count(random.getrandbits(32))
         self._pending: dict[int, _PendingRequest] = {}
         self._held: dict[int, _HeldSlot] = {}
-        self._ceded_ms: dict[GroupName, float] = {}  # groups left to a node that is back
-        self._served_by: dict[GroupName, tuple[str, float]] = {}  # dispatcher, and when
+        self._ceded_ms: dict[GroupName, float] = {}  # When a group was ceded.
+        self._served_by: dict[GroupName, tuple[str, float]] = {}  # Dispatcher, and when.
         self._choice = DispatcherChoice()
         self._queues: dict[GroupName, _Queue] = {}
-        self._rates: dict[str, RequestRate] = {}  # by server, of all queues that are queue
+        self._rates: dict[str, RequestRate] = {}  # By server, over all queues.
         self._handlers: dict[type, Callable[..., None]] = {
             SlotAsk: self._handle_request,
             SlotWord: self._handle_reply,
@@ -199,25 +214,25 @@
             HeldAsk: self._handle_held_request,
             HeldWord: self._handle_held_reply,
         }
-        self.leaving = False  # this node is about to stop: others keep the queues
+        self.leaving = False  # Set once this node is about to stop and grants nothing more.
 
     @property
     def in_use(self) -> int:
-        """Slots given by this node's queues."""
+        """The number of slots that this node granted and that are in use."""
         return sum(queue.group.in_use for queue in self._queues.values())
 
     @property
     def waiting(self) -> int:
-        """Requests that wait in this node's queues."""
+        """The number of requests that wait in this node's queues."""
         return sum(queue.group.waiting for queue in self._queues.values())
 
     # ---- for requests of this node ------------------------------------------------------
 
     @contextmanager
     def hold(self, requirements: SlotRequirements) -> Iterator[SharedSlot | None]:
-        """Hold a slot, or ``None`` where no dispatcher tells.
+        """Hold a slot; yields ``None`` if no dispatcher answers.
 
-        :raises TurnedAwayError: when none can be expected in time.
+        :raises TurnedAwayError: when no slot can be expected in time.
         """
         start_ms = elapsed_ms()
         turned_away: TurnedAwayError | None = None
@@ -236,7 +251,7 @@
         yield None
 
     def _groups(self, requirements: SlotRequirements) -> list[tuple[GroupName, float]]:
-        """Return the groups to ask, and the part of the time to wait there."""
+        """Return the groups to ask, each with the share of the wait to spend there."""
         if requirements.holder is not None:
             name = GroupName(
                 requirements.service, requirements.holder.zone, requirements.holder.server_id
@@ -281,9 +296,9 @@
         wait_ms: float,
         asked: list[str],
     ) -> SlotWord | None:
-        """Return a dispatcher's last word, asking the next one where one stops or is unanswered.
+        """Return a dispatcher's final reply; ask the next node if one stops or doesn't answer.
 
-        :param asked: takes the nodes that may have given a slot; the last one gave the reply.
+        :param asked: receives the nodes that may have granted a slot; the reply is the last one's.
         """
         pending, start_ms, unresponsive = self._pending[number], elapsed_ms(), 0
         for _ in range(MAX_NODES_ASKED):
@@ -312,7 +327,7 @@
         return None
 
     def _limits_unenforced(self, name: GroupName, node: str) -> bool:
-        """Whether a node enforces no limits of a group that has some."""
+        """Whether a group has rate limits that a node doesn't enforce."""
         return bool(self._limited_servers(name)) and not self._enforces_limits(name, node)
 
     def _note_granted(self, number: int, name: GroupName, slot: SharedSlot, hold_ms: float) -> None:
@@ -324,7 +339,7 @@
     def _release(
         self, number: int, name: GroupName, slot: SharedSlot, asked: Sequence[str]
     ) -> None:
-        """Return a slot, or a place in the queue, to all dispatchers that may count it."""
+        """Release a slot, or a place in the queue, at all dispatchers that may count it."""
         held = self._held.pop(number, None)
         dispatchers: set[Address] = {HostPort.parse(node) for node in asked}
         message = SlotReturn(
@@ -367,14 +382,14 @@
         )
 
     def _may_have_other_dispatcher(self, name: GroupName, asked: str) -> bool:
-        """Whether another node than the one that is asked may have given slots lately."""
+        """Whether a node other than the one asked may have granted slots of a group recently."""
         node, at_ms = self._served_by.get(name, ("", 0.0))
         if node and elapsed_ms() - at_ms < OTHER_DISPATCHER_MS:
             return node != asked
         return asked != groups.dispatcher(name, self._members(), ())
 
     def _limited_servers(self, name: GroupName) -> list[str]:
-        """Return the servers of a group that named a limit."""
+        """Return the servers of a group that announced a rate limit."""
         limits = self._directory.servers.standings.limits
         if not limits:
             return []
@@ -385,9 +400,11 @@
     def _excluding_limited(
         self, name: GroupName, requirements: SlotRequirements
     ) -> SlotRequirements:
-        """Return a requirements that bars rate-limited servers, for a node that enforces no limits.
+        """Return requirements that exclude rate-limited servers.
+
+        They are for a dispatcher that enforces no limits.
 
-        :raises TurnedAwayError: when it is for a holder that names one.
+        :raises TurnedAwayError: when the request is for a holder that has a rate limit.
         """
         limit_per_s = self._directory.servers.standings.limit_per_s
         limited = [
@@ -400,7 +417,7 @@
     def _send_request(
         self, message: SlotAsk, pending: _PendingRequest, node: str
     ) -> SlotWord | None:
-        """Return a dispatcher's answer; ``None`` when there is none in time."""
+        """Send a slot request; return the reply, or ``None`` if none comes in time."""
         address = pending.asked = HostPort.parse(node)
         for _ in range(MAX_TRIES):
             self._send(message, address)
@@ -416,7 +433,7 @@
         return None
 
     def _await_slot(self, pending: _PendingRequest, reply: SlotWord, wait_ms: float) -> SlotWord:
-        """Wait for the slot of a request that has a place in the queue."""
+        """Wait for the final reply to a request that is queued."""
         if pending.reply is reply:
             pending.wait(wait_ms / 1000 + REPLY_MARGIN_S)
         if pending.reply is None or pending.reply is reply:
@@ -426,7 +443,7 @@
     # ---- messages -----------------------------------------------------------------------
 
     def handle_message(self, message: SlotMessage, peer: Address) -> None:
-        """Take a message of another node, or of this one."""
+        """Handle a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
     def _handle_reply(self, reply: SlotWord, peer: Address) -> None:
@@ -434,9 +451,9 @@
             self._choice.answered(f"{peer[0]}:{peer[1]}")
         pending = self._pending.get(reply.number)
         if pending is None:
-            return  # the request is over, and gave everything back
+            return  # The request has finished and has released everything.
         if reply.leaving and peer != pending.asked:
-            return  # a repeated answer of a node that was passed over
+            return  # A repeated reply of a node that was skipped.
         pending.accept(reply)
 
     def _handle_request(self, message: SlotAsk, peer: Address) -> None:
@@ -471,7 +488,7 @@
         self._send_results(queue.group.ask(request, now_ms))
 
     def _query_held_slots(self, name: GroupName, queue: _Queue, now_ms: float) -> None:
-        """Ask all nodes which slots they hold: another dispatcher may have given them."""
+        """Ask all nodes which slots they hold, since another dispatcher may have granted some."""
         queue.asked_ms = now_ms
         queue.awaited = {HostPort.parse(member) for member in self._members()}
         if not queue.awaited:
@@ -500,9 +517,10 @@
         self._send(reply, peer)
 
     def _cede(self, name: GroupName, other: str, now_ms: float) -> None:
-        """Leave a group to a node that keeps its queue again and ranks before this one.
+        """Cede a group to a node that keeps its queue again and ranks before this one.
 
-        Else both would give the same slots, each to the nodes that have it for the dispatcher.
+        Otherwise both nodes would grant the same slots, each to the nodes that regard it as the
+        dispatcher.
         """
         self._choice.returned(other)
         members = self._members()
@@ -527,11 +545,12 @@
             self._send_results(queue.group.learned(now_ms))
 
     def _bounds(self, name: GroupName) -> ServerBounds:
-        """Return what bounds the servers of a group whose queue this node keeps.
+        """Return the request rates that bound the servers of a group whose queue this node keeps.
 
-        A node that others rank before, and that can reach these, is asked by nodes that
-        can't; one that has just started is not known to all yet. Half of the rate, beside the
-        whole of it at the first node, is within the excess that servers tolerate.
+        A node that isn't first in rank is asked by nodes that can't reach the first one, and a
+        node that has just started isn't known to all others yet. So another node may grant the
+        full rate at the same time; half of the rate in addition is within the excess that servers
+        tolerate.
         """
         servers = self._directory.servers
         is_known = elapsed_ms() - self._started_ms >= DISCOVERY_MS
@@ -563,9 +582,9 @@
             self._send(_reply(answer), answer.asker.node)
 
     def redirect_waiting(self) -> None:
-        """Send those who wait here to the nodes that keep the queues from now on.
+        """Redirect waiting requests to the nodes that keep the queues from now on.
 
-        These learn from all nodes which slots are in use.
+        Those nodes learn from all nodes which slots are in use.
         """
         for queue in self._queues.values():
             self._redirect(queue)
@@ -589,10 +608,10 @@
             del self._rates[server_id]
 
     def expire_forever(self) -> None:
-        """Take back slots whose time is over."""
+        """Reclaim expired slots, reject overdue requests and drop idle queues, forever."""
         while True:
             gevent.sleep(TICK_S)
-            gevent.sleep(0)  # what came while the process stood still is read first
+            gevent.sleep(0)  # Messages that arrived during a suspension are read first.
             now_ms = elapsed_ms()
             self._expire_records(now_ms)
             for name, queue in list(self._queues.items()):
--- a/ploverhatch/gateway/slots.py
+++ b/ploverhatch/gateway/slots.py
@@ -1,4 +1,4 @@
-"""Slots of one server as one node uses them, and the requests that wait for them."""
+"""The slots that one node uses at one server, and the requests that wait for them."""
 
 import heapq
 import itertools
@@ -9,15 +9,15 @@
 import gevent
 from gevent.event import AsyncResult
 
-WAITING_PER_SLOT = 32  # requests that may wait for a slot on this node, per slot
+WAITING_PER_SLOT = 32  # The number of requests that may wait on this node, per slot.
 
 
 class NoSlotError(Exception):
-    """No slot came free within the time given."""
+    """No slot became free within the time limit."""
 
 
 class QueueFullError(NoSlotError):
-    """So many requests wait already that another one would hardly get a slot."""
+    """So many requests wait already that another one would hardly get a slot in time."""
 
 
 @dataclass(order=True, slots=True)
@@ -28,46 +28,47 @@
 
 
 class SlotQueue:
-    """Gives slots by priority, then in order of arrival.
+    """Grants slots by priority, then in order of arrival.
 
-    A slot that comes free belongs to the waiter from the moment it is woken,
-    so that no later request takes it before the waiter's task runs.
+    A slot that becomes free is assigned to a waiter before the waiter's task runs, so that no
+    later request can take it.
 
-    :param limit: most slots in use, read each time one may be given.
-    :param slots: of the server; bounds how many requests may wait.
-    :param clock: elapsed milliseconds.
+    :param limit: returns the greatest number of slots in use; called before each grant.
+    :param slots: the number of the server's slots, which bounds how many requests may wait.
+    :param clock: returns elapsed milliseconds.
     """
 
     def __init__(self, limit: Callable[[], float], slots: int, clock: Callable[[], float]) -> None:
         self._limit = limit
         self._capacity = WAITING_PER_SLOT * slots
         self._clock = clock
-        self._started_ms: dict[int, float] = {}  # ticket -> when its slot was given
+        self._started_ms: dict[int, float] = {}  # When the slot was granted, by ticket.
         self._waiters: list[_Waiter] = []
         self._tickets = itertools.count()
 
     @property
     def in_use(self) -> int:
-        """Slots that are given."""
+        """The number of slots in use."""
         return len(self._started_ms)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """The number of requests that wait."""
         return len(self._waiters)
 
     @property
     def oldest_ms(self) -> float:
-        """How long the slot that is longest in use has been so; 0 without any."""
+        """Milliseconds for which the oldest slot has been in use; 0 if none is in use."""
         return self._clock() - min(self._started_ms.values()) if self._started_ms else 0.0
 
     @contextmanager
     def hold(self, priority: int, wait_s: float) -> Iterator[None]:
         """Hold a slot.
 
-        :param priority: 0 goes first.
-        :raises NoSlotError: when none came free in time.
-        :raises QueueFullError: when too many wait already.
+        :param priority: 0 is the most urgent.
+        :param wait_s: the longest time to wait for a slot.
+        :raises NoSlotError: when no slot became free in time.
+        :raises QueueFullError: when too many requests wait already.
         """
         ticket = next(self._tickets)
         if self._free and not self._waiters:
@@ -81,7 +82,7 @@
 
     @contextmanager
     def hold_granted(self) -> Iterator[None]:
-        """Count a slot that was given elsewhere, whatever the limit here."""
+        """Hold a slot that a dispatcher granted, even beyond the limit of this queue."""
         ticket = next(self._tickets)
         self._started_ms[ticket] = self._clock()
         try:
@@ -108,7 +109,7 @@
             raise
 
     def _withdraw(self, waiter: _Waiter) -> None:
-        """Take a waiter out, or give back the slot that it was just given."""
+        """Remove a waiter, or release the slot that it was just granted."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
             heapq.heapify(self._waiters)
--- a/ploverhatch/gateway/translation.py
+++ b/ploverhatch/gateway/translation.py
@@ -1,4 +1,4 @@
-"""How a platform's objects become the product's model."""
+"""The interface that converts a platform's stored objects to the gateway's model."""
 
 from abc import ABC, abstractmethod
 
@@ -8,14 +8,14 @@
 
 
 class Translation(ABC):
-    """Reads the objects that operators and servers write."""
+    """Converts the objects that operators and servers write to the store."""
 
     readiness_path: bytes
 
     @abstractmethod
     def configuration(self, item: VersionedObject) -> RouteTable | None:
-        """Return the configuration, or ``None`` when the object is something else."""
+        """Return the configuration, or ``None`` when the object isn't a configuration."""
 
     @abstractmethod
     def server(self, item: VersionedObject) -> ServerRecord | None:
-        """Return a server's record, or ``None`` when it can't be read."""
+        """Return a server's record, or ``None`` when the object is malformed."""
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -1,8 +1,9 @@
-"""Permits for copies of requests under suspicion: this node's copies, and those it keeps.
+"""Permits for trials, which are single attempts of suspect requests.
 
-The leader keeps them (:mod:`ploverhatch.quarantine.trials`), since all nodes agree on it within
-a moment, also those that have just started; the others ask it by datagrams. Where it doesn't
-answer, or there is none, a node goes on by itself: then each of them has one copy under way.
+The leader grants the permits (:mod:`ploverhatch.quarantine.trials`), because all nodes agree on
+the leader within a moment, including nodes that have just started. The other nodes request
+permits from it by datagram. Without a leader, or if it doesn't answer, each node grants permits
+to itself, so that each node has one copy of a suspect request in flight.
 """
 
 import itertools
@@ -23,39 +24,39 @@
 
 LOG = PartLogger("quarantine")
 
-Node = tuple[str, int]  # address
+Node = tuple[str, int]  # Address of a node.
 
-REPLY_TIMEOUT_S = 0.025  # the leader is asked again after it, and twice before it is passed over
+# The leader is sent a request MAX_TRIES times, with this time-out, before it is skipped.
+REPLY_TIMEOUT_S = 0.025
 MAX_TRIES = 2
-# A wait that took longer than this many times its time-out counts for nothing, so often at
-# most: this process was suspended meanwhile, and where a whole machine was, so was the leader.
+# A wait longer than this many time-outs means that this process was suspended, and the leader
+# too if the whole machine was. Up to MAX_OVERSLEPT such waits don't count as tries.
 OVERSLEPT_FACTOR = 2.0
 MAX_OVERSLEPT = 3
-SKIP_LEADER_MS = (
-    1000.0  # for how long a leader that did not answer isn't asked, unless it does late
-)
-# Between asks of this node for one content while another node has a copy of it under way. Where
-# there are many nodes they ask more rarely, so that the leader hears of 1,000 a second at most.
+# A leader that didn't answer is skipped for so long, or until a late reply arrives.
+SKIP_LEADER_MS = 1000.0
+# The interval of this node's requests for one digest while another node has a copy in flight.
+# The interval grows with the number of nodes, so that the leader gets at most 1,000 a second.
 POLL_MS = 50.0
 POLL_MS_PER_NODE = 1.0
 
 
 @dataclass(slots=True)
 class _Claim:
-    """What is known here of a content's permit."""
+    """What this node knows of the permit for a request digest."""
 
-    call: Call | None  # that asks for it or has it; ``None``: another node has
+    call: Call | None  # The call that requests or holds it; ``None`` if another node holds it.
     number: int
     until_ms: float
-    leader: Node | None = None  # that was asked
+    leader: Node | None = None  # The leader to which the request was sent.
     granted: bool = False
 
 
 class TrialPermits:
-    """One node's part.
+    """Requests trial permits for one node, and grants them while it leads.
 
-    :param leader: address of the leader if it is another node, else ``None``.
-    :param nodes: how many nodes there are.
+    :param leader: returns the leader's address if another node leads, else ``None``.
+    :param nodes: returns the number of nodes.
     :param send: sends a message to a node.
     """
 
@@ -71,28 +72,26 @@
         self._trials = Trials()
         self._claims: dict[bytes, _Claim] = {}
         self._replies: dict[int, AsyncResult[float]] = {}
-        self._skip_leader_until_ms = (
-            -math.inf
-        )  # until when a leader that did not answer isn't asked
+        self._skip_leader_until_ms = -math.inf
         self._numbers = itertools.count(random.getrandbits(32))
-        self.changed = Signal()  # raised when a copy of this node has ended
+        self.changed = Signal()  # Raised when a copy of this node has finished.
 
     @property
     def granted_count(self) -> int:
-        """Permits that this node gave."""
+        """The number of permits that this node granted."""
         return len(self._trials)
 
     def has(self, call: Call) -> bool:
-        """Whether a request has its permit for long enough to be sent."""
+        """Whether a request holds a permit that is valid for long enough to send it."""
         claim = self._claims.get(call.fingerprint.content)
         if claim is None or claim.call is not call or not claim.granted:
             return False
         return claim.until_ms - elapsed_ms() > PERMIT_MS / 2
 
     def acquire(self, call: Call) -> float:
-        """Return after how many milliseconds to ask again; 0: the request may be sent.
+        """Return the milliseconds until the next try, or 0 once the permit is acquired.
 
-        One that has the permit already gets it for the whole time again.
+        A request that already holds the permit gets it for the full time again.
         """
         content = call.fingerprint.content
         now_ms = elapsed_ms()
@@ -114,7 +113,7 @@
         return 0.0
 
     def release(self, call: Call) -> None:
-        """A request has ended, with or without a permit."""
+        """Release what a finished request holds; it may hold no permit."""
         for content, claim in list(self._claims.items()):
             if claim.call is call:
                 del self._claims[content]
@@ -127,21 +126,21 @@
             self._send(TrialOver(content, claim.number), claim.leader)
 
     def expire(self) -> None:
-        """Forget what is over."""
+        """Drop expired claims."""
         now_ms = elapsed_ms()
         self._claims = {c: claim for c, claim in self._claims.items() if claim.until_ms > now_ms}
 
     # ---- between nodes ------------------------------------------------------------------
 
     def _request(self, content: bytes, claim: _Claim) -> float:
-        """Ask the leader; where it doesn't answer this node decides."""
+        """Ask the leader for a permit; this node decides if the leader doesn't answer."""
         leader = self._leader()
         if leader is not None and elapsed_ms() >= self._skip_leader_until_ms:
             claim.leader = leader
             after_ms = self._ask_leader(leader, TrialAsk(content, claim.number))
             if after_ms is not None:
                 return after_ms
-            LOG.info("Leader says nothing of trials.", node=f"{leader[0]}:{leader[1]}")
+            LOG.info("Leader did not answer a trial request.", node=f"{leader[0]}:{leader[1]}")
             self._skip_leader_until_ms = elapsed_ms() + SKIP_LEADER_MS
         claim.leader = None
         return self._trials.ask(content, claim.number, elapsed_ms())
@@ -154,7 +153,7 @@
                 start_ms = elapsed_ms()
                 self._send(request, node)
                 reply.wait(REPLY_TIMEOUT_S)
-                # Where the process stood still, the timer goes off before the word is read.
+                # After a suspension the timer fires before a reply that has arrived is read.
                 gevent.sleep(0)
                 if reply.ready():
                     return float(reply.get())
@@ -168,12 +167,12 @@
         return None
 
     def handle_request(self, request: TrialAsk, peer: Node) -> None:
-        """Answer another node, to which this one leads."""
+        """Answer a request of another node, for which this node is the leader."""
         after_ms = self._trials.ask(request.content, (peer, request.number), elapsed_ms())
         self._send(TrialWord(request.number, after_ms), peer)
 
     def handle_reply(self, reply: TrialWord, peer: Node) -> None:
-        """Take the leader's answer; one that comes too late tells that the leader is there."""
+        """Handle the leader's reply; even a late one shows that the leader is running."""
         if peer == self._leader():
             self._skip_leader_until_ms = -math.inf
         pending = self._replies.get(reply.number)
@@ -181,5 +180,5 @@
             pending.set(reply.after_ms)
 
     def handle_finished(self, message: TrialOver, peer: Node) -> None:
-        """Take a permit back."""
+        """Release the permit of a trial that has finished."""
         self._trials.end(message.content, (peer, message.number))
--- a/ploverhatch/gateway/upstreams.py
+++ b/ploverhatch/gateway/upstreams.py
@@ -1,4 +1,4 @@
-"""Connections to servers, and what this node learned of each while using it."""
+"""Connections to servers, and what this node has observed of each server."""
 
 import math
 from collections import deque
@@ -12,20 +12,22 @@
 from ploverhatch.state.servers import ServerRecord
 from ploverhatch.transport.http_connection import HostPort, HttpConnection, NotConnectedError
 
-MAX_ANSWER_TIMES = 16  # answer times kept of one server until they are reported
-DEFAULT_IDLE_S = 4.0  # where a server does not state how long it keeps idle connections
+MAX_ANSWER_TIMES = 16  # The number of answer times kept per server until they are reported.
+DEFAULT_IDLE_S = 4.0  # Used if a server doesn't state how long it keeps idle connections.
 IDLE_MARGIN_S = 1.0
 FAILING_MS = 1000.0
-STALE_MS = 3000.0  # unused for so long, an old answer time counts half
+STALE_MS = 3000.0  # After so long without requests, the mean answer time counts half.
 MIN_LIMIT = 1.0
-QUEUED_FACTOR = 2.5  # an answer so much slower than typical had to queue
-QUEUED_FRACTION = 0.5  # of the objective: faster answers are good whatever they waited
+QUEUED_FACTOR = 2.5  # An answer that takes so many times the typical time had to queue.
+# Answers within this share of the objective are fast enough, even if they had to queue.
+QUEUED_FRACTION = 0.5
 LIMIT_STEP = 0.25
-REJECTED_FRACTION = 0.2  # of a typical answer time: a request that runs does not end so soon
+# A request that runs doesn't end within this share of the typical answer time.
+REJECTED_FRACTION = 0.2
 
 
 class Upstream:
-    """One life of a server, as this node uses it."""
+    """One incarnation of a server, as this node uses it."""
 
     def __init__(self, record: ServerRecord, same_zone: bool) -> None:
         self.record = record
@@ -33,54 +35,58 @@
         self.answer_time = AnswerTime()
         self.failing_until_ms = 0.0
         self.limit = float(max(2, record.slots))
-        self._recovering = False  # from a rest: requests come one by one at first
+        self._recovering = False  # From a backoff: requests are sent one by one at first.
         self._max_limit = float(record.slots * 2)
         self._queue = SlotQueue(lambda: self.limit, record.slots, elapsed_ms)
         self._used_ms = elapsed_ms()
         self._idle: list[HttpConnection] = []
         self._recent_ms: deque[int] = deque(maxlen=MAX_ANSWER_TIMES)
-        self.last_answer_ms = -math.inf  # when it last answered this node anything
+        self.last_answer_ms = -math.inf  # When this node last received an answer.
 
     @property
     def address(self) -> HostPort:
-        """Where it takes requests."""
+        """The address at which the server takes requests."""
         return HostPort(self.record.host, self.record.port)
 
     # ---- admission ------------------------------------------------------------------
 
     @property
     def in_flight(self) -> int:
-        """Requests that this node has under way at the server."""
+        """The number of requests that this node has in flight at the server."""
         return self._queue.in_use
 
     def slot(self, priority: int, wait_s: float) -> AbstractContextManager[None]:
         """Hold one of this node's slots at the server.
 
-        :raises NoSlotError: when none came free in time.
+        :raises NoSlotError: when no slot became free in time.
         """
         return self._queue.hold(priority, wait_s)
 
     def granted_slot(self) -> AbstractContextManager[None]:
-        """Hold a slot that all nodes share, which was given to a request of this node."""
+        """Hold a shared slot that a dispatcher granted to a request of this node."""
         return self._queue.hold_granted()
 
     @property
     def recovering(self) -> bool:
-        """Whether it has not yet answered as many requests since a rest as it has slots for."""
+        """Whether the limit, reduced by a backoff, is still below the server's slots.
+
+        Each answer that didn't have to queue raises the limit.
+        """
         return self._recovering
 
     @property
     def has_capacity(self) -> bool:
-        """Whether a slot that all nodes share may be used; not all at once after a rest.
+        """Whether a shared slot may be used now.
 
-        Else each node would send whatever waits there in the moment at which the rest ends.
+        After a backoff the number in use is limited. Otherwise each node would send all its
+        waiting requests at the moment at which the backoff ends.
         """
         return not self._recovering or self.in_flight < max(1, int(self.limit))
 
-    # ---- what was learned -----------------------------------------------------------
+    # ---- observations ---------------------------------------------------------------
 
     def note_answer(self, took_ms: float, objective_ms: float) -> None:
-        """A whole answer came; adapt to whether it had to queue."""
+        """Note a complete answer, and adapt the limit to whether the request had to queue."""
         self.answer_time.add(took_ms)
         self._recent_ms.append(round(took_ms))
         queued = took_ms > QUEUED_FACTOR * self.answer_time.typical_ms
@@ -94,30 +100,36 @@
         self._used_ms = elapsed_ms()
 
     def collect_answer_times(self) -> list[int]:
-        """Return the latest answer times since the last call."""
+        """Return the latest answer times in milliseconds since the last call."""
         times = list(self._recent_ms)
         self._recent_ms.clear()
         return times
 
     def suggests_rejection(self, took_ms: float) -> bool:
-        """Whether a connection that broke so soon was broken by a server that is full."""
+        """Whether a connection was closed so soon that the server was probably full.
+
+        :param took_ms: time until the connection was closed.
+        """
         return took_ms < REJECTED_FRACTION * self.answer_time.typical_ms
 
     def note_overload(self) -> None:
-        """The server refused for want of room, or did not answer in time."""
+        """Note that the server rejected a request as full, or didn't answer in time."""
         self.limit = max(MIN_LIMIT, self.limit / 2)
 
     def note_backoff(self) -> None:
-        """The server turned a request away and wants none for a while."""
+        """Note that the server rejected a request and asked for a backoff."""
         self.limit = MIN_LIMIT
         self._recovering = True
 
     def note_failure(self) -> None:
-        """No connection, or a broken one."""
+        """Note that no connection could be made, or that it broke."""
         self.failing_until_ms = elapsed_ms() + FAILING_MS
 
     def load(self, usual_ms: float, cold: bool = False) -> ServerLoad:
-        """Return what the balancer needs to know."""
+        """Return the server's load for the balancer.
+
+        :param usual_ms: answer time to assume where this node has none of the server.
+        """
         now_ms = elapsed_ms()
         mean_ms = self.answer_time.mean_ms if self.answer_time.count else usual_ms
         if now_ms - self._used_ms > STALE_MS:
@@ -136,9 +148,9 @@
     # ---- connections ----------------------------------------------------------------
 
     def connection(self, timeout_s: float) -> HttpConnection:
-        """Return a connection without a request on it.
+        """Return an idle connection, or open a new one.
 
-        :raises NotConnectedError: when none can be made.
+        :raises NotConnectedError: when no connection can be made.
         """
         now_s = elapsed_ms() / 1000
         while self._idle:
@@ -152,10 +164,10 @@
         return connection
 
     def has_ended(self, timeout_s: float) -> bool:
-        """Ask by a connection whether the process at the address is gone.
+        """Open a connection to find out whether the process at the address is gone.
 
-        A dead port refuses it. A full server, a lost answer, a reset or a cut link
-        don't; a connection that is made is kept for the next request.
+        Only a dead port refuses the connection; a full server, a lost answer, a reset or a broken
+        link don't. A connection that is made is kept for the next request.
         """
         connection = HttpConnection(self.address)
         try:
@@ -181,7 +193,7 @@
 
 
 class UpstreamPool:
-    """All servers that this node knows, by id; ``on_removed`` is told of those that are gone."""
+    """All servers that this node knows, by id; ``on_removed`` is called with removed ones."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -189,7 +201,7 @@
         self.on_removed: Callable[[Upstream], None] = lambda upstream: None
 
     def sync(self, records: dict[str, ServerRecord]) -> None:
-        """Take the present records."""
+        """Add, update and remove servers to match the present records."""
         for server_id in [known for known in self._upstreams if known not in records]:
             gone = self._upstreams.pop(server_id)
             gone.close()
@@ -197,7 +209,7 @@
         for server_id, record in records.items():
             known = self._upstreams.get(server_id)
             if known is not None and known.address != (record.host, record.port):
-                known.close()  # it listens elsewhere now: nothing learned or open is of use
+                known.close()  # The address changed, so no connection or observation applies.
                 known = None
             if known is None:
                 self._upstreams[server_id] = Upstream(record, record.zone == self._zone)
@@ -209,7 +221,7 @@
         return self._upstreams.get(server_id)
 
     def collect_answer_times(self, services: Collection[str]) -> dict[str, list[int]]:
-        """Return the answer times of servers of some services since the last call, by id."""
+        """Return the answer times since the last call by server, for servers of some services."""
         taken = {
             server_id: upstream.collect_answer_times()
             for server_id, upstream in self._upstreams.items()
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -244,13 +244,13 @@
     other = QuarantineBench()
     other.quarantine.handle_report(bench.sent[-1][0], PEER)
     other.quarantine.handle_report(bench.sent[-1][0], PEER)
-    (heard,) = [text for text in caplog.messages if "Heard of an end under a request." in text]
+    (heard,) = [text for text in caplog.messages if "Crash report received." in text]
     assert "server=u1 witness=node-1 ended_ms_ago=" in heard
-    assert not any("Sent under suspicion." in text for text in caplog.messages)
+    assert not any("Suspect request sent." in text for text in caplog.messages)
     other.add_life()
     assert other.ask(b"/once/a").status == 200
     assert other.ask(b"/once/a").status == 200  # it was answered: no suspicion is left
-    (sent,) = [text for text in caplog.messages if "Sent under suspicion." in text]
+    (sent,) = [text for text in caplog.messages if "Suspect request sent." in text]
     assert "request=r1 content=" in sent and "server=u1 ends=1" in sent
 
 
