--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -51,9 +51,8 @@
         self._directory = directory
         self._pool = pool
         self._times = HolderTimes.of(drain_ms, evacuate_ms)
-        self._backed_off: set[str] = (
-            set()
-        )  # Servers that asked for a backoff and haven't recovered.
+        # Servers that asked for a backoff and haven't recovered.
+        self._backed_off: set[str] = set()
 
     def exclusion(self, call: Call, server_id: str) -> Bar | None:
         """Return why a request may not be sent to a server now, or ``None`` if it may.
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -1,4 +1,4 @@
-"""One request through the forwarder, against stand-ins of upstreams."""
+"""Single requests through the forwarder, with simulated upstream servers."""
 
 from contextlib import contextmanager
 from dataclasses import replace
@@ -135,7 +135,7 @@
 
 
 def test_a_stopping_process_refuses_what_would_outlive_it(bench):
-    """It has not run, and another node can serve it at once."""
+    """The refusal says that the request hasn't run, so another node can serve it at once."""
     upstream = Upstream("u1")
     bench.add(upstream)
     bench.forwarder.planned_stop = PlannedStop(elapsed_ms() - 3000.0, 4000.0)
@@ -146,7 +146,7 @@
     assert bench.ask(b"/once/", headers=[(b"Request-Deadline-Ms", b"300")]).status == 200
 
 
-def test_before_the_last_call_a_server_gets_no_more_time_than_the_process_has(bench):
+def test_before_the_admission_cutoff_a_deadline_ends_before_the_process_does(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
     bench.forwarder.planned_stop = PlannedStop(elapsed_ms(), 600.0)
@@ -155,7 +155,7 @@
     assert int(field(arrived, b"request-deadline-ms")[0]) <= 600 * 0.9
 
 
-# What the first upstream does, whether the route may repeat, the answer, arrivals.
+# Behaviour of the first upstream, path, expected status, and number of attempts that arrive.
 ATTEMPTS = {
     "not executed, repeatable": ({"refuse": 1}, b"/read/", 200, 2),
     "not executed, at most once": ({"refuse": 1}, b"/once/", 200, 2),
@@ -179,7 +179,7 @@
     bench.add(first)
     second = Upstream("u2")
     bench.add(second)
-    bench.pool.get("u2").note_failure()  # so that the first one is tried first
+    bench.pool.get("u2").note_failure()  # So u1 is tried first.
     reply = bench.ask(path)
     assert reply.status == status
     assert len(first.arrived) + len(second.arrived) == arrivals
@@ -192,7 +192,7 @@
     assert len(cut.received) == 1
 
 
-def test_an_unreachable_server_costs_nothing(bench):
+def test_a_request_is_retried_after_a_failed_connection(bench):
     gone = RawUpstream()
     bench.add(gone, "u1")
     gone.close()
@@ -243,7 +243,7 @@
     assert len(upstream.ran) == 1
 
 
-def test_an_old_map_guides_no_request(bench):
+def test_an_outdated_key_map_is_not_used(bench):
     upstream = Upstream("u1", sharded=True)
     bench.own_keys(bench.add(upstream, service=KEYED))
     bench.directory.keymaps_current_ms -= 60_000
@@ -283,7 +283,9 @@
 
 
 @pytest.mark.parametrize(("moving_for_ms", "part"), [(0.0, MOVE_FRACTION), (600.0, OFFER_FRACTION)])
-def test_a_move_that_waits_for_a_lapse_is_told_early(bench, monkeypatch, moving_for_ms, part):
+def test_a_request_is_refused_early_while_a_move_waits_for_a_lease_to_expire(
+    bench, monkeypatch, moving_for_ms, part
+):
     record = bench.add(Upstream("u1", sharded=True), service=KEYED)
     with monkeypatch.context() as earlier:
         seen_ms = elapsed_ms() - moving_for_ms
@@ -297,7 +299,7 @@
 
 
 def test_a_holder_that_was_seen_to_have_ended_is_asked_once(bench):
-    """Found on a grown site: a second attempt went to the same reused address."""
+    """Guards against a second attempt at an address that another server has reused."""
     other = Upstream("other", sharded=True)
     record = bench.add(other, "u1", service=KEYED)
     bench.own_keys(record)
@@ -308,7 +310,10 @@
 
 @pytest.mark.parametrize(("path", "status"), [(b"/key/", 200), (b"/keyonce/", 502)])
 def test_a_connection_that_is_reset_at_once_is_a_full_server(bench, monkeypatch, path, status):
-    """Found on days of the new customer: the same full server was asked again at once."""
+    """Guards against an immediate retry at the same full server.
+
+    A full server may reset a connection at once instead of answering.
+    """
     upstream = Upstream("u1", sharded=True)
     upstream.held[(0, LAST_KEY)] = (1, float("inf"))
     bench.own_keys(bench.add(upstream, service=KEYED))
@@ -323,10 +328,10 @@
     assert bench.ask(path, headers=[(b"Shard-Key", b"5")]).status == status
     assert known.limit < limit
     if status == 200:
-        assert elapsed_ms() - start_ms > 360.0  # a pause of a typical time, then the work
+        assert elapsed_ms() - start_ms > 360.0  # A pause of a typical answer time, then the work.
 
 
-def test_a_connection_that_breaks_after_a_while_says_nothing_of_room(bench):
+def test_a_connection_that_breaks_late_does_not_count_as_a_rejection(bench):
     upstream = Upstream("u1")
     known = bench.pool.get(bench.add(upstream).server_id)
     known.answer_time.add(100.0)
@@ -334,8 +339,8 @@
     assert not known.suggests_rejection(50.0)
 
 
-def test_what_does_not_fit_into_a_part_of_a_split_goes_nowhere_else(bench):
-    """The shares of a split hold also while one of its services has no room."""
+def test_requests_of_a_full_share_go_to_no_other_service(bench):
+    """The shares of a split hold even while one of its services has no capacity."""
     upstream = Upstream("u1")
     bench.add(upstream)
     shares = (ServiceShare(PLAIN, 1.0), ServiceShare("empty", 1.0))
@@ -347,11 +352,11 @@
     assert len(upstream.ran) == 3
 
 
-# ---- slots that all nodes share -----------------------------------------------------------
+# ---- shared slots -------------------------------------------------------------------------
 
 
 class GrantedSlots:
-    """Gives slots of the servers named in order; ``None``: nobody tells."""
+    """Grants slots of the given servers in order; ``None`` means that no dispatcher answers."""
 
     def __init__(self, *servers, after_ms=None):
         self.servers = list(servers)
@@ -376,7 +381,7 @@
     return slots
 
 
-def test_a_request_goes_to_the_server_whose_slot_it_was_given(bench):
+def test_a_request_goes_to_the_server_whose_slot_it_was_granted(bench):
     upstreams = [Upstream("u1"), Upstream("u2")]
     for upstream in upstreams:
         bench.add(upstream)
@@ -387,7 +392,7 @@
     assert all(slot.took_ms > 0 and not slot.failed for slot in slots.ended)
 
 
-def test_one_that_gets_no_slot_is_told_at_once_when_to_come_back(bench):
+def test_a_request_without_a_slot_is_refused_at_once_with_a_retry_delay(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
     use_shared_slots(bench, GrantedSlots(after_ms=700.0))
@@ -399,7 +404,7 @@
     assert upstream.ran == []
 
 
-def test_one_that_may_have_run_is_never_called_not_run(bench):
+def test_a_request_that_may_have_run_is_never_refused_as_not_run(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
     upstream.behaviour.sealed = False
@@ -414,7 +419,7 @@
     assert len(slots.requests) == 2
 
 
-def test_without_a_word_of_slots_the_node_chooses(bench):
+def test_without_a_dispatcher_the_node_chooses(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
     use_shared_slots(bench, GrantedSlots())
@@ -429,7 +434,7 @@
     assert len(upstream.ran) == 1
 
 
-def test_a_server_that_failed_is_told_and_avoided(bench):
+def test_a_server_that_failed_is_reported_and_avoided(bench):
     broken, sound = Upstream("u1"), Upstream("u2")
     for upstream in (broken, sound):
         bench.add(upstream)
@@ -448,8 +453,8 @@
     assert slots.requests[0].holder == record
 
 
-def test_a_server_that_began_to_drain_while_the_slot_was_waited_for_gets_nothing(bench):
-    """A wait may last for a good part of the route's time, which may be longer than a drain."""
+def test_a_server_that_began_to_drain_during_the_wait_for_its_slot_gets_nothing(bench):
+    """The wait for a slot may be longer than a drain, since it depends on the route's time-out."""
     leaving, staying = Upstream("u1"), Upstream("u2")
     record = bench.add(leaving)
     bench.add(staying)
@@ -459,7 +464,7 @@
     assert (len(leaving.ran), len(staying.ran)) == (0, 1)
 
 
-def test_keys_that_changed_hands_while_the_slot_was_waited_for_go_to_the_new_holder(bench):
+def test_keys_that_moved_during_the_wait_for_a_slot_go_to_the_new_holder(bench):
     before, after = Upstream("u1"), Upstream("u2")
     bench.own_keys(bench.add(before, service=KEYED))
     second = bench.add(after, service=KEYED)
@@ -470,7 +475,7 @@
 
 
 def while_waiting(slots, event):
-    """Have something happen while a slot is waited for."""
+    """Call a function when a request asks for a slot."""
     hold = slots.hold
 
     def wait(requirements):
@@ -510,7 +515,7 @@
 
 
 @pytest.mark.parametrize("path", [b"/once/", b"/keyonce/"])
-def test_where_all_servers_are_evacuated_callers_are_told_at_once(bench, path):
+def test_if_all_servers_are_evacuated_requests_are_refused_at_once(bench, path):
     upstream = Upstream("u1")
     bench.add(upstream)
     bench.own_keys(bench.add(Upstream("u2"), service=KEYED))
@@ -522,7 +527,7 @@
     assert elapsed_ms() - started < 50.0
 
 
-def test_keys_are_served_where_they_are_until_the_time_to_hand_them_over_ends(bench):
+def test_an_evacuated_holder_serves_its_keys_until_the_handover_time_ends(bench):
     upstream = Upstream("u1")
     bench.own_keys(bench.add(upstream, service=KEYED))
     bench.add(Upstream("u2"), service=KEYED)
@@ -542,7 +547,7 @@
     bench.directory.take_table(RouteTable(2, {b"h.example": ROUTES}, services))
 
 
-def test_a_cold_server_gets_nothing_from_a_node_that_hears_of_no_dispatcher(bench):
+def test_a_cold_server_gets_nothing_from_a_node_without_a_dispatcher(bench):
     cold, warm = Upstream("u1"), Upstream("u2")
     record = bench.add(cold)
     bench.add(warm)
@@ -554,7 +559,7 @@
     assert (len(cold.ran), len(warm.ran)) == (0, 6)
 
 
-def test_a_cold_holder_gets_nothing_from_a_node_that_hears_of_no_dispatcher(bench):
+def test_a_cold_holder_gets_nothing_from_a_node_without_a_dispatcher(bench):
     cold = Upstream("u1")
     record = bench.add(cold, service=KEYED)
     bench.own_keys(record)
@@ -572,7 +577,7 @@
 
 
 def in_regions(bench, **regions):
-    """Set the regions of zones, and have all routes allow the region "home" only."""
+    """Set the regions of zones, and allow only the region "home" in all routes."""
     bench.directory.servers.regions = regions
     routes = tuple(replace(item, regions=frozenset({"home"})) for item in ROUTES)
     services = bench.directory.table.services
@@ -624,14 +629,14 @@
     assert (len(abroad.ran), len(home.ran)) == (0, 1)
 
 
-# ---- servers that leave or want rest ------------------------------------------------------
+# ---- servers that leave or ask for a backoff ----------------------------------------------
 
-REST = ServerNotice(rest_ms=3000.0)
+BACKOFF = ServerNotice(rest_ms=3000.0)
 LEAVES = ServerNotice(leaving=True)
 
 
 class NoticeWhileWaiting(GrantedSlots):
-    """Gives slots; while a request waits for one, its server says something of itself."""
+    """Grants slots; server u1 sends a notice while a request waits for one."""
 
     def __init__(self, bench, notice, *servers):
         super().__init__(*servers)
@@ -645,8 +650,8 @@
             yield slot
 
 
-@pytest.mark.parametrize("notice", [REST, LEAVES])
-def test_what_a_server_says_while_its_slot_is_waited_for_holds(bench, notice):
+@pytest.mark.parametrize("notice", [BACKOFF, LEAVES])
+def test_a_notice_during_the_wait_for_a_slot_is_respected(bench, notice):
     first, second = Upstream("u1"), Upstream("u2")
     for upstream in (first, second):
         bench.add(upstream)
@@ -655,8 +660,8 @@
     assert first.arrived == []
 
 
-@pytest.mark.parametrize("notice", [REST, LEAVES])
-def test_what_a_server_says_while_a_connection_is_made_holds(bench, notice, monkeypatch):
+@pytest.mark.parametrize("notice", [BACKOFF, LEAVES])
+def test_a_notice_while_a_connection_is_made_is_respected(bench, notice, monkeypatch):
     first, second = Upstream("u1"), Upstream("u2")
     for upstream in (first, second):
         bench.add(upstream)
@@ -673,7 +678,7 @@
     assert first.arrived == []
 
 
-def test_a_repeat_does_not_go_to_a_holder_that_asked_for_rest(bench):
+def test_a_retry_does_not_go_to_a_holder_that_asked_for_a_backoff(bench):
     holder = Upstream("u1", sharded=True)
     holder._grant({"from": 0, "target_version": LAST_KEY, "fence": 1, "hold_ms": 9000})
     bench.own_keys(bench.add(holder, service=KEYED))
@@ -688,7 +693,7 @@
     assert all(2.8 < after_s <= 3.2 for after_s in retry_after_s)
 
 
-def test_a_single_attempt_that_is_turned_away_is_told_the_rest(bench):
+def test_a_rejected_single_attempt_is_refused_with_the_backoff_time(bench):
     once = route("one", PLAIN, repeatable=False, max_attempts=1)
     services = {PLAIN: Service(PLAIN, False, 100)}
     bench.directory.take_table(RouteTable(2, {b"h.example": (once,)}, services))
@@ -700,19 +705,19 @@
     assert 1.4 < float(field(reply, b"retry-after")[0]) <= 1.7
 
 
-def test_the_dispatcher_is_told_what_this_node_may_not_use(bench):
+def test_a_slot_request_names_the_servers_that_this_node_may_not_use(bench):
     for upstream in (Upstream("u1"), Upstream("u2")):
         bench.add(upstream)
     slots = use_shared_slots(bench, GrantedSlots("u1", "u2", "u2"))
     bench.ask(b"/once/", b"POST")
     bench.pool.get("u1").note_backoff()
-    bench.directory.take_notice("u1", REST)
+    bench.directory.take_notice("u1", BACKOFF)
     bench.forwarder._choice.note_backoff("u1")
     bench.ask(b"/once/", b"POST")
     assert [request.excluded for request in slots.requests] == [(), ("u1",)]
 
 
-def test_a_holder_that_said_it_leaves_long_ago_is_given_up_at_once(bench):
+def test_a_request_for_a_holder_that_announced_leaving_long_ago_is_refused_at_once(bench):
     holder = Upstream("u1", sharded=True)
     bench.own_keys(bench.add(holder, service=KEYED))
     now_ms = elapsed_ms()
@@ -722,7 +727,7 @@
     assert (reply.status, holder.arrived) == (503, [])
 
 
-def test_where_all_leave_a_request_without_a_key_is_refused_at_once(bench):
+def test_if_all_servers_leave_a_request_without_a_key_is_refused_at_once(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
     bench.directory.take_notice("u1", LEAVES)
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway process over sockets: store, servers, keys, requests, stop."""
+"""A complete gateway over sockets: store, servers, keys, requests and stop."""
 
 from dataclasses import replace
 
@@ -54,7 +54,7 @@
 
 
 class FixedSettings(SettingsSource):
-    """Settings that a test changes."""
+    """Settings that a test can change."""
 
     def __init__(self, settings):
         self.settings = settings
@@ -70,7 +70,7 @@
 
 
 class Site:
-    """A store, upstreams and gateways in one process."""
+    """A store, upstream servers and gateways in one process."""
 
     def __init__(self):
         self.server = StoreServer()
@@ -180,14 +180,14 @@
     assert handed["fence"] > max(call["fence"] for call in site.upstreams["u1"].grants)
 
 
-def test_a_holder_that_nobody_asks_says_that_it_leaves_in_its_control_answers(site):
+def test_an_idle_holder_announces_that_it_leaves_in_its_control_answers(site):
     (gateway,) = start_site(site)
     site.upstreams["u1"].behaviour.leaving = True
     until(lambda: not site.upstreams["u1"].held)
     assert [ask(gateway, b"/k/a", key)[0] for key in (1, 30_000, 65_535)] == [200] * 3
 
 
-def test_the_keys_of_a_silent_server_move_after_its_lease(site):
+def test_the_keys_of_an_unresponsive_server_move_after_its_lease(site):
     (gateway,) = start_site(site)
     site.upstreams["u1"].close()
     site.upstreams["u1"].behaviour.hang = True
@@ -205,8 +205,8 @@
     assert get(leader.settings.readiness, b"/ploverhatch/readiness")[0] == 503
 
 
-def test_a_zone_is_evacuated_and_taken_back(site):
-    """Both nodes hear of it, also the one that asks the store for nothing."""
+def test_a_zone_is_evacuated_and_restored(site):
+    """Both nodes learn of it, including the one that doesn't watch the store itself."""
     gateways = start_site(site, gateways=2, evacuate_ms=5000.0)
     away = site.start_upstream("u4", "plain", zone="z2")
     holder = site.start_upstream("u5", "keyed", sharded=True, zone="z2")
@@ -227,14 +227,14 @@
     until(lambda: ask(gateways[0], b"/p/a")[0] == 200 and len(away.ran) > before)
 
 
-def test_where_no_zone_is_ever_evacuated_nobody_asks_for_evacuations(site):
+def test_without_evacuations_the_store_is_not_asked_for_them(site):
     (gateway,) = start_site(site)
     assert not any("evacuations" in str(call) for call in site.store.calls)
     assert gateway.directory.servers.evacuated == frozenset()
 
 
 def test_a_leader_on_a_weak_machine_hands_over_to_a_strong_one(site):
-    """Found on scale-2: its link bore a tenth of what it had to tell 78 nodes."""
+    """Guards against a leader whose link carries a tenth of what it has to send to 78 nodes."""
     weak = site.start_gateway("weak", link_mbps=5.0)
     until(lambda: weak.leads)
     strong = site.start_gateway("strong")
@@ -256,7 +256,7 @@
     changed = {**CONFIG, "version": "00000009", "virtual_hosts": []}
     site.store.put("config", "main", changed)
     until(lambda: ask(gateway, b"/p/a")[0] == 404, limit_s=1.0)
-    site.store.put("config", "main", CONFIG)  # an older version is not taken
+    site.store.put("config", "main", CONFIG)  # An older version is ignored.
     gevent.sleep(0.2)
     assert ask(gateway, b"/p/a")[0] == 404
 
@@ -271,7 +271,7 @@
     assert is_ready(gateway)
 
 
-def test_a_reload_takes_bounds_and_refuses_wrong_settings(site):
+def test_a_reload_applies_bounds_and_refuses_invalid_settings(site):
     gateway = site.start_gateway("node-0")
     gateway.source.settings = replace(gateway.settings, retry_slack=7.0)
     gateway.reload()
@@ -281,7 +281,7 @@
     assert gateway._budget.slack == 7.0
 
 
-def test_metrics_are_told_at_the_readiness_address(site):
+def test_metrics_are_served_at_the_readiness_address(site):
     (gateway,) = start_site(site)
     ask(gateway, b"/p/a")
     _, text = get(gateway.settings.readiness, b"/metrics")
@@ -289,7 +289,7 @@
     assert b"ploverhatch_leading 1" in text
 
 
-def test_a_fault_in_a_planned_stop_does_not_keep_the_process(site, monkeypatch):
+def test_the_process_exits_despite_a_fault_in_a_planned_stop(site, monkeypatch):
     gateway = site.start_gateway("node-0", grace_s=1.0)
 
     def fail():
@@ -301,12 +301,15 @@
     assert gateway.task.ready()
 
 
-def test_a_leader_that_stops_has_given_its_lease_back_when_it_ends(site):
-    """Where the store is slow the process ended before, and nobody led until the lease lapsed."""
+def test_a_leader_that_stops_has_released_its_lease_when_it_exits(site):
+    """Guards against an exit before a slow store has stored the release.
+
+    No node would lead then until the lease expires.
+    """
     (gateway,) = start_site(site, grace_s=3.0)
     until(lambda: gateway.leads)
     site.store.faults.delay_s = 0.9
-    gevent.sleep(0.6)  # a renewal is under way
+    gevent.sleep(0.6)  # A renewal is in progress.
     gevent.spawn(gateway.drain)
     gateway.task.join(timeout=3.0)
     assert gateway.task.ready()
@@ -317,10 +320,10 @@
 
 
 def test_the_key_of_a_caller_is_not_passed_on_where_callers_have_keys(site):
-    """A server is told the name of a key's owner, never the key.
+    """Servers receive the name of an API key's owner, never the key itself.
 
-    Known of it: nothing here reads keys of callers; on a deployment that has them 54,937 and 30,520
-    requests of two days reached servers with theirs. The pages of that deployment come later.
+    The gateway doesn't read API keys yet. In two days of a deployment that has them, 54,937 and
+    30,520 requests reached servers with the caller's key.
     """
     (gateway,) = start_site(site)
     owners = [{"name": "owner", "api_keys": ["secret"]}]
--- a/tests/functional/test_gateway_logs.py
+++ b/tests/functional/test_gateway_logs.py
@@ -1,4 +1,4 @@
-"""Logs and metrics of a gateway: bounded, never blocking, and enough to explain."""
+"""Logs and metrics of a gateway: bounded, non-blocking, and sufficient to explain a request."""
 
 import logging
 import os
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def pipe():
-    """Return both ends of a pipe; a writer that still waits ends before they are closed."""
+    """Return both ends of a pipe; a waiting writer is allowed to finish before they are closed."""
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     yield reading, writing
@@ -56,7 +56,7 @@
     assert line.endswith(" n1 I [part] Sentence. a=1\n")
 
 
-def test_a_pipe_that_nobody_reads_holds_nothing_up(pipe):
+def test_a_pipe_that_is_not_read_blocks_nothing(pipe):
     output = BufferedOutput(pipe[1], "n1", capacity=100)
     started = gevent.get_hub().loop.now()
     for number in range(5000):
@@ -87,7 +87,7 @@
     return RequestTrace(**{**values, "objective_ms": 100.0, **changes})
 
 
-def test_ordinary_requests_leave_no_line(caplog):
+def test_ordinary_requests_are_not_logged(caplog):
     ordinary = trace(attempts=[AttemptNote("s1", 4, 1.0, 50.0, AttemptResult.ANSWERED)])
     with caplog.at_level(logging.INFO, "absl"):
         ordinary.finish(200, 1000, "", 60.0)
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("name", EXTRAORDINARY)
-def test_what_was_not_ordinary_leaves_one_line(name, caplog):
+def test_each_extraordinary_request_is_logged_in_one_line(name, caplog):
     attempts, status, code, took_ms = EXTRAORDINARY[name]
     notes = [AttemptNote("s1", 4, 1.0, 50.0, result) for result in attempts]
     with caplog.at_level(logging.INFO, "absl"):
@@ -125,12 +125,12 @@
 """
 
 
-def test_explain_tells_the_answer_the_attempts_and_the_beliefs():
-    told = "\n".join(explain("r1", read_lines(LOG.splitlines())))
-    assert "3001 ANSWER_LOST" in told
-    assert "attempt 1: s1@4 after 1 ms, lost in 29 ms" in told
-    assert "to=s1 token=4" in told
-    assert "service=other" not in told
+def test_explain_prints_the_answer_the_attempts_and_the_key_moves():
+    output = "\n".join(explain("r1", read_lines(LOG.splitlines())))
+    assert "3001 ANSWER_LOST" in output
+    assert "attempt 1: s1@4 after 1 ms, lost in 29 ms" in output
+    assert "to=s1 token=4" in output
+    assert "service=other" not in output
 
 
 def test_explain_request_command(tmp_path):
@@ -170,7 +170,7 @@
     assert "ploverhatch_leading 1" in rows
 
 
-def test_a_request_whose_caller_got_no_answer_is_told(caplog):
+def test_a_request_whose_caller_got_no_answer_is_logged(caplog):
     trace = RequestTrace("r1", "route", "service")
     with caplog.at_level(logging.INFO, "absl"):
         trace.log_unanswered("caller-gone", 12.4)
@@ -183,7 +183,7 @@
     return [SentAnswer(f"r{number}", 200, size) for number, size in enumerate(sizes)]
 
 
-def test_answers_of_a_stop_are_told_many_to_a_line(caplog):
+def test_answers_of_a_stop_are_logged_many_to_a_line(caplog):
     answers = AnswerRecord()
     with caplog.at_level(logging.INFO, "absl"):
         for answer in fake_answers(*[10] * (NAMES_PER_LINE + 1)):
@@ -193,7 +193,7 @@
     assert answers.taken == NAMES_PER_LINE + 1
 
 
-def test_no_more_names_are_told_than_a_bound(caplog):
+def test_the_number_of_logged_ids_is_bounded(caplog):
     answers = AnswerRecord()
     with caplog.at_level(logging.INFO, "absl"):
         answers.note(fake_answers(*[10] * (MAX_NAMES + 100)), 0)
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(("unacknowledged", "untaken"), [(0, 0), (1, 1), (10, 1), (11, 2), (99, 3)])
-def test_the_last_answers_of_a_connection_are_those_that_miss_bytes(
+def test_unacknowledged_bytes_belong_to_the_last_answers_of_a_connection(
     caplog, unacknowledged, untaken
 ):
     answers = AnswerRecord()
@@ -214,8 +214,8 @@
     assert names == ["r2", "r1", "r0"][:untaken]
 
 
-def test_answers_of_which_the_system_tells_nothing_are_neither_taken_nor_untaken(caplog):
-    """They counted as taken, and were named so, though nothing showed it."""
+def test_answers_of_unknown_state_count_as_neither_taken_nor_untaken(caplog):
+    """Guards against logging them as taken, although nothing shows it."""
     answers = AnswerRecord()
     with caplog.at_level(logging.INFO, "absl"):
         answers.note(fake_answers(30, 20, 10), None)
@@ -225,8 +225,8 @@
     assert [line.count("|") for line in caplog.messages] == [0]
 
 
-def test_bytes_that_nobody_reads_are_unacknowledged():
-    """The caller's window is full, so that the rest stays with us."""
+def test_bytes_that_are_not_read_are_unacknowledged():
+    """The caller's receive window is full, so the rest stays in the send buffer."""
     listener = socket.create_server(("127.0.0.1", 0))
     caller = socket.create_connection(listener.getsockname())
     sock, _ = listener.accept()
@@ -255,12 +255,12 @@
 
 
 @pytest.mark.parametrize("name", REQUEST_ENDINGS)
-def test_explain_tells_what_a_stop_made_of_a_request(name):
+def test_explain_prints_how_a_request_ended_at_a_stop(name):
     assert REQUEST_ENDINGS[name] in "\n".join(explain(name, read_lines(STOP_LOG.splitlines())))
 
 
 def test_the_code_id_is_gits_id_of_the_package(tmp_path):
-    """So that ``git rev-parse LANDING:ploverhatch`` tells which landing wrote a log."""
+    """``git rev-parse COMMIT:ploverhatch`` then tells which commit wrote a log."""
     package = Path(ploverhatch.__file__).parent
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(package, tmp_path / "ploverhatch", ignore=ignored)
@@ -286,16 +286,16 @@
 
 
 @pytest.mark.parametrize("name", STOPS)
-def test_explain_stops_fails_where_one_left_requests_behind(tmp_path, name):
+def test_explain_stops_fails_if_a_stop_cut_requests(tmp_path, name):
     sentences, code = STOPS[name]
     path = tmp_path / "log"
     path.write_text("".join(f"10:00:00.000 n1 I [gateway] {row}\n" for row in sentences))
     assert CliRunner().invoke(main, ["explain-stops", str(path)]).exit_code == code
 
 
-def test_explain_stops_names_what_the_end_of_a_process_cut(tmp_path):
+def test_explain_stops_counts_requests_cut_at_the_exit_of_a_process(tmp_path):
     path = tmp_path / "log"
     path.write_text(STOP_LOG)
-    told = CliRunner().invoke(main, ["explain-stops", str(path)])
-    assert told.exit_code == 1
-    assert "1 requests cut at the end" in told.output
+    result = CliRunner().invoke(main, ["explain-stops", str(path)])
+    assert result.exit_code == 1
+    assert "1 requests cut at the end" in result.output
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Which node counts what a limited server is given, over sockets: three nodes of one zone."""
+"""Which node enforces the rate limit of a server, over sockets: three nodes in one zone."""
 
 from contextlib import ExitStack
 from dataclasses import replace
@@ -41,7 +41,7 @@
 
 
 def in_order(cluster, name=ANY):
-    """Return the nodes in the order in which they keep a group's queue."""
+    """Return the nodes in their rank as dispatchers of a group."""
     names = []
     for _ in cluster.nodes:
         names.append(groups.dispatcher(name, cluster.zones, set(names)))
@@ -49,7 +49,7 @@
 
 
 def granted_servers(node, span_s, **options):
-    """Ask again and again; return which servers' slots were given."""
+    """Request slots for a time; return the servers whose slots were granted."""
     servers, end_ms = [], elapsed_ms() + span_s * 1000
     while elapsed_ms() < end_ms:
         try:
@@ -61,7 +61,7 @@
     return servers
 
 
-def test_a_limit_is_known_to_the_dispatcher_with_the_slot_that_comes_back(start):
+def test_a_dispatcher_learns_a_limit_from_the_release_of_a_slot(start):
     cluster = start(record(0))
     first, second, _ = in_order(cluster)
     with second.slots.hold(requirements()) as slot:
@@ -72,7 +72,7 @@
     assert len(granted_servers(second, 1.5)) <= 5
 
 
-# A dispatcher that has just started knows no limit, and gave the server all its slots.
+# Guards against a dispatcher that knows no limits after its start and grants all slots.
 def test_a_new_dispatcher_learns_the_limits_with_the_first_request(start):
     cluster = start(record(0))
     first, second, third = in_order(cluster)
@@ -86,7 +86,7 @@
     assert len(granted_servers(third, 1.0)) <= 4
 
 
-def test_that_a_limit_is_over_is_told_in_the_same_ways(start):
+def test_a_dispatcher_learns_the_end_of_a_limit_in_the_same_way(start):
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
@@ -99,22 +99,23 @@
     assert len(granted_servers(third, 0.5)) > 20
 
 
-# Nodes that passed a living dispatcher over for lost words had a second one count beside it.
-def test_words_that_are_lost_do_not_make_two_nodes_count(start):
+# Guards against two dispatchers that each grant the full rate, because messages to the first one
+# were lost and the sender skipped it.
+def test_lost_messages_do_not_make_two_nodes_enforce_one_limit(start):
     cluster = start(record(0), record(1))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
         node.directory.take_notice("s0", LIMIT)
-    lost = iter([True, True])  # both questions of one request
+    lost = iter([True, True])  # Both tries of one slot request.
     third.lost = lambda message: type(message).__name__ == "SlotAsk" and next(lost, False)
     servers = granted_servers(third, 0.8)
     assert first.name in third.slots._choice.passed(elapsed_ms())
-    assert set(servers) == {"s1"}  # the second one in rank gives what is not limited
+    assert set(servers) == {"s1"}  # The second node in rank grants only unlimited servers.
     gevent.sleep(0.5)
     assert "s0" in granted_servers(third, 1.0)
 
 
-def test_a_request_for_a_limited_holder_is_turned_away_while_its_dispatcher_is_in_doubt(start):
+def test_a_request_for_a_limited_holder_is_rejected_while_its_dispatcher_is_unresponsive(start):
     cluster = start(record(0))
     name = GroupName("svc", "a", "s0")
     first, _, third = in_order(cluster, name)
@@ -128,8 +129,8 @@
     assert elapsed_ms() - started_ms < 20.0
 
 
-# With the node that counts gone for good a limited server was never used again.
-def test_once_a_dispatcher_is_surely_gone_the_next_one_counts(start):
+# Guards against a limited server that is never used again after its dispatcher is gone.
+def test_once_a_dispatcher_is_certainly_gone_the_next_one_enforces_limits(start):
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
@@ -142,7 +143,7 @@
     assert second.slots._queues
 
 
-def test_a_dispatcher_that_stops_gives_limited_servers_no_more(start):
+def test_a_stopping_dispatcher_grants_no_slots_of_limited_servers(start):
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
@@ -164,8 +165,8 @@
         return slot
 
 
-# Nodes that do not know a new one yet go on asking the one before it.
-def test_a_node_that_has_just_started_gives_a_part(start):
+# Other nodes may not know the new node yet, and still ask the previous dispatcher.
+def test_a_node_that_has_just_started_grants_a_share_of_the_limit(start):
     cluster = start(record(0))
     first, _, third = in_order(cluster)
     for node in cluster.nodes:
@@ -174,8 +175,9 @@
     assert len(granted_servers(third, 2.0)) <= 2 * 10 * STANDBY_SHARE + 2
 
 
-# Routes of different regions have queues of their own, and each gave the whole limit.
-def test_groups_of_different_regions_keep_to_one_limit(start):
+# Routes with different regions have separate queues. Guards against each of them granting the full
+# limit.
+def test_groups_of_different_regions_share_one_limit(start):
     cluster = start(record(0))
     for node in cluster.nodes:
         node.directory.servers.regions = {"a": "home"}
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -1,4 +1,4 @@
-"""Slots that all nodes share, over sockets: three nodes of two zones."""
+"""Shared slots over sockets: three nodes in two zones."""
 
 import time
 from contextlib import ExitStack
@@ -104,7 +104,7 @@
         assert caught.value.after_ms > 0
 
 
-def test_one_that_waits_gets_the_slot_that_comes_free(start):
+def test_a_waiting_request_gets_a_slot_that_becomes_free(start):
     cluster = start([record(0)])
     with ExitStack() as held:
         cluster.hold_all(held, 2, 0, holder=record(0))
@@ -130,7 +130,7 @@
         assert sorted(slot.server_id for slot in granted) == ["s0"] * 3 + ["s1"] * 3
 
 
-def test_without_a_dispatcher_the_node_decides_by_itself(start):
+def test_without_a_dispatcher_no_shared_slot_is_granted(start):
     cluster = start([record(0)])
     for node in cluster.nodes:
         node.lost = lambda message: True
@@ -138,7 +138,7 @@
         assert slot is None
 
 
-def test_a_node_that_does_not_answer_is_passed_over(start):
+def test_a_node_that_does_not_answer_is_skipped(start):
     cluster = start([record(0)], zones=("a", "a", "a"))
     first = cluster.nodes[0]
     for _ in range(20):
@@ -175,7 +175,7 @@
         assert elapsed_ms() - started < 450.0
 
 
-def test_a_question_that_is_lost_is_asked_again(start):
+def test_a_lost_slot_request_is_sent_again(start):
     cluster = start([record(0)])
     sent = []
 
@@ -189,7 +189,7 @@
     assert MAX_TRIES > 1
 
 
-def test_a_slot_whose_return_is_lost_comes_free(start):
+def test_a_slot_whose_release_is_lost_becomes_free(start):
     cluster = start([record(0)])
     cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotReturn"
     for _ in range(3):
@@ -199,7 +199,7 @@
         assert slot is not None
 
 
-def test_an_answer_to_a_request_that_is_over_holds_nothing(start):
+def test_a_late_reply_to_a_finished_request_holds_no_slot(start):
     cluster = start([record(0)])
     nodes = cluster.nodes
     dispatcher = dispatcher_of(cluster, HOLDER)
@@ -231,7 +231,7 @@
 
 
 def in_order(cluster):
-    """Return the nodes in the order in which they keep the queue of the holder."""
+    """Return the nodes in their rank as dispatchers of the holder's group."""
     names = []
     for _ in cluster.nodes:
         names.append(groups.dispatcher(HOLDER, cluster.zones, set(names)))
@@ -239,7 +239,10 @@
 
 
 def test_while_most_nodes_stop_the_one_that_stays_is_asked():
-    """Two of three stopped: the third was not asked, and requests went without a slot."""
+    """Guards against a third node that isn't asked while the first two stop.
+
+    Its requests then got no slot.
+    """
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     first.slots.leaving = second.slots.leaving = True
@@ -250,35 +253,35 @@
         node.stop()
 
 
-def test_a_late_word_of_a_node_that_stops_takes_no_place_at_another():
-    """Its second word came when the request waited elsewhere, which was then given up.
+def test_a_late_reply_of_a_stopping_node_ends_no_wait_at_another():
+    """Guards against a late reply of a stopping node that ends a request's wait elsewhere.
 
-    A stopping node that is late answers both asks of a request, one word after the other.
+    A slow stopping node replies to both tries of a slot request. The second reply arrives when
+    the request already waits at another node.
     """
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     first.slots.leaving = True
-    take, asks = first.slots.handle_message, []
+    handle, requests = first.slots.handle_message, []
 
     def answer_late(message, peer):
-        """Answer the first ask when the second one comes, and that one when it is too late."""
+        """Answer the first try when the second one arrives, and the second one too late."""
         if type(message).__name__ == "SlotAsk":
-            asks.append(message)
-            if len(asks) == 2:
-                take(asks[0], peer)
-                gevent.spawn_later(0.1, take, message, peer)
+            requests.append(message)
+            if len(requests) == 2:
+                handle(requests[0], peer)
+                gevent.spawn_later(0.1, handle, message, peer)
 
     first.link.take_slots(answer_late)
     with ExitStack() as held:
-        second.slots._choice._passed_ms[first.name] = (
-            elapsed_ms() + 9000.0
-        )  # not asked by those who hold
+        # The second node skips the first one, so its own slots come from its own queue.
+        second.slots._choice._passed_ms[first.name] = elapsed_ms() + 9000.0
         for _ in range(3):
             held.enter_context(second.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
         assert second.slots.in_use == 3
         waiting = gevent.spawn(slot_of, third, requirements(holder=record(0), wait_ms=2000.0))
         gevent.sleep(0.4)
-        assert len(asks) == 2
+        assert len(requests) == 2
         assert second.slots.waiting == 1
         assert not waiting.ready()
     assert waiting.get(timeout=2.0) is not None
@@ -291,31 +294,30 @@
         return slot
 
 
-def test_a_node_that_stood_still_takes_the_answer_that_came_meanwhile():
-    """A node that stands still for a moment took its dispatcher for silent, and passed it over.
+def test_a_node_that_was_suspended_accepts_a_reply_that_arrived_meanwhile():
+    """Guards against a queued request that ends without a slot after a suspension.
 
-    Seen once beside load: a request that had its place in a queue was ended at once, without
-    a slot. Cause: when a process stands still for longer than the time of an answer, the timer
-    of the wait goes off before the answer is read that has long come. Proof: an ask is lost,
-    and the process stands still between the answer to the second one and its reading.
+    If a process is suspended for longer than the reply time-out, the timer of the wait fires
+    before the reply that has arrived is read, and the node skips a working dispatcher. Here the
+    first try is lost, and the process is suspended before the reply to the second one is read.
     """
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     dispatcher = dispatcher_of(cluster, HOLDER)
     requester = next(node for node in cluster.nodes if node is not dispatcher)
-    asks = []
+    requests = []
 
-    def is_first_ask(message):
-        asks.append(type(message).__name__)
-        return asks == ["SlotAsk"]
+    def is_first_request(message):
+        requests.append(type(message).__name__)
+        return requests == ["SlotAsk"]
 
-    def answer_and_stand_still(message, peer):
-        take(message, peer)
+    def answer_and_suspend(message, peer):
+        handle(message, peer)
         if type(message).__name__ == "SlotAsk":
-            time.sleep(3 * REPLY_TIMEOUT_S)  # the whole process
+            time.sleep(3 * REPLY_TIMEOUT_S)  # Suspends the whole process.
 
-    take = dispatcher.slots.handle_message
-    requester.lost = is_first_ask
-    dispatcher.link.take_slots(answer_and_stand_still)
+    handle = dispatcher.slots.handle_message
+    requester.lost = is_first_request
+    dispatcher.link.take_slots(answer_and_suspend)
     with requester.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
         assert slot.dispatcher == dispatcher.name
@@ -323,8 +325,8 @@
         node.stop()
 
 
-def test_slots_that_a_dispatcher_gave_are_known_to_the_next_one(start):
-    """The next dispatcher gave a full server's slots again until the first ones ended."""
+def test_slots_that_a_dispatcher_granted_are_known_to_the_next_one(start):
+    """Guards against a next dispatcher that grants a full server's slots again."""
     cluster = start([record(0)])
     with ExitStack() as held:
         granted = cluster.hold_all(held, 3, 0, holder=record(0))
@@ -335,8 +337,8 @@
             cluster.hold_all(held, 1, asking, holder=record(0), wait_ms=30.0)
 
 
-def test_a_slot_that_two_dispatchers_count_goes_back_to_both(start):
-    """The next dispatcher would keep it in use until its time is over."""
+def test_a_slot_that_two_dispatchers_count_is_released_at_both(start):
+    """Otherwise the next dispatcher would count it as in use until it expires."""
     cluster = start([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     with ExitStack() as held:
@@ -350,8 +352,11 @@
     assert second.slots.in_use == first.slots.in_use == 0
 
 
-def test_a_dispatcher_that_stood_still_learns_what_another_one_gave(start):
-    """Its own leases ended meanwhile, and it gave the slots of its substitute again."""
+def test_a_dispatcher_that_was_suspended_learns_what_another_one_granted(start):
+    """Guards against a dispatcher that grants the slots of its substitute again.
+
+    The leases that it granted itself have expired during the suspension.
+    """
     cluster = start([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     with third.slots.hold(requirements(holder=record(0))) as slot:
@@ -362,13 +367,13 @@
             held.enter_context(third.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
         assert second.slots.in_use == 3
         first.lost = lambda message: False
-        gevent.sleep(RELEARN_MS / 1000 + 0.1)  # it is asked again from then on
+        gevent.sleep(RELEARN_MS / 1000 + 0.1)  # The first node is asked again from then on.
         with pytest.raises(TurnedAwayError) as caught:
             held.enter_context(third.slots.hold(requirements(holder=record(0), wait_ms=30.0)))
         assert caught.value.dispatcher == first.name
 
 
-def test_a_dispatcher_that_learns_waits_for_no_node_that_is_gone(start):
+def test_a_new_dispatcher_waits_briefly_for_a_node_that_is_gone(start):
     cluster = start([record(0)], zones=("a", "a", "a"))
     first, second, third = in_order(cluster)
     second.stop()
--- a/tests/functional/test_slots_at_restarts.py
+++ b/tests/functional/test_slots_at_restarts.py
@@ -1,4 +1,4 @@
-"""What servers get while the gateways that give their slots are stopped or killed in turn."""
+"""Load on servers while the gateways that grant their slots are stopped or killed in turn."""
 
 import signal
 from math import inf
@@ -13,12 +13,12 @@
 GATEWAYS = 4
 SERVERS = 3
 SLOTS = 4
-CAPACITY = 6  # of a server: its slots and half as many that wait there
+CAPACITY = 6  # Requests per server: its slots, and half as many that wait there.
 WORK_S = 0.9
 CALLERS = 30
-DISCOVERY_S = 6.0  # until all nodes know each other
+DISCOVERY_S = 6.0  # All nodes know each other by then.
 RESTART_INTERVAL_S = 4.0
-MIN_SERVED_FRACTION = 0.8  # of what the servers' slots can do
+MIN_SERVED_FRACTION = 0.8  # Of what the servers' slots can serve.
 LINK_DELAY_S = 0.005
 
 
@@ -30,17 +30,17 @@
 
 
 def arrivals_beyond_capacity(upstream, sent, from_s):
-    """Return how many requests arrived while as many as the server has room for were there.
+    """Return how many requests arrived while the server was already at its capacity.
 
-    One is there until its work ends, its caller has an answer, or its gateway is killed.
+    A request counts until its work ends, its caller has an answer, or its gateway is killed.
     """
     ends = {request_id(work.request): work.end_s for work in upstream.work}
     spans = []
     for request in upstream.arrived:
-        one = sent[request_id(request)]
-        killed = [start for start, end in one.life.faults if end == inf]
-        answered_s = one.sent_s + one.took_s if one.took_s else inf
-        end_s = min(ends.get(one.name) or inf, answered_s, *killed, inf)
+        item = sent[request_id(request)]
+        killed = [start for start, end in item.life.faults if end == inf]
+        answered_s = item.sent_s + item.took_s if item.took_s else inf
+        end_s = min(ends.get(item.name) or inf, answered_s, *killed, inf)
         spans.append((request.received_ms / 1000, end_s))
     return sum(
         sum(start < at and end > at + LINK_DELAY_S for start, end in spans) >= CAPACITY
@@ -49,9 +49,9 @@
     )
 
 
-@pytest.mark.parametrize("number", [None, signal.SIGTERM, signal.SIGKILL])
-def test_a_full_server_gets_no_more_while_dispatchers_change(site, number):
-    """Each planned stop and each loss of a dispatcher had a full server's slots given again."""
+@pytest.mark.parametrize("signal_number", [None, signal.SIGTERM, signal.SIGKILL])
+def test_a_full_server_gets_no_more_while_dispatchers_change(site, signal_number):
+    """Guards against slots of a full server that are granted again when its dispatcher changes."""
     callers = [Caller(f"p{n}", "/p/a") for n in range(CALLERS)]
     with gevent.Timeout(20.0):
         for gateway in site.gateways:
@@ -69,22 +69,22 @@
     gevent.sleep(DISCOVERY_S)
     start_s = elapsed_ms() / 1000
     for gateway in site.gateways:
-        if number == signal.SIGTERM:
+        if signal_number == signal.SIGTERM:
             gateway.life.stop()
             gevent.spawn(restart, gateway)
-        elif number == signal.SIGKILL:
+        elif signal_number == signal.SIGKILL:
             gateway.life.kill()
             gateway.start()
         gevent.sleep(RESTART_INTERVAL_S)
     gevent.killall(tasks)
-    sent = {one.name: one for caller in callers for one in caller.asked}
+    sent = {item.name: item for caller in callers for item in caller.asked}
     servers = [upstream for upstream in site.upstreams.values() if upstream.service == PLAIN]
     excess = {
         upstream.server_id: arrivals_beyond_capacity(upstream, sent, start_s)
         for upstream in servers
     }
     assert excess == dict.fromkeys(excess, 0)
-    served = sum(one.status == 200 for one in sent.values() if one.sent_s >= start_s)
+    served = sum(item.status == 200 for item in sent.values() if item.sent_s >= start_s)
     assert served > SERVERS * SLOTS * GATEWAYS * RESTART_INTERVAL_S / WORK_S * MIN_SERVED_FRACTION
 
 
--- a/tests/unit/test_slots.py
+++ b/tests/unit/test_slots.py
@@ -1,4 +1,4 @@
-"""Slots of one server: order, bounds, and slots that must not get lost."""
+"""Slots of one server: order, bounds, and that no slot gets lost."""
 
 import gevent
 import pytest
@@ -7,14 +7,14 @@
 
 
 class Limit:
-    """A limit that a test changes."""
+    """A limit that a test can change."""
 
     def __init__(self, value):
         self.value = value
 
 
 class Requests:
-    """Tasks that hold slots until they are told to end."""
+    """Tasks that hold slots until their event is set."""
 
     def __init__(self, limit=1.0, slots=1):
         self.limit = Limit(limit)
@@ -43,7 +43,7 @@
         gevent.sleep(0)
 
 
-def test_the_more_urgent_goes_first_then_the_earlier():
+def test_requests_are_served_by_priority_then_by_arrival():
     requests = Requests()
     _, end = requests.spawn("first")
     for name, priority in (("late", 2), ("urgent", 0), ("urgent-2", 0)):
@@ -53,7 +53,7 @@
     assert requests.started == ["first", "urgent", "urgent-2", "late"]
 
 
-def test_a_raised_limit_is_used_when_the_next_slot_comes_free():
+def test_a_raised_limit_is_used_when_the_next_slot_becomes_free():
     requests = Requests()
     _, end = requests.spawn("first")
     for number in range(3):
@@ -65,13 +65,13 @@
     assert requests.queue.in_use == 3
 
 
-def test_a_waiter_that_leaves_in_the_moment_it_is_woken_passes_the_slot_on():
+def test_a_waiter_that_ends_while_it_is_woken_releases_the_slot():
     requests = Requests()
     _, end = requests.spawn("first")
     gone, _ = requests.spawn("gone")
     requests.spawn("next")
     end.set()
-    gone.kill(block=False)  # its wake-up is under way
+    gone.kill(block=False)  # Its wake-up is pending.
     settle()
     assert requests.started[-1] == "next"
     assert (requests.queue.in_use, requests.queue.waiting) == (1, 0)
@@ -82,13 +82,13 @@
     first, end = requests.spawn("first")
     requests.spawn("waiter")
     end.set()
-    first.join()  # the slot is free; the waiter may not have run yet
+    first.join()  # The slot is free, but the waiter may not have run yet.
     requests.spawn("newcomer")
     settle()
     assert requests.started == ["first", "waiter"]
 
 
-def test_nobody_waits_longer_than_asked():
+def test_no_request_waits_longer_than_its_limit():
     requests = Requests()
     requests.spawn("first")
     task, _ = requests.spawn("second", wait_s=0.0)
@@ -97,7 +97,7 @@
     assert requests.queue.waiting == 0
 
 
-def test_the_number_of_those_that_wait_is_bounded():
+def test_the_number_of_waiting_requests_is_bounded():
     requests = Requests()
     requests.spawn("first")
     for number in range(WAITING_PER_SLOT):
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("limit", [0.2, 1.9])
-def test_one_slot_is_always_given(limit):
+def test_one_slot_is_always_granted(limit):
     requests = Requests(limit)
     requests.spawn("first")
     requests.spawn("second")
