--- a/ploverhatch/gateway/call.py
+++ b/ploverhatch/gateway/call.py
@@ -5,7 +5,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.gateway.messages import CallerRequest, RequestFacts
 from ploverhatch.gateway.request_log import RequestTrace
-from ploverhatch.quarantine.fingerprint import Fingerprint, fingerprint, hint
+from ploverhatch.quarantine.fingerprint import Fingerprint, fingerprint, short_digest
 from ploverhatch.routing.route_table import Route
 
 
@@ -39,7 +39,7 @@
     def short_digest(self) -> bytes:
         """A cheap digest that few other requests share; computed on first use."""
         if not self._short_digest:
-            self._short_digest = hint(self.request.target, self.request.body)
+            self._short_digest = short_digest(self.request.target, self.request.body)
         return self._short_digest
 
     @property
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import replace
 
-from ploverhatch.admission.messages import ToldLimits
+from ploverhatch.admission.messages import ReportedLimits
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
@@ -15,8 +15,8 @@
 from ploverhatch.sharding import view
 from ploverhatch.sharding.keymap import KeyMap, KeyRange, settle
 from ploverhatch.sharding.standbys import promote
+from ploverhatch.state.server_notices import NO_LIMIT, NO_NOTICE, RateLimit, ServerNotice
 from ploverhatch.state.servers import ServerRecord, ServerSet
-from ploverhatch.state.standing import NO_LIMIT, NOTHING, RateLimit, ServerNotice
 
 LOG = PartLogger("directory")
 
@@ -56,11 +56,11 @@
         """The configuration in force, or ``None`` before the first."""
         return self._table
 
-    def limits(self) -> ClientLimits:
+    def client_limits(self) -> ClientLimits:
         """What callers may send."""
         return self._table.limits if self._table else ClientLimits()
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Take a configuration unless a newer one is in force."""
         if self._table is not None and table.version <= self._table.version:
             return
@@ -89,23 +89,23 @@
         LOG.info("Server record gone.", server=name)
         self.changed.raise_()
 
-    def take_notice(
+    def apply_notice(
         self, server_id: str, notice: ServerNotice, asked_ms: float | None = None
     ) -> None:
         """An answer to this node says something of its server.
 
         :param asked_ms: when the request was sent; now where that is not known.
         """
-        news = self.servers.take_notice(server_id, notice, elapsed_ms(), asked_ms)
+        news = self.servers.apply_notice(server_id, notice, elapsed_ms(), asked_ms)
         if news.leaving:
             LOG.info("Server says that it leaves.", server=server_id, by="its-answer")
-        if news.rest_ms:
-            LOG.info("Server asks for rest.", server=server_id, for_ms=round(news.rest_ms))
-        if notice.limit_per_s is not None and server_id in self.servers.standings.limits:
+        if news.backoff_ms:
+            LOG.info("Server asks for rest.", server=server_id, for_ms=round(news.backoff_ms))
+        if notice.limit_per_s is not None and server_id in self.servers.notices.limits:
             self._heard_limits[server_id] = elapsed_ms()
         if news.limit_per_s is not None:
             self._log_limit(server_id, news.limit_per_s, "its-answer")
-        if news != NOTHING:
+        if news != NO_NOTICE:
             self.changed.raise_()
 
     def _log_limit(self, server_id: str, per_s: float, by: str) -> None:
@@ -114,11 +114,11 @@
         else:
             LOG.info("Server names a limit.", server=server_id, per_s=f"{per_s:g}", by=by)
 
-    def hear_leaving(self, ages_ms: Mapping[str, float], by: str) -> None:
+    def note_leaving(self, ages_ms: Mapping[str, float], by: str) -> None:
         """Another node tells which servers said that they leave, and how long ago."""
         now_ms = elapsed_ms()
         for server_id, age_ms in ages_ms.items():
-            if self.servers.hear_leaving(server_id, now_ms - age_ms, now_ms):
+            if self.servers.note_reported_leaving(server_id, now_ms - age_ms, now_ms):
                 LOG.info(
                     "Server says that it leaves.",
                     server=server_id,
@@ -127,24 +127,24 @@
                 )
                 self.changed.raise_()
 
-    def hear_limits(self, told: ToldLimits, by: str) -> None:
+    def note_rate_limits(self, told: ReportedLimits, by: str) -> None:
         """Another node tells what servers said of the rate that they take."""
         now_ms = elapsed_ms()
         for server_id, (per_s, age_ms) in told.items():
-            if self.servers.hear_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
+            if self.servers.note_reported_limit(server_id, RateLimit(per_s, now_ms - age_ms)):
                 self._log_limit(server_id, per_s, by)
                 self.changed.raise_()
 
-    def limits_of(self, server_ids: Iterable[str]) -> ToldLimits:
+    def rate_limits_of(self, server_ids: Iterable[str]) -> ReportedLimits:
         """Return what some servers said of the rate that they take, as far as is known."""
-        limits, now_ms = self.servers.standings.limits, elapsed_ms()
+        limits, now_ms = self.servers.notices.limits, elapsed_ms()
         return {
-            name: (limits[name].per_s, now_ms - limits[name].said_ms)
+            name: (limits[name].per_s, now_ms - limits[name].announced_ms)
             for name in server_ids
             if name in limits
         }
 
-    def own_limits(self) -> ToldLimits:
+    def own_rate_limits(self) -> ReportedLimits:
         """Return what answers to this node said lately, for the leader."""
         now_ms = elapsed_ms()
         self._heard_limits = {
@@ -153,22 +153,22 @@
             if now_ms - heard_ms < OWN_LIMIT_MS
         }
         latest = sorted(self._heard_limits, key=self._heard_limits.__getitem__)
-        return self.limits_of(latest[-MOST_LIMITS:])
+        return self.rate_limits_of(latest[-MOST_LIMITS:])
 
-    def next_limits(self) -> ToldLimits:
+    def next_rate_limits(self) -> ReportedLimits:
         """Return the words to tell next; all are told in turn, since messages are short."""
-        known = sorted(self.servers.standings.limits)
+        known = sorted(self.servers.notices.limits)
         after = [name for name in known if name > self._told_limit]
         told = [*after, *known][: min(MOST_LIMITS, len(known))]
         self._told_limit = told[-1] if told else ""
-        return self.limits_of(told)
+        return self.rate_limits_of(told)
 
     def leaving_ages_ms(self) -> dict[str, float]:
         """Return the servers that said that they leave and whose records don't, and when."""
         now_ms, records = elapsed_ms(), self.servers.records
         return {
             name: now_ms - ms
-            for name, ms in self.servers.standings.leaving_ms.items()
+            for name, ms in self.servers.notices.leaving_ms.items()
             if not records[name].draining
         }
 
@@ -200,7 +200,7 @@
         known = self._table.services.get(service) if self._table else None
         return known.cold_per_s if known else 0.0
 
-    def server_ended(self, server_id: str) -> None:
+    def note_server_replaced(self, server_id: str) -> None:
         """Another server answered at the address: this one has surely ended."""
         if server_id in self.servers.records:
             LOG.warning("Address belongs to another server now.", server=server_id)
@@ -210,7 +210,7 @@
     @property
     def keymaps_trusted(self) -> bool:
         """Whether requests may go where the key maps say."""
-        return view.view_is_trusted(self.keymaps_current_ms, elapsed_ms())
+        return view.map_is_trusted(self.keymaps_current_ms, elapsed_ms())
 
     def note_keymaps(self, current_ms: float) -> None:
         """The key maps were surely current at a time, on the elapsed clock."""
@@ -280,7 +280,7 @@
             tokens = frozenset(t for t in tokens if t in moving or t > keymap.token)
         self.granted[service] = tokens
 
-    def known_settled(self, service: str) -> KeyMap:
+    def settled_keymap(self, service: str) -> KeyMap:
         """Return the map known, with the ranges settled that their new holders acknowledged.
 
         A holder acknowledges a grant after all previous ones have released or lapsed.
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -46,7 +46,7 @@
 from ploverhatch.routing.planned_stop import PlannedStop
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import ShareSplitter
-from ploverhatch.state.standing import NOTHING
+from ploverhatch.state.server_notices import NO_NOTICE
 from ploverhatch.transport.http_connection import (
     AnswerCutError,
     HttpConnection,
@@ -227,9 +227,9 @@
         stop = self.planned_stop
         if stop is None:
             return deadline_ms
-        if not stop.takes(elapsed_ms(), deadline_ms):
+        if not stop.admits(elapsed_ms(), deadline_ms):
             raise RefusedError(results.NODE_DRAINING, "", RETRY_AFTER_STOP_S)
-        return stop.bounded(deadline_ms)
+        return stop.answer_deadline_ms(deadline_ms)
 
     # ---- attempts -------------------------------------------------------------------
 
@@ -314,7 +314,7 @@
     def _update_upstream(self, upstream: Upstream, result: AttemptResult, took_ms: float) -> None:
         if result is AttemptResult.WRONG_INSTANCE:
             self._quarantine.note_server_ended(upstream)
-            self._directory.server_ended(upstream.record.server_id)
+            self._directory.note_server_replaced(upstream.record.server_id)
         rejected = result is AttemptResult.LOST and upstream.suggests_rejection(took_ms)
         if rejected or result in {AttemptResult.DECLINED, AttemptResult.TIMED_OUT}:
             upstream.note_overload()
@@ -473,9 +473,9 @@
         if result is not AttemptResult.WRONG_INSTANCE:
             upstream.last_answer_ms = elapsed_ms()
         notice = self._dialect.notice(call.facts.request_id, record.server_id, answer)
-        if notice != NOTHING:
-            self._directory.take_notice(record.server_id, notice, sent_ms)
-        if notice.rest_ms:
+        if notice != NO_NOTICE:
+            self._directory.apply_notice(record.server_id, notice, sent_ms)
+        if notice.backoff_ms:
             upstream.note_backoff()
             self._choice.note_backoff(record.server_id)
         if result is AttemptResult.LOST:
@@ -517,12 +517,12 @@
             raise
 
     def _count_send(self, server_id: str) -> None:
-        standings = self._directory.servers.standings
-        if standings.leaves(server_id):
+        notices = self._directory.servers.notices
+        if notices.is_leaving(server_id):
             self.metrics.sends["leaving"] += 1
-        if standings.rest_left_ms(server_id, elapsed_ms()) > 0:
+        if notices.backoff_left_ms(server_id, elapsed_ms()) > 0:
             self.metrics.sends["resting"] += 1
-        if server_id in standings.limit_per_s:
+        if server_id in notices.limit_per_s:
             self.metrics.sends["limited"] += 1
 
     # ---- choice of the server ---------------------------------------------------------
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -35,15 +35,15 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import UpstreamPool
 from ploverhatch.quarantine.messages import (
-    CrashesAsk,
-    CrashesTold,
-    TrialAsk,
-    TrialOver,
-    TrialWord,
+    CrashQuery,
+    CrashReport,
+    TrialFinished,
+    TrialReply,
+    TrialRequest,
 )
-from ploverhatch.relay.messages import Beacon, Told
+from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
-from ploverhatch.routing.planned_stop import PlannedStop, caller_rest_s
+from ploverhatch.routing.planned_stop import PlannedStop, caller_idle_timeout_s
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
@@ -60,11 +60,11 @@
 METRICS_PATH = b"/metrics"
 HOUSEKEEPING_S = 0.25
 LEADER_POLL_S = 0.1
-LIFE_BYTES = 6  # of the name of one life of the process
+INCARNATION_BYTES = 6  # of the name of one life of the process
 # A watch that has reported is asked again after a pause: the first one where it
 # told something new, the second one where all was known, as from the leader.
-SERVERS_PAUSES = Pauses(news_s=0.25, known_s=0.25)
-KEYMAPS_PAUSES = Pauses(news_s=0.1, known_s=1.0)
+SERVERS_PAUSES = Pauses(after_new_s=0.25, after_known_s=0.25)
+KEYMAPS_PAUSES = Pauses(after_new_s=0.1, after_known_s=1.0)
 # For moves under way when their leader stops: a release ends with what its server runs.
 MOVES_LIMIT_S = 1.0
 
@@ -100,7 +100,7 @@
         self._elector = Elector(
             store,
             settings.node,
-            os.urandom(LIFE_BYTES).hex(),
+            os.urandom(INCARNATION_BYTES).hex(),
             f"{settings.ip}:{settings.peer_port}",
             self._store_lost,
             self._store_regained,
@@ -122,7 +122,7 @@
             self._peers.send,
             self._elector.address,
         )
-        self._peers.take_slots(self._slots.handle_message)
+        self._peers.add_slot_handler(self._slots.handle_message)
         permits = TrialPermits(
             self._other_leader, lambda: self._elector.node_count, self._peers.send
         )
@@ -138,11 +138,11 @@
         self._quarantine_persistence = QuarantinePersistence(
             store, self._quarantine, lambda: self.leads
         )
-        self._peers.take_from(TrialAsk, permits.handle_request)
-        self._peers.take_from(TrialWord, permits.handle_reply)
-        self._peers.take_from(TrialOver, permits.handle_finished)
-        self._peers.take_from(CrashesTold, self._quarantine.handle_report)
-        self._peers.take_from(CrashesAsk, self._quarantine.handle_query)
+        self._peers.add_peer_handler(TrialRequest, permits.handle_request)
+        self._peers.add_peer_handler(TrialReply, permits.handle_reply)
+        self._peers.add_peer_handler(TrialFinished, permits.handle_finished)
+        self._peers.add_peer_handler(CrashReport, self._quarantine.handle_report)
+        self._peers.add_peer_handler(CrashQuery, self._quarantine.handle_query)
         self._forwarder = Forwarder(
             self.directory,
             self._pool,
@@ -164,8 +164,8 @@
             self._peers.publish,
         )
         self._snapshots = SnapshotServer(peer_address, self._relay.snapshot)
-        self._peers.take(Told, self._relay.take_told)
-        self._peers.take(Beacon, self._relay.take_beacon)
+        self._peers.add_handler(RelayedUpdate, self._relay.handle_update)
+        self._peers.add_handler(Beacon, self._relay.handle_beacon)
         self._feeds = [
             FeedTask(store, feed, self._relay, self._feed_failed)
             for feed in self._followed(keymap_relay)
@@ -174,13 +174,13 @@
         self._callers = CallerServer(
             settings.callers,
             self._forwarder.handle,
-            self.directory.limits,
+            self.directory.client_limits,
             self._note_rejected,
             settings.max_caller_connections,
-            caller_rest_s(settings.grace_s * 1000),
+            caller_idle_timeout_s(settings.grace_s * 1000),
         )
         self._readiness = CallerServer(
-            settings.readiness, self._answer_readiness, self.directory.limits
+            settings.readiness, self._answer_readiness, self.directory.client_limits
         )
 
     # ---- life -------------------------------------------------------------------------
@@ -229,7 +229,7 @@
         if settings != self._settings:
             LOG.info("Settings taken.")
         self._settings = settings
-        self._callers.keep_alive_s = caller_rest_s(settings.grace_s * 1000)
+        self._callers.keep_alive_s = caller_idle_timeout_s(settings.grace_s * 1000)
         self._budget.ratio = settings.retry_ratio
         self._budget.slack = settings.retry_slack
         self._budget.window_s = settings.retry_window_s
@@ -239,7 +239,7 @@
         """Whether this node leads right now."""
         return self._elector.has_authority
 
-    def shut(self) -> None:
+    def abort(self) -> None:
         """End at once, as a kill would, for tests within one process."""
         gevent.killall(self._tasks)
         self._callers.stop()
@@ -253,7 +253,7 @@
         if self._draining:
             return
         self._draining = True
-        plan = PlannedStop.after_standing(
+        plan = PlannedStop.after_suspension(
             elapsed_ms(), self._standstill.ran_until_ms, self._settings.grace_s * 1000
         )
         stop = StopSequence(plan, self._callers, self._forwarder, self._slots, self._leave)
@@ -303,7 +303,7 @@
         for item in items:
             table = self._translation.configuration(item)
             if table is not None:
-                self.directory.take_table(table)
+                self.directory.apply_table(table)
 
     def _change_configuration(self, change: ObjectChange) -> bool:
         if not change.gone:
@@ -362,7 +362,7 @@
 
     def _feed_failed(self) -> None:
         self._store_lost()
-        self._elector.look_now()
+        self._elector.check_store_now()
 
     def _store_regained(self) -> None:
         self._read_again()
@@ -370,12 +370,12 @@
     def _read_again(self) -> None:
         self._store.interrupt()
         for feed in self._feeds:
-            feed.nudge()
+            feed.wake()
 
     def _woke(self) -> None:
         """The machine was suspended: what waited for a time that is over goes on."""
         self._forwarder.end_overdue()
-        self._elector.woke()
+        self._elector.note_resumed()
         self._read_again()
 
     # ---- tasks ------------------------------------------------------------------------
@@ -402,9 +402,9 @@
                     self._elector,
                     self._dialect,
                     self._settings.lease_max_ms,
-                    self._relay.tell_map,
-                    self._relay.tell_granted,
-                    self._relay.tell_promoted,
+                    self._relay.publish_map,
+                    self._relay.publish_granted,
+                    self._relay.publish_promoted,
                 )
                 try:
                     self._leader.run()
@@ -438,8 +438,8 @@
             times,
             strength=self._elector.offered_strength,
             leaving=self.directory.leaving_ages_ms(),
-            resting=self.directory.servers.standings.resting(elapsed_ms()),
-            limits=self.directory.own_limits(),
+            backing_off=self.directory.servers.notices.backing_off(elapsed_ms()),
+            limits=self.directory.own_rate_limits(),
         )
 
     @property
@@ -450,10 +450,10 @@
         return frozenset(service.name for service in services if service.partitioned)
 
     def _take_load(self, report: LoadReport) -> None:
-        self.directory.hear_leaving(report.leaving, "another-node")
-        self.directory.hear_limits(report.limits, "another-node")
+        self.directory.note_leaving(report.leaving, "another-node")
+        self.directory.note_rate_limits(report.limits, "another-node")
         if self._leader is not None:
-            self._leader.take_report(report)
+            self._leader.add_report(report)
         if self._elector.should_hand_over(report.strength):
             gevent.spawn(self._elector.hand_over)
 
@@ -486,11 +486,13 @@
         metrics.gauge("leading", lambda: float(self.leads))
         metrics.gauge("servers", lambda: float(len(self.directory.servers.records)))
         metrics.gauge("evacuated_zones", lambda: float(len(self.directory.servers.evacuated)))
-        metrics.gauge("cold_servers", lambda: float(self.directory.servers.cold(elapsed_ms())))
-        standings = self.directory.servers.standings
-        metrics.gauge("leaving_servers", lambda: float(len(standings.leaving_ms)))
-        metrics.gauge("resting_servers", lambda: float(len(standings.resting(elapsed_ms()))))
-        metrics.gauge("limited_servers", lambda: float(len(standings.limit_per_s)))
+        metrics.gauge(
+            "cold_servers", lambda: float(self.directory.servers.count_cold(elapsed_ms()))
+        )
+        notices = self.directory.servers.notices
+        metrics.gauge("leaving_servers", lambda: float(len(notices.leaving_ms)))
+        metrics.gauge("resting_servers", lambda: float(len(notices.backing_off(elapsed_ms()))))
+        metrics.gauge("limited_servers", lambda: float(len(notices.limit_per_s)))
         metrics.gauge("configuration_version", lambda: float(table.version if table else 0))
         metrics.gauge("nodes", lambda: float(self._elector.node_count))
         metrics.gauge("connections", lambda: float(self._callers.open_connections))
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -25,15 +25,15 @@
 from ploverhatch.gateway.trial_permits import TrialPermits
 from ploverhatch.gateway.upstreams import Upstream
 from ploverhatch.quarantine import messages, saved
-from ploverhatch.quarantine.fingerprint import Fingerprint, shown
+from ploverhatch.quarantine.fingerprint import Fingerprint, format_digest
 from ploverhatch.quarantine.first_copies import FirstCopies
 from ploverhatch.quarantine.ledger import CrashLedger
-from ploverhatch.quarantine.messages import CrashesAsk, CrashesTold, ToldRecord
-from ploverhatch.quarantine.record import ServerEnd
+from ploverhatch.quarantine.messages import CrashQuery, CrashRecordEntry, CrashReport
+from ploverhatch.quarantine.record import CrashEvent
 
 LOG = PartLogger("quarantine")
 
-Send = Callable[[CrashesTold | CrashesAsk, Address], None]
+Send = Callable[[CrashReport | CrashQuery, Address], None]
 
 # The store entry of a crashed server is removed by then, after three missed heartbeats.
 UNRESOLVED_KEPT_MS = 6000.0
@@ -144,7 +144,7 @@
     @property
     def quarantined_count(self) -> int:
         """The number of request digests that are quarantined for some caller."""
-        return self._ledger.held(elapsed_ms())
+        return self._ledger.quarantined_count(elapsed_ms())
 
     @property
     def known_count(self) -> int:
@@ -186,7 +186,7 @@
 
     def _await_first_copy(self, call: Call, until_ms: float) -> None:
         """Wait briefly while the first copy of a request that has no answer yet is in flight."""
-        while (wait_ms := self._first_copies.ask(call.short_digest, call, elapsed_ms())) > 0:
+        while (wait_ms := self._first_copies.admit(call.short_digest, call, elapsed_ms())) > 0:
             left_ms = min(wait_ms, until_ms - elapsed_ms())
             if left_ms <= 0:
                 return
@@ -208,11 +208,11 @@
         """
         after_ms = 0.0
         while self._may_know(call):
-            decision = self._ledger.hold(call.fingerprint)
+            decision = self._ledger.decide(call.fingerprint)
             left_s = (decision.until_ms - elapsed_ms()) / 1000 if decision else 0.0
             if left_s > 0:
                 raise self._refusal(results.QUARANTINED, call, may_have_run, left_s)
-            if decision is None and not self._ledger.suspects(call.fingerprint.content):
+            if decision is None and not self._ledger.is_suspect(call.fingerprint.request_digest):
                 return 0.0
             if self._permits.has(call):
                 return 0.0
@@ -229,32 +229,32 @@
     def _refusal(
         self, result: Result, call: Call, may_have_run: bool, after_s: float
     ) -> RefusedError:
-        decision = self._ledger.hold(call.fingerprint)
-        record = self._ledger.get(call.fingerprint.content)
-        ends = decision.ends if decision else record.unanswered if record else ()
+        decision = self._ledger.decide(call.fingerprint)
+        record = self._ledger.get(call.fingerprint.request_digest)
+        ends = decision.crashes if decision else record.crashes_since_any_answer if record else ()
         reason = self._reason(ends) if ends else ""
         if may_have_run:
             return RefusedError(results.ANSWER_LOST, reason)
         return RefusedError(result, reason, after_s)
 
-    def _reason(self, ends: Sequence[ServerEnd]) -> str:
+    def _reason(self, ends: Sequence[CrashEvent]) -> str:
         last = ends[-1]
-        age_ms = elapsed_ms() - last.ended_ms
+        age_ms = elapsed_ms() - last.crashed_ms
         return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
     def note_finished(self, call: Call) -> None:
         """Note that a request has finished, so that another copy may go on trial."""
-        if self._first_copies.over(call.short_digest, call):
+        if self._first_copies.finish(call.short_digest, call):
             self._permits.changed.raise_()
         self._permits.release(call)
 
     def note_answer(self, call: Call) -> None:
         """Note that a server answered a request and so survived it."""
-        self._first_copies.answered(call.short_digest, elapsed_ms())
-        if not self._ledger.may_know(call.short_digest):
+        self._first_copies.note_answer(call.short_digest, elapsed_ms())
+        if not self._ledger.may_contain(call.short_digest):
             return
         if self._ledger.note_answer(call.fingerprint, elapsed_ms()):
-            self._note_change(call.fingerprint.content)
+            self._note_change(call.fingerprint.request_digest)
 
     def note_lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
         """Note that a server closed the connection before its answer; probe whether it crashed.
@@ -333,27 +333,27 @@
             after_ms=round(ended_ms - copy.sent_ms),
         )
         content, caller = copy.fingerprint
-        crash = ServerEnd(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
-        if self._ledger.note_end(content, crash):
+        crash = CrashEvent(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
+        if self._ledger.note_crash(content, crash):
             self._note_change(content)
 
     # ---- between nodes ------------------------------------------------------------------
 
     def log_suspect_send(self, call: Call, server_id: str) -> None:
         """Log that a request is sent although it is known to have crashed servers."""
-        record = self._ledger.get(call.fingerprint.content) if self._may_know(call) else None
-        if record is not None and record.unanswered:
+        record = self._ledger.get(call.fingerprint.request_digest) if self._may_know(call) else None
+        if record is not None and record.crashes_since_any_answer:
             LOG.info(
                 "Suspect request sent.",
                 request=call.trace.request_id,
                 content=call.fingerprint,
                 server=server_id,
-                ends=len(record.unanswered),
+                ends=len(record.crashes_since_any_answer),
             )
 
     def _may_know(self, call: Call) -> bool:
         """Whether a record of a request may exist; cheap, since it is called for each request."""
-        return self._ledger.may_know(call.short_digest)
+        return self._ledger.may_contain(call.short_digest)
 
     def _note_change(self, content: bytes) -> None:
         self._log_quarantine(content)
@@ -383,15 +383,15 @@
             for message in reports:
                 self._send(message, address)
 
-    def _reports(self, contents: Iterable[bytes]) -> list[CrashesTold]:
+    def _reports(self, contents: Iterable[bytes]) -> list[CrashReport]:
         now_ms = elapsed_ms()
-        records: list[ToldRecord] = []
+        records: list[CrashRecordEntry] = []
         for content in contents:
             record = self._ledger.get(content)
             if record is not None:
                 records.append(messages.encode(content, record, now_ms))
         starts = range(0, len(records), MAX_RECORDS_PER_REPORT)
-        return [CrashesTold(records[start : start + MAX_RECORDS_PER_REPORT]) for start in starts]
+        return [CrashReport(records[start : start + MAX_RECORDS_PER_REPORT]) for start in starts]
 
     def _affordable(self, members: list[Address], each: int) -> list[Address]:
         """Return the nodes to send to; a random part of them if the send budget is used up.
@@ -409,55 +409,59 @@
         self._send_budget -= len(chosen) * each
         return chosen
 
-    def handle_report(self, report: CrashesTold, _peer: Address) -> None:
+    def handle_report(self, report: CrashReport, _peer: Address) -> None:
         """Merge the records that another node sent."""
         now_ms = elapsed_ms()
         for record in report.records:
             if not self._merge(record, now_ms):
                 continue
-            self._log_quarantine(record.content)
+            self._log_quarantine(record.request_digest)
             self._permits.changed.raise_()
             # Nodes learn of a new node only after seconds, and until then it reports to the
             # leader.
             if self._leads():
-                self._report_soon(record.content)
-        if report.whole:
+                self._report_soon(record.request_digest)
+        if report.is_complete:
             self.mark_synced()
 
-    def _merge(self, entry: ToldRecord, now_ms: float) -> bool:
+    def _merge(self, entry: CrashRecordEntry, now_ms: float) -> bool:
         """Merge one record; return whether it contained anything new."""
-        before = self._ledger.get(entry.content)
+        before = self._ledger.get(entry.request_digest)
         received = messages.decode(entry, now_ms, self._ran_until_ms())
-        if not self._ledger.merge(entry.content, received):
+        if not self._ledger.merge(entry.request_digest, received):
             return False
-        after = self._ledger.get(entry.content)
-        if after is not None and after.unanswered and not (before and before.unanswered):
-            last = after.unanswered[-1]
+        after = self._ledger.get(entry.request_digest)
+        if (
+            after is not None
+            and after.crashes_since_any_answer
+            and not (before and before.crashes_since_any_answer)
+        ):
+            last = after.crashes_since_any_answer[-1]
             LOG.info(
                 "Crash report received.",
-                content=shown(entry.content),
+                content=format_digest(entry.request_digest),
                 server=last.server_id,
                 witness=last.witness,
-                ended_ms_ago=round(now_ms - last.ended_ms),
+                ended_ms_ago=round(now_ms - last.crashed_ms),
             )
         return True
 
-    def quarantined_records(self) -> list[ToldRecord]:
+    def quarantined_records(self) -> list[CrashRecordEntry]:
         """Return the records of quarantined requests, in the form in which they are saved."""
-        return saved.held_records(self._ledger, elapsed_ms())
+        return saved.quarantined_records(self._ledger, elapsed_ms())
 
-    def load(self, records: list[ToldRecord]) -> None:
+    def load(self, records: list[CrashRecordEntry]) -> None:
         """Load saved records and report them to the other nodes."""
         for content in saved.load(self._ledger, records, elapsed_ms()):
             self._note_change(content)
 
-    def handle_query(self, query: CrashesAsk, peer: Address) -> None:
+    def handle_query(self, query: CrashQuery, peer: Address) -> None:
         """Send all records to a node whose records differ, or that has just started."""
-        same = self._ledger.is_empty or query.summary == self._ledger.summary
+        same = self._ledger.is_empty or query.checksum == self._ledger.checksum
         if same and not query.just_started:
             return
-        reports = self._reports(content for content, _ in self._ledger) or [CrashesTold([])]
-        reports[-1] = CrashesTold(reports[-1].records, whole=True)
+        reports = self._reports(content for content, _ in self._ledger) or [CrashReport([])]
+        reports[-1] = CrashReport(reports[-1].records, is_complete=True)
         for address in self._affordable([peer], len(reports)):
             for message in reports:
                 self._send(message, address)
@@ -473,13 +477,13 @@
             self._expire_logged()
             members = list(self._members())
             if members:
-                self._send(CrashesAsk(self._ledger.summary), random.choice(members))
+                self._send(CrashQuery(self._ledger.checksum), random.choice(members))
 
     def _send_initial_queries(self) -> None:
         self._await_members(MEMBERS_TIMEOUT_S)
         members = list(self._members())
         for address in random.sample(members, min(INITIAL_QUERIES, len(members))):
-            self._send(CrashesAsk(self._ledger.summary, just_started=True), address)
+            self._send(CrashQuery(self._ledger.checksum, just_started=True), address)
         if members:
             self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
         self.mark_synced()
@@ -488,22 +492,22 @@
 
     def _log_quarantine(self, content: bytes) -> None:
         """Log when a request becomes quarantined, stays so for longer, or is released."""
-        decisions = self._ledger.holds(content)
+        decisions = self._ledger.decisions(content)
         if not decisions:
             if self._logged.pop(content, None):
-                LOG.info("Request no longer quarantined.", content=shown(content))
+                LOG.info("Request no longer quarantined.", content=format_digest(content))
             return
-        decision = max(decisions, key=lambda decision: len(decision.ends))
-        if len(decision.ends) <= self._logged.get(content, 0):
+        decision = max(decisions, key=lambda decision: len(decision.crashes))
+        if len(decision.crashes) <= self._logged.get(content, 0):
             return
-        self._logged[content] = len(decision.ends)
+        self._logged[content] = len(decision.crashes)
         now_ms = elapsed_ms()
         LOG.warning(
             "Request quarantined.",
-            content=shown(content),
+            content=format_digest(content),
             ends="|".join(
-                f"{end.server_id}@{end.witness}:{now_ms - end.ended_ms:.0f}"
-                for end in decision.ends
+                f"{end.server_id}@{end.witness}:{now_ms - end.crashed_ms:.0f}"
+                for end in decision.crashes
             ),
             for_s=round((decision.until_ms - now_ms) / 1000),
         )
@@ -515,4 +519,4 @@
 
 def _announced(upstream: Upstream) -> bool:
     """Whether a server announced that it is about to stop."""
-    return upstream.record.draining or upstream.record.says_it_leaves
+    return upstream.record.draining or upstream.record.announced_leaving
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -18,7 +18,7 @@
 from ploverhatch.gateway.directory import Directory
 from ploverhatch.gateway.upstreams import Upstream, UpstreamPool
 from ploverhatch.routing import balancer, sending
-from ploverhatch.routing.sending import Bar, HolderTimes
+from ploverhatch.routing.sending import Exclusion, HolderGracePeriods
 from ploverhatch.state.servers import ServerRecord
 
 JITTER_FRACTION = 0.15
@@ -50,16 +50,16 @@
     ) -> None:
         self._directory = directory
         self._pool = pool
-        self._times = HolderTimes.of(drain_ms, evacuate_ms)
+        self._times = HolderGracePeriods.of(drain_ms, evacuate_ms)
         # Servers that asked for a backoff and haven't recovered.
         self._backed_off: set[str] = set()
 
-    def exclusion(self, call: Call, server_id: str) -> Bar | None:
+    def exclusion(self, call: Call, server_id: str) -> Exclusion | None:
         """Return why a request may not be sent to a server now, or ``None`` if it may.
 
         This check applies to first attempts and retries, with and without a key or a shared slot.
         """
-        return sending.bar(
+        return sending.find_exclusion(
             self._directory.servers,
             server_id,
             call.partitioned,
@@ -130,13 +130,13 @@
 
         They are backing off, or are recovering and have no capacity left for this node.
         """
-        standings, now_ms = self._directory.servers.standings, elapsed_ms()
+        notices, now_ms = self._directory.servers.notices, elapsed_ms()
         excluded = []
         for server_id in list(self._backed_off):
             upstream = self._pool.get(server_id)
             if upstream is None or not upstream.recovering:
                 self._backed_off.discard(server_id)
-            elif standings.rest_left_ms(server_id, now_ms) > 0 or not upstream.has_capacity:
+            elif notices.backoff_left_ms(server_id, now_ms) > 0 or not upstream.has_capacity:
                 excluded.append(server_id)
         return tuple(sorted(excluded))
 
@@ -146,7 +146,7 @@
         A rate limit holds for all nodes together, and only the dispatcher counts for all of them.
         """
         servers = self._directory.servers
-        if record.server_id in servers.standings.limit_per_s:
+        if record.server_id in servers.notices.limit_per_s:
             return True
         cold = servers.is_cold(record.server_id, elapsed_ms())
         return cold and self._directory.cold_per_s(record.service) > 0
@@ -191,15 +191,15 @@
     def _unservable_at(self, call: Call, server_ids: Collection[str]) -> Unservable | None:
         exclusions = {server_id: self.exclusion(call, server_id) for server_id in server_ids}
         backing_off = [
-            server_id for server_id, exclusion in exclusions.items() if exclusion is Bar.RESTS
+            server_id for server_id, exclusion in exclusions.items() if exclusion is Exclusion.RESTS
         ]
         if not exclusions or not all(exclusions.values()):
             return None
         if backing_off:
             return self._until_backoff_ends(backing_off)
-        if not all(exclusion is Bar.LEAVES for exclusion in exclusions.values()):
+        if not all(exclusion is Exclusion.LEAVES for exclusion in exclusions.values()):
             return None
-        announced_ms = self._directory.servers.standings.leaving_ms
+        announced_ms = self._directory.servers.notices.leaving_ms
         announced = {
             name: elapsed_ms() - announced_ms[name] for name in exclusions if name in announced_ms
         }
@@ -212,9 +212,9 @@
 
     def _until_backoff_ends(self, server_ids: Collection[str]) -> Unservable:
         """Return a refusal until the first backoff ends, with retries spread from then on."""
-        standings, now_ms = self._directory.servers.standings, elapsed_ms()
+        notices, now_ms = self._directory.servers.notices, elapsed_ms()
         left_ms, server_id = min(
-            (standings.rest_left_ms(name, now_ms), name) for name in server_ids
+            (notices.backoff_left_ms(name, now_ms), name) for name in server_ids
         )
         after_s = (left_ms + random.uniform(0.0, BACKOFF_SPREAD_MS)) / 1000
         detail = f"{server_id}:rests-{left_ms:.0f}-ms,{len(server_ids)}-rest"
@@ -222,7 +222,7 @@
 
     def _closed_by_operator(self, record: ServerRecord, call: Call) -> bool:
         """Whether an evacuation or the route's regions rule a server out."""
-        return record.evacuated or not record.lies_in(call.route.regions)
+        return record.evacuated or not record.in_regions(call.route.regions)
 
     def wait_until_ms(self, call: Call) -> float:
         """Return until when a request waits for a server, in elapsed milliseconds.
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -18,17 +18,23 @@
 
 from ploverhatch.admission import groups
 from ploverhatch.admission.dispatcher import (
-    Answer,
-    Asker,
-    Given,
     Group,
-    Queued,
-    TurnedAway,
-    Wish,
+    Requester,
+    SlotGranted,
+    SlotQueued,
+    SlotRejected,
+    SlotRequest,
+    SlotResult,
 )
 from ploverhatch.admission.dispatcher_choice import UNREACHABLE_MS, DispatcherChoice
 from ploverhatch.admission.groups import GroupName
-from ploverhatch.admission.messages import HeldAsk, HeldWord, SlotAsk, SlotReturn, SlotWord
+from ploverhatch.admission.messages import (
+    HeldSlotsReply,
+    HeldSlotsRequest,
+    SlotRelease,
+    SlotReply,
+    SlotRequestMessage,
+)
 from ploverhatch.admission.request_rate import RequestRate, ServerBounds
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
@@ -143,10 +149,10 @@
 
     def __init__(self) -> None:
         self.asked: Address = ("", 0)  # The node that was asked last.
-        self.reply: SlotWord | None = None
+        self.reply: SlotReply | None = None
         self._changed = Event()
 
-    def accept(self, reply: SlotWord) -> None:
+    def accept(self, reply: SlotReply) -> None:
         """Accept a reply, unless it only repeats that the request is queued."""
         if self.reply is None or not reply.queued:
             self.reply = reply
@@ -208,11 +214,11 @@
         self._queues: dict[GroupName, _Queue] = {}
         self._rates: dict[str, RequestRate] = {}  # By server, over all queues.
         self._handlers: dict[type, Callable[..., None]] = {
-            SlotAsk: self._handle_request,
-            SlotWord: self._handle_reply,
-            SlotReturn: self._handle_release,
-            HeldAsk: self._handle_held_request,
-            HeldWord: self._handle_held_reply,
+            SlotRequestMessage: self._handle_request,
+            SlotReply: self._handle_reply,
+            SlotRelease: self._handle_release,
+            HeldSlotsRequest: self._handle_held_request,
+            HeldSlotsReply: self._handle_held_reply,
         }
         self.leaving = False  # Set once this node is about to stop and grants nothing more.
 
@@ -281,8 +287,8 @@
             if reply is not None and reply.server:
                 slot.server_id, slot.dispatcher = reply.server, asked[-1]
                 self._note_granted(number, name, slot, requirements.hold_ms)
-            elif reply is not None and reply.after_ms > 0:
-                raise TurnedAwayError(reply.after_ms, asked[-1])
+            elif reply is not None and reply.retry_after_ms > 0:
+                raise TurnedAwayError(reply.retry_after_ms, asked[-1])
             yield slot if slot.server_id else None
         finally:
             del self._pending[number]
@@ -295,7 +301,7 @@
         requirements: SlotRequirements,
         wait_ms: float,
         asked: list[str],
-    ) -> SlotWord | None:
+    ) -> SlotReply | None:
         """Return a dispatcher's final reply; ask the next node if one stops or doesn't answer.
 
         :param asked: receives the nodes that may have granted a slot; the reply is the last one's.
@@ -303,7 +309,7 @@
         pending, start_ms, unresponsive = self._pending[number], elapsed_ms(), 0
         for _ in range(MAX_NODES_ASKED):
             spent_ms = elapsed_ms() - start_ms
-            node = self._choice.asked(name, self._members(), elapsed_ms())
+            node = self._choice.choose(name, self._members(), elapsed_ms())
             if not node or (
                 unresponsive and (spent_ms >= wait_ms or self._limits_unenforced(name, node))
             ):
@@ -322,7 +328,7 @@
             if unresponsive >= MAX_UNRESPONSIVE_NODES:
                 return None
             if reply is not None:
-                self._choice.stops(node, elapsed_ms())
+                self._choice.note_stopping(node, elapsed_ms())
                 pending.reply = None
         return None
 
@@ -342,7 +348,7 @@
         """Release a slot, or a place in the queue, at all dispatchers that may count it."""
         held = self._held.pop(number, None)
         dispatchers: set[Address] = {HostPort.parse(node) for node in asked}
-        message = SlotReturn(
+        message = SlotRelease(
             number,
             name.service,
             name.zone,
@@ -351,7 +357,7 @@
             slot.failed,
             slot.unanswered,
             name.regions,
-            self._directory.limits_of([slot.server_id]),
+            self._directory.rate_limits_of([slot.server_id]),
         )
         for address in dispatchers | (held.dispatchers if held else set()):
             self._send(message, address)
@@ -363,8 +369,8 @@
         requirements: SlotRequirements,
         wait_ms: float,
         asked: str,
-    ) -> SlotAsk:
-        return SlotAsk(
+    ) -> SlotRequestMessage:
+        return SlotRequestMessage(
             number,
             name.service,
             name.zone,
@@ -377,7 +383,7 @@
             requirements.avoid,
             name.regions,
             requirements.excluded,
-            self._directory.limits_of(self._limited_servers(name)),
+            self._directory.rate_limits_of(self._limited_servers(name)),
             self._may_have_other_dispatcher(name, asked),
         )
 
@@ -386,11 +392,11 @@
         node, at_ms = self._served_by.get(name, ("", 0.0))
         if node and elapsed_ms() - at_ms < OTHER_DISPATCHER_MS:
             return node != asked
-        return asked != groups.dispatcher(name, self._members(), ())
+        return asked != groups.dispatcher_of(name, self._members(), ())
 
     def _limited_servers(self, name: GroupName) -> list[str]:
         """Return the servers of a group that announced a rate limit."""
-        limits = self._directory.servers.standings.limits
+        limits = self._directory.servers.notices.limits
         if not limits:
             return []
         records = self._directory.servers.of_service(name.service)
@@ -406,7 +412,7 @@
 
         :raises TurnedAwayError: when the request is for a holder that has a rate limit.
         """
-        limit_per_s = self._directory.servers.standings.limit_per_s
+        limit_per_s = self._directory.servers.notices.limit_per_s
         limited = [
             server_id for server_id in self._limited_servers(name) if server_id in limit_per_s
         ]
@@ -415,15 +421,15 @@
         return replace(requirements, excluded=tuple(sorted({*requirements.excluded, *limited})))
 
     def _send_request(
-        self, message: SlotAsk, pending: _PendingRequest, node: str
-    ) -> SlotWord | None:
+        self, message: SlotRequestMessage, pending: _PendingRequest, node: str
+    ) -> SlotReply | None:
         """Send a slot request; return the reply, or ``None`` if none comes in time."""
         address = pending.asked = HostPort.parse(node)
         for _ in range(MAX_TRIES):
             self._send(message, address)
             if pending.wait(REPLY_TIMEOUT_S):
                 return pending.reply
-        if self._choice.not_answered(node, elapsed_ms()):
+        if self._choice.note_no_answer(node, elapsed_ms()):
             LOG.info(
                 "Dispatcher does not answer.",
                 node=node,
@@ -432,12 +438,12 @@
             )
         return None
 
-    def _await_slot(self, pending: _PendingRequest, reply: SlotWord, wait_ms: float) -> SlotWord:
+    def _await_slot(self, pending: _PendingRequest, reply: SlotReply, wait_ms: float) -> SlotReply:
         """Wait for the final reply to a request that is queued."""
         if pending.reply is reply:
             pending.wait(wait_ms / 1000 + REPLY_MARGIN_S)
         if pending.reply is None or pending.reply is reply:
-            return SlotWord(reply.number, after_ms=wait_ms)
+            return SlotReply(reply.number, retry_after_ms=wait_ms)
         return pending.reply
 
     # ---- messages -----------------------------------------------------------------------
@@ -446,9 +452,9 @@
         """Handle a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
-    def _handle_reply(self, reply: SlotWord, peer: Address) -> None:
+    def _handle_reply(self, reply: SlotReply, peer: Address) -> None:
         if not reply.leaving:
-            self._choice.answered(f"{peer[0]}:{peer[1]}")
+            self._choice.note_answer(f"{peer[0]}:{peer[1]}")
         pending = self._pending.get(reply.number)
         if pending is None:
             return  # The request has finished and has released everything.
@@ -456,18 +462,18 @@
             return  # A repeated reply of a node that was skipped.
         pending.accept(reply)
 
-    def _handle_request(self, message: SlotAsk, peer: Address) -> None:
+    def _handle_request(self, message: SlotRequestMessage, peer: Address) -> None:
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         ceded_ms = self._ceded_ms.get(name, -1e12)
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
-            self._send(SlotWord(message.number, leaving=True), peer)
+            self._send(SlotReply(message.number, leaving=True), peer)
             return
-        self._directory.hear_limits(message.limits, LIMIT_SOURCE)
+        self._directory.note_rate_limits(message.limits, LIMIT_SOURCE)
         now_ms = elapsed_ms()
         is_new = name not in self._queues
         queue = self._queues.setdefault(name, _Queue(Group(rates=self._rates)))
         queue.used_ms = now_ms
-        if is_new or (message.elsewhere and now_ms - queue.asked_ms >= RELEARN_MS):
+        if is_new or (message.served_elsewhere and now_ms - queue.asked_ms >= RELEARN_MS):
             self._query_held_slots(name, queue, now_ms)
         if now_ms - queue.refreshed_ms > REFRESH_MS:
             servers = self._directory.servers
@@ -475,17 +481,17 @@
             records = groups.members_of(name, servers.of_service(message.service))
             queue.group.set_members(records, now_ms, bounds)
             queue.refreshed_ms = now_ms
-        request = Wish(
-            Asker(peer, message.number),
+        request = SlotRequest(
+            Requester(peer, message.number),
             message.priority,
             now_ms + message.useful_ms,
             now_ms + message.wait_ms,
-            message.hold_ms,
+            message.lease_ms,
             message.avoid,
             message.zone,
-            frozenset(message.barred),
+            frozenset(message.excluded),
         )
-        self._send_results(queue.group.ask(request, now_ms))
+        self._send_results(queue.group.request_slot(request, now_ms))
 
     def _query_held_slots(self, name: GroupName, queue: _Queue, now_ms: float) -> None:
         """Ask all nodes which slots they hold, since another dispatcher may have granted some."""
@@ -493,12 +499,12 @@
         queue.awaited = {HostPort.parse(member) for member in self._members()}
         if not queue.awaited:
             return
-        queue.group.learn(now_ms + MAX_LEARN_MS)
-        message = HeldAsk(name.service, name.zone, name.holder, name.regions)
+        queue.group.start_learning(now_ms + MAX_LEARN_MS)
+        message = HeldSlotsRequest(name.service, name.zone, name.holder, name.regions)
         for address in queue.awaited:
             self._send(message, address)
 
-    def _handle_held_request(self, message: HeldAsk, peer: Address) -> None:
+    def _handle_held_request(self, message: HeldSlotsRequest, peer: Address) -> None:
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         now_ms = elapsed_ms()
         self._cede(name, f"{peer[0]}:{peer[1]}", now_ms)
@@ -507,7 +513,7 @@
             if held.name == name:
                 held.dispatchers.add(peer)
                 entries.append((number, held.server_id, held.until_ms - now_ms))
-        reply = HeldWord(
+        reply = HeldSlotsReply(
             message.service,
             message.group_zone,
             message.holder,
@@ -522,27 +528,27 @@
         Otherwise both nodes would grant the same slots, each to the nodes that regard it as the
         dispatcher.
         """
-        self._choice.returned(other)
+        self._choice.note_return(other)
         members = self._members()
         both = {node: members[node] for node in (other, self._own_address) if node in members}
-        if len(both) < 2 or groups.dispatcher(name, both, ()) != other:
+        if len(both) < 2 or groups.dispatcher_of(name, both, ()) != other:
             return
         self._ceded_ms[name] = now_ms
         queue = self._queues.pop(name, None)
         if queue is not None:
             self._redirect(queue)
 
-    def _handle_held_reply(self, reply: HeldWord, peer: Address) -> None:
+    def _handle_held_reply(self, reply: HeldSlotsReply, peer: Address) -> None:
         name = GroupName(reply.service, reply.group_zone, reply.holder, reply.regions)
         queue = self._queues.get(name)
         if queue is None or peer not in queue.awaited:
             return
         now_ms = elapsed_ms()
         for number, server_id, left_ms in reply.held:
-            queue.group.adopt(Asker(peer, number), server_id, left_ms, now_ms)
+            queue.group.adopt(Requester(peer, number), server_id, left_ms, now_ms)
         queue.awaited.discard(peer)
         if not queue.awaited:
-            self._send_results(queue.group.learned(now_ms))
+            self._send_results(queue.group.finish_learning(now_ms))
 
     def _bounds(self, name: GroupName) -> ServerBounds:
         """Return the request rates that bound the servers of a group whose queue this node keeps.
@@ -559,27 +565,27 @@
         return ServerBounds(
             servers.cold_until_ms,
             self._directory.cold_per_s(name.service),
-            servers.standings.limit_per_s,
+            servers.notices.limit_per_s,
             0.0 if self.leaving else share,
         )
 
     def _enforces_limits(self, name: GroupName, node: str) -> bool:
-        return self._choice.enforces(name, node, self._members(), elapsed_ms())
+        return self._choice.enforces_limits(name, node, self._members(), elapsed_ms())
 
-    def _handle_release(self, message: SlotReturn, peer: Address) -> None:
-        self._directory.hear_limits(message.limits, LIMIT_SOURCE)
+    def _handle_release(self, message: SlotRelease, peer: Address) -> None:
+        self._directory.note_rate_limits(message.limits, LIMIT_SOURCE)
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         queue = self._queues.get(name)
         if queue is not None:
-            requester = Asker(peer, message.number)
-            took_ms, failed, unanswered = message.took_ms, message.failed, message.unanswered
+            requester = Requester(peer, message.number)
+            took_ms, failed, unanswered = message.service_ms, message.failed, message.unanswered
             self._send_results(
-                queue.group.give_back(requester, took_ms, failed, elapsed_ms(), unanswered)
+                queue.group.release(requester, took_ms, failed, elapsed_ms(), unanswered)
             )
 
-    def _send_results(self, answers: list[Answer]) -> None:
+    def _send_results(self, answers: list[SlotResult]) -> None:
         for answer in answers:
-            self._send(_reply(answer), answer.asker.node)
+            self._send(_reply(answer), answer.requester.node)
 
     def redirect_waiting(self) -> None:
         """Redirect waiting requests to the nodes that keep the queues from now on.
@@ -590,8 +596,8 @@
             self._redirect(queue)
 
     def _redirect(self, queue: _Queue) -> None:
-        for requester in queue.group.dismiss():
-            self._send(SlotWord(requester.number, leaving=True), requester.node)
+        for requester in queue.group.clear_queue():
+            self._send(SlotReply(requester.number, leaving=True), requester.node)
 
     def _expire_records(self, now_ms: float) -> None:
         ceded, served_by = self._ceded_ms, self._served_by
@@ -615,10 +621,10 @@
             now_ms = elapsed_ms()
             self._expire_records(now_ms)
             for name, queue in list(self._queues.items()):
-                if self.leaving or (queue.group.waiting and queue.group.gives_nothing(now_ms)):
+                if self.leaving or (queue.group.waiting and queue.group.grants_nothing(now_ms)):
                     self._redirect(queue)
                 if queue.group.is_learning and now_ms - queue.asked_ms >= LEARN_MS:
-                    self._send_results(queue.group.learned(now_ms))
+                    self._send_results(queue.group.finish_learning(now_ms))
                 if queue.group.waiting:
                     self._send_results(queue.group.expire(now_ms))
                 elif now_ms - queue.used_ms > IDLE_QUEUE_MS:
@@ -626,10 +632,12 @@
                     self._drop_unused_rates()
 
 
-def _reply(answer: Answer) -> SlotWord:
-    number = answer.asker.number
-    if isinstance(answer, Given):
-        return SlotWord(number, answer.server_id)
-    if isinstance(answer, Queued):
-        return SlotWord(number, queued=True)
-    return SlotWord(number, after_ms=answer.after_ms if isinstance(answer, TurnedAway) else 0.0)
+def _reply(answer: SlotResult) -> SlotReply:
+    number = answer.requester.number
+    if isinstance(answer, SlotGranted):
+        return SlotReply(number, answer.server_id)
+    if isinstance(answer, SlotQueued):
+        return SlotReply(number, queued=True)
+    return SlotReply(
+        number, retry_after_ms=answer.retry_after_ms if isinstance(answer, SlotRejected) else 0.0
+    )
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -19,7 +19,7 @@
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.signal import Signal
 from ploverhatch.gateway.call import Call
-from ploverhatch.quarantine.messages import TrialAsk, TrialMessage, TrialOver, TrialWord
+from ploverhatch.quarantine.messages import TrialFinished, TrialMessage, TrialReply, TrialRequest
 from ploverhatch.quarantine.trials import PERMIT_MS, Trials
 
 LOG = PartLogger("quarantine")
@@ -83,7 +83,7 @@
 
     def has(self, call: Call) -> bool:
         """Whether a request holds a permit that is valid for long enough to send it."""
-        claim = self._claims.get(call.fingerprint.content)
+        claim = self._claims.get(call.fingerprint.request_digest)
         if claim is None or claim.call is not call or not claim.granted:
             return False
         return claim.until_ms - elapsed_ms() > PERMIT_MS / 2
@@ -93,7 +93,7 @@
 
         A request that already holds the permit gets it for the full time again.
         """
-        content = call.fingerprint.content
+        content = call.fingerprint.request_digest
         now_ms = elapsed_ms()
         claim = self._claims.get(content)
         number = next(self._numbers)
@@ -121,9 +121,9 @@
                 self.changed.raise_()
 
     def _finish(self, content: bytes, claim: _Claim) -> None:
-        self._trials.end(content, claim.number)
+        self._trials.release(content, claim.number)
         if claim.leader is not None:
-            self._send(TrialOver(content, claim.number), claim.leader)
+            self._send(TrialFinished(content, claim.number), claim.leader)
 
     def expire(self) -> None:
         """Drop expired claims."""
@@ -137,15 +137,15 @@
         leader = self._leader()
         if leader is not None and elapsed_ms() >= self._skip_leader_until_ms:
             claim.leader = leader
-            after_ms = self._ask_leader(leader, TrialAsk(content, claim.number))
+            after_ms = self._ask_leader(leader, TrialRequest(content, claim.number))
             if after_ms is not None:
                 return after_ms
             LOG.info("Leader did not answer a trial request.", node=f"{leader[0]}:{leader[1]}")
             self._skip_leader_until_ms = elapsed_ms() + SKIP_LEADER_MS
         claim.leader = None
-        return self._trials.ask(content, claim.number, elapsed_ms())
+        return self._trials.acquire(content, claim.number, elapsed_ms())
 
-    def _ask_leader(self, node: Node, request: TrialAsk) -> float | None:
+    def _ask_leader(self, node: Node, request: TrialRequest) -> float | None:
         reply = self._replies[request.number] = AsyncResult()
         try:
             waits = overslept = 0
@@ -166,19 +166,21 @@
             del self._replies[request.number]
         return None
 
-    def handle_request(self, request: TrialAsk, peer: Node) -> None:
+    def handle_request(self, request: TrialRequest, peer: Node) -> None:
         """Answer a request of another node, for which this node is the leader."""
-        after_ms = self._trials.ask(request.content, (peer, request.number), elapsed_ms())
-        self._send(TrialWord(request.number, after_ms), peer)
+        after_ms = self._trials.acquire(
+            request.request_digest, (peer, request.number), elapsed_ms()
+        )
+        self._send(TrialReply(request.number, after_ms), peer)
 
-    def handle_reply(self, reply: TrialWord, peer: Node) -> None:
+    def handle_reply(self, reply: TrialReply, peer: Node) -> None:
         """Handle the leader's reply; even a late one shows that the leader is running."""
         if peer == self._leader():
             self._skip_leader_until_ms = -math.inf
         pending = self._replies.get(reply.number)
         if pending is not None:
-            pending.set(reply.after_ms)
+            pending.set(reply.retry_after_ms)
 
-    def handle_finished(self, message: TrialOver, peer: Node) -> None:
+    def handle_finished(self, message: TrialFinished, peer: Node) -> None:
         """Release the permit of a trial that has finished."""
-        self._trials.end(message.content, (peer, message.number))
+        self._trials.release(message.request_digest, (peer, message.number))
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -17,8 +17,8 @@
 from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import Route, RouteTable, Service, ServiceShare
 from ploverhatch.sharding.keymap import LAST_KEY, Holder, KeyMap, KeyRange
+from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.state.servers import ServerRecord
-from ploverhatch.state.standing import ServerNotice
 from tests.standin.upstream import RawUpstream, Upstream
 
 PLAIN, KEYED = "plain", "keyed"
@@ -56,7 +56,7 @@
         self.budget = SharedRetryBudget(ratio=0.2, slack=50.0, window_s=10.0)
         self.forwarder = Forwarder(self.directory, self.pool, PlatformDialect(), self.budget)
         services = {PLAIN: Service(PLAIN, False, 100), KEYED: Service(KEYED, True, 100)}
-        self.directory.take_table(RouteTable(1, {b"h.example": ROUTES}, services))
+        self.directory.apply_table(RouteTable(1, {b"h.example": ROUTES}, services))
 
     def add(self, upstream, server_id="", service=PLAIN):
         record = ServerRecord(
@@ -346,7 +346,7 @@
     shares = (ServiceShare(PLAIN, 1.0), ServiceShare("empty", 1.0))
     split = route("split", PLAIN, repeatable=True, shares=shares)
     services = {name: Service(name, False, 100) for name in (PLAIN, "empty")}
-    bench.directory.take_table(RouteTable(2, {b"h.example": (split,)}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": (split,)}, services))
     statuses = [bench.ask(b"/split/").status for _ in range(6)]
     assert sorted(statuses) == [200] * 3 + [503] * 3
     assert len(upstream.ran) == 3
@@ -544,7 +544,7 @@
         name: replace(service, cold_ms=3000.0, cold_per_s=per_s)
         for name, service in bench.directory.table.services.items()
     }
-    bench.directory.take_table(RouteTable(2, {b"h.example": ROUTES}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": ROUTES}, services))
 
 
 def test_a_cold_server_gets_nothing_from_a_node_without_a_dispatcher(bench):
@@ -581,7 +581,7 @@
     bench.directory.servers.regions = regions
     routes = tuple(replace(item, regions=frozenset({"home"})) for item in ROUTES)
     services = bench.directory.table.services
-    bench.directory.take_table(RouteTable(2, {b"h.example": routes}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": routes}, services))
 
 
 def add_in(bench, upstream, zone, service=PLAIN):
@@ -631,7 +631,7 @@
 
 # ---- servers that leave or ask for a backoff ----------------------------------------------
 
-BACKOFF = ServerNotice(rest_ms=3000.0)
+BACKOFF = ServerNotice(backoff_ms=3000.0)
 LEAVES = ServerNotice(leaving=True)
 
 
@@ -646,7 +646,7 @@
     @contextmanager
     def hold(self, requirements):
         with super().hold(requirements) as slot:
-            self.bench.directory.take_notice("u1", self.notice)
+            self.bench.directory.apply_notice("u1", self.notice)
             yield slot
 
 
@@ -669,7 +669,7 @@
     open_connection = used.connection
 
     def open_after_notice(timeout_s):
-        bench.directory.take_notice("u1", notice)
+        bench.directory.apply_notice("u1", notice)
         return open_connection(timeout_s)
 
     monkeypatch.setattr(used, "connection", open_after_notice)
@@ -696,7 +696,7 @@
 def test_a_rejected_single_attempt_is_refused_with_the_backoff_time(bench):
     once = route("one", PLAIN, repeatable=False, max_attempts=1)
     services = {PLAIN: Service(PLAIN, False, 100)}
-    bench.directory.take_table(RouteTable(2, {b"h.example": (once,)}, services))
+    bench.directory.apply_table(RouteTable(2, {b"h.example": (once,)}, services))
     upstream = Upstream("u1")
     upstream.behaviour.rest_s = 1.5
     bench.add(upstream)
@@ -711,7 +711,7 @@
     slots = use_shared_slots(bench, GrantedSlots("u1", "u2", "u2"))
     bench.ask(b"/once/", b"POST")
     bench.pool.get("u1").note_backoff()
-    bench.directory.take_notice("u1", BACKOFF)
+    bench.directory.apply_notice("u1", BACKOFF)
     bench.forwarder._choice.note_backoff("u1")
     bench.ask(b"/once/", b"POST")
     assert [request.excluded for request in slots.requests] == [(), ("u1",)]
@@ -721,7 +721,7 @@
     holder = Upstream("u1", sharded=True)
     bench.own_keys(bench.add(holder, service=KEYED))
     now_ms = elapsed_ms()
-    assert bench.directory.servers.hear_leaving("u1", now_ms - 1300.0, now_ms)
+    assert bench.directory.servers.note_reported_leaving("u1", now_ms - 1300.0, now_ms)
     reply = bench.ask(b"/key/", headers=((b"Shard-Key", b"5"),))
     assert elapsed_ms() - now_ms < 50.0
     assert (reply.status, holder.arrived) == (503, [])
@@ -730,7 +730,7 @@
 def test_if_all_servers_leave_a_request_without_a_key_is_refused_at_once(bench):
     upstream = Upstream("u1")
     bench.add(upstream)
-    bench.directory.take_notice("u1", LEAVES)
+    bench.directory.apply_notice("u1", LEAVES)
     started = elapsed_ms()
     assert bench.ask(b"/read/").status == 503
     assert elapsed_ms() - started < 50.0
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -15,7 +15,7 @@
     UNREACHABLE_MS,
     TurnedAwayError,
 )
-from ploverhatch.state.standing import NO_LIMIT, ServerNotice
+from ploverhatch.state.server_notices import NO_LIMIT, ServerNotice
 from tests.functional.test_shared_slots import Cluster, record, requirements
 
 LIMIT = ServerNotice(limit_per_s=2.5)
@@ -44,7 +44,7 @@
     """Return the nodes in their rank as dispatchers of a group."""
     names = []
     for _ in cluster.nodes:
-        names.append(groups.dispatcher(name, cluster.zones, set(names)))
+        names.append(groups.dispatcher_of(name, cluster.zones, set(names)))
     return [next(node for node in cluster.nodes if node.name == name) for name in names]
 
 
@@ -66,9 +66,9 @@
     first, second, _ = in_order(cluster)
     with second.slots.hold(requirements()) as slot:
         assert slot.dispatcher == first.name
-        second.directory.take_notice("s0", LIMIT)
+        second.directory.apply_notice("s0", LIMIT)
     gevent.sleep(0.05)
-    assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
+    assert first.directory.servers.notices.limit_per_s == {"s0": 2.5}
     assert len(granted_servers(second, 1.5)) <= 5
 
 
@@ -77,12 +77,12 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in (second, third):
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     with ExitStack() as held:
         cluster.hold_all(held, 1, cluster.nodes.index(third))
         with pytest.raises(TurnedAwayError):
             cluster.hold_all(held, 1, cluster.nodes.index(third), wait_ms=40.0)
-    assert first.directory.servers.standings.limit_per_s == {"s0": 2.5}
+    assert first.directory.servers.notices.limit_per_s == {"s0": 2.5}
     assert len(granted_servers(third, 1.0)) <= 4
 
 
@@ -90,12 +90,12 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     gevent.sleep(0.5)
     with second.slots.hold(requirements(wait_ms=1000.0)):
-        second.directory.take_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
+        second.directory.apply_notice("s0", ServerNotice(limit_per_s=NO_LIMIT), elapsed_ms())
     gevent.sleep(0.05)
-    assert first.directory.servers.standings.limit_per_s == {}
+    assert first.directory.servers.notices.limit_per_s == {}
     assert len(granted_servers(third, 0.5)) > 20
 
 
@@ -105,11 +105,13 @@
     cluster = start(record(0), record(1))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     lost = iter([True, True])  # Both tries of one slot request.
-    third.lost = lambda message: type(message).__name__ == "SlotAsk" and next(lost, False)
+    third.lost = lambda message: (
+        type(message).__name__ == "SlotRequestMessage" and next(lost, False)
+    )
     servers = granted_servers(third, 0.8)
-    assert first.name in third.slots._choice.passed(elapsed_ms())
+    assert first.name in third.slots._choice.skipped(elapsed_ms())
     assert set(servers) == {"s1"}  # The second node in rank grants only unlimited servers.
     gevent.sleep(0.5)
     assert "s0" in granted_servers(third, 1.0)
@@ -119,7 +121,7 @@
     cluster = start(record(0))
     name = GroupName("svc", "a", "s0")
     first, _, third = in_order(cluster, name)
-    third.directory.take_notice("s0", LIMIT)
+    third.directory.apply_notice("s0", LIMIT)
     first.lost = lambda message: True
     with third.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is None
@@ -134,7 +136,7 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     first.lost = lambda message: True
     granted_servers(second, UNREACHABLE_MS / 1000 + 0.3)
     granted_servers(third, UNREACHABLE_MS / 1000 + 0.3)
@@ -147,7 +149,7 @@
     cluster = start(record(0))
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     with ExitStack() as held:
         granted_servers(third, 0.3)
         waiting = gevent.spawn(hold, third, requirements(wait_ms=2000.0))
@@ -170,7 +172,7 @@
     cluster = start(record(0))
     first, _, third = in_order(cluster)
     for node in cluster.nodes:
-        node.directory.take_notice("s0", ServerNotice(limit_per_s=10.0))
+        node.directory.apply_notice("s0", ServerNotice(limit_per_s=10.0))
     first.slots._started_ms = elapsed_ms()
     assert len(granted_servers(third, 2.0)) <= 2 * 10 * STANDBY_SHARE + 2
 
@@ -182,7 +184,7 @@
     for node in cluster.nodes:
         node.directory.servers.regions = {"a": "home"}
         node.directory.replace_servers([record(0)])
-        node.directory.take_notice("s0", LIMIT)
+        node.directory.apply_notice("s0", LIMIT)
     ways = [frozenset(), frozenset({"home"}), frozenset({"home", "abroad"})]
     tasks = [
         gevent.spawn(granted_servers, cluster.nodes[0], 3.0, regions=regions) for regions in ways
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -46,7 +46,7 @@
         )
         self.lost = lambda message: False
         self.slots = SharedSlots(zone, self.directory, lambda: cluster.zones, self.send)
-        self.link.take_slots(self.slots.handle_message)
+        self.link.add_slot_handler(self.slots.handle_message)
         self.tasks = [
             gevent.spawn(self.link.receive_forever),
             gevent.spawn(self.slots.expire_forever),
@@ -116,7 +116,7 @@
 
 
 def test_servers_of_the_own_zone_come_first_and_others_when_they_are_full(start, monkeypatch):
-    monkeypatch.setattr(groups, "MOST_SERVERS", 1)
+    monkeypatch.setattr(groups, "MAX_GROUP_SERVERS", 1)
     cluster = start([record(0, "a"), record(1, "b")])
     with ExitStack() as held:
         granted = cluster.hold_all(held, 6)
@@ -165,7 +165,7 @@
 
 
 def test_the_time_spent_in_the_own_zone_is_not_spent_again(start, monkeypatch):
-    monkeypatch.setattr(groups, "MOST_SERVERS", 1)
+    monkeypatch.setattr(groups, "MAX_GROUP_SERVERS", 1)
     cluster = start([record(0, "a"), record(1, "b")])
     with ExitStack() as held:
         cluster.hold_all(held, 6)
@@ -191,7 +191,7 @@
 
 def test_a_slot_whose_release_is_lost_becomes_free(start):
     cluster = start([record(0)])
-    cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotReturn"
+    cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotRelease"
     for _ in range(3):
         with cluster.nodes[0].slots.hold(requirements(holder=record(0), hold_ms=150.0)) as slot:
             assert slot is not None
@@ -204,7 +204,7 @@
     nodes = cluster.nodes
     dispatcher = dispatcher_of(cluster, HOLDER)
     requester = next(node for node in nodes if node is not dispatcher)
-    dispatcher.lost = lambda message: type(message).__name__ == "SlotWord"
+    dispatcher.lost = lambda message: type(message).__name__ == "SlotReply"
     with requester.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
         assert slot.dispatcher != dispatcher.name
@@ -214,7 +214,7 @@
 
 
 def dispatcher_of(cluster, name):
-    address = groups.dispatcher(name, cluster.zones, ())
+    address = groups.dispatcher_of(name, cluster.zones, ())
     return next(node for node in cluster.nodes if node.name == address)
 
 
@@ -234,7 +234,7 @@
     """Return the nodes in their rank as dispatchers of the holder's group."""
     names = []
     for _ in cluster.nodes:
-        names.append(groups.dispatcher(HOLDER, cluster.zones, set(names)))
+        names.append(groups.dispatcher_of(HOLDER, cluster.zones, set(names)))
     return [next(node for node in cluster.nodes if node.name == name) for name in names]
 
 
@@ -266,16 +266,16 @@
 
     def answer_late(message, peer):
         """Answer the first try when the second one arrives, and the second one too late."""
-        if type(message).__name__ == "SlotAsk":
+        if type(message).__name__ == "SlotRequestMessage":
             requests.append(message)
             if len(requests) == 2:
                 handle(requests[0], peer)
                 gevent.spawn_later(0.1, handle, message, peer)
 
-    first.link.take_slots(answer_late)
+    first.link.add_slot_handler(answer_late)
     with ExitStack() as held:
         # The second node skips the first one, so its own slots come from its own queue.
-        second.slots._choice._passed_ms[first.name] = elapsed_ms() + 9000.0
+        second.slots._choice._skipped_until_ms[first.name] = elapsed_ms() + 9000.0
         for _ in range(3):
             held.enter_context(second.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
         assert second.slots.in_use == 3
@@ -308,16 +308,16 @@
 
     def is_first_request(message):
         requests.append(type(message).__name__)
-        return requests == ["SlotAsk"]
+        return requests == ["SlotRequestMessage"]
 
     def answer_and_suspend(message, peer):
         handle(message, peer)
-        if type(message).__name__ == "SlotAsk":
+        if type(message).__name__ == "SlotRequestMessage":
             time.sleep(3 * REPLY_TIMEOUT_S)  # Suspends the whole process.
 
     handle = dispatcher.slots.handle_message
     requester.lost = is_first_request
-    dispatcher.link.take_slots(answer_and_suspend)
+    dispatcher.link.add_slot_handler(answer_and_suspend)
     with requester.slots.hold(requirements(holder=record(0))) as slot:
         assert slot is not None
         assert slot.dispatcher == dispatcher.name
