--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -231,16 +231,18 @@
     ) -> RefusedError:
         decision = self._ledger.decide(call.fingerprint)
         record = self._ledger.get(call.fingerprint.request_digest)
-        ends = decision.crashes if decision else record.crashes_since_any_answer if record else ()
-        reason = self._reason(ends) if ends else ""
+        crashes = (
+            decision.crashes if decision else record.crashes_since_any_answer if record else ()
+        )
+        reason = self._reason(crashes) if crashes else ""
         if may_have_run:
             return RefusedError(results.ANSWER_LOST, reason)
         return RefusedError(result, reason, after_s)
 
-    def _reason(self, ends: Sequence[CrashEvent]) -> str:
-        last = ends[-1]
+    def _reason(self, crashes: Sequence[CrashEvent]) -> str:
+        last = crashes[-1]
         age_ms = elapsed_ms() - last.crashed_ms
-        return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
+        return f"{len(crashes)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
     def note_finished(self, call: Call) -> None:
         """Note that a request has finished, so that another copy may go on trial."""
@@ -332,10 +334,10 @@
             service=copy.service,
             after_ms=round(ended_ms - copy.sent_ms),
         )
-        content, caller = copy.fingerprint
+        digest, caller = copy.fingerprint
         crash = CrashEvent(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
-        if self._ledger.note_crash(content, crash):
-            self._note_change(content)
+        if self._ledger.note_crash(digest, crash):
+            self._note_change(digest)
 
     # ---- between nodes ------------------------------------------------------------------
 
@@ -355,19 +357,19 @@
         """Whether a record of a request may exist; cheap, since it is called for each request."""
         return self._ledger.may_contain(call.short_digest)
 
-    def _note_change(self, content: bytes) -> None:
-        self._log_quarantine(content)
-        self._report_soon(content)
+    def _note_change(self, digest: bytes) -> None:
+        self._log_quarantine(digest)
+        self._report_soon(digest)
         self._permits.changed.raise_()  # Requests that wait for a trial check again.
 
-    def _report_soon(self, content: bytes) -> None:
+    def _report_soon(self, digest: bytes) -> None:
         if not self._unreported:
             # The first report is sent at once, because other nodes send copies until they get it.
             gevent.spawn_later(
                 max(0.0, self._reported_s + REPORT_INTERVAL_S - elapsed_ms() / 1000),
                 self._send_reports,
             )
-        self._unreported.add(content)
+        self._unreported.add(digest)
 
     def send_reports_now(self) -> None:
         """Send the reports that wait to be sent together, because the process is about to exit."""
@@ -375,21 +377,21 @@
             self._send_reports()
 
     def _send_reports(self) -> None:
-        contents, self._unreported = self._unreported, set()
+        digests, self._unreported = self._unreported, set()
         self._reported_s = elapsed_ms() / 1000
-        reports = self._reports(contents)
+        reports = self._reports(digests)
         members = list(self._members())
         for address in self._affordable(members, len(reports)):
             for message in reports:
                 self._send(message, address)
 
-    def _reports(self, contents: Iterable[bytes]) -> list[CrashReport]:
+    def _reports(self, digests: Iterable[bytes]) -> list[CrashReport]:
         now_ms = elapsed_ms()
         records: list[CrashRecordEntry] = []
-        for content in contents:
-            record = self._ledger.get(content)
+        for digest in digests:
+            record = self._ledger.get(digest)
             if record is not None:
-                records.append(messages.encode(content, record, now_ms))
+                records.append(messages.encode(digest, record, now_ms))
         starts = range(0, len(records), MAX_RECORDS_PER_REPORT)
         return [CrashReport(records[start : start + MAX_RECORDS_PER_REPORT]) for start in starts]
 
@@ -452,15 +454,15 @@
 
     def load(self, records: list[CrashRecordEntry]) -> None:
         """Load saved records and report them to the other nodes."""
-        for content in saved.load(self._ledger, records, elapsed_ms()):
-            self._note_change(content)
+        for digest in saved.load(self._ledger, records, elapsed_ms()):
+            self._note_change(digest)
 
     def handle_query(self, query: CrashQuery, peer: Address) -> None:
         """Send all records to a node whose records differ, or that has just started."""
         same = self._ledger.is_empty or query.checksum == self._ledger.checksum
         if same and not query.just_started:
             return
-        reports = self._reports(content for content, _ in self._ledger) or [CrashReport([])]
+        reports = self._reports(digest for digest, _ in self._ledger) or [CrashReport([])]
         reports[-1] = CrashReport(reports[-1].records, is_complete=True)
         for address in self._affordable([peer], len(reports)):
             for message in reports:
@@ -490,31 +492,31 @@
 
     # ---- for operators --------------------------------------------------------------------
 
-    def _log_quarantine(self, content: bytes) -> None:
+    def _log_quarantine(self, digest: bytes) -> None:
         """Log when a request becomes quarantined, stays so for longer, or is released."""
-        decisions = self._ledger.decisions(content)
+        decisions = self._ledger.decisions(digest)
         if not decisions:
-            if self._logged.pop(content, None):
-                LOG.info("Request no longer quarantined.", content=format_digest(content))
+            if self._logged.pop(digest, None):
+                LOG.info("Request no longer quarantined.", content=format_digest(digest))
             return
         decision = max(decisions, key=lambda decision: len(decision.crashes))
-        if len(decision.crashes) <= self._logged.get(content, 0):
+        if len(decision.crashes) <= self._logged.get(digest, 0):
             return
-        self._logged[content] = len(decision.crashes)
+        self._logged[digest] = len(decision.crashes)
         now_ms = elapsed_ms()
         LOG.warning(
             "Request quarantined.",
-            content=format_digest(content),
+            content=format_digest(digest),
             ends="|".join(
-                f"{end.server_id}@{end.witness}:{now_ms - end.crashed_ms:.0f}"
-                for end in decision.crashes
+                f"{crash.server_id}@{crash.witness}:{now_ms - crash.crashed_ms:.0f}"
+                for crash in decision.crashes
             ),
             for_s=round((decision.until_ms - now_ms) / 1000),
         )
 
     def _expire_logged(self) -> None:
-        for content in [known for known in self._logged if self._ledger.get(known) is None]:
-            del self._logged[content]
+        for digest in [known for known in self._logged if self._ledger.get(known) is None]:
+            del self._logged[digest]
 
 
 def _announced(upstream: Upstream) -> bool:
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -583,9 +583,9 @@
                 queue.group.release(requester, took_ms, failed, elapsed_ms(), unanswered)
             )
 
-    def _send_results(self, answers: list[SlotResult]) -> None:
-        for answer in answers:
-            self._send(_reply(answer), answer.requester.node)
+    def _send_results(self, results: list[SlotResult]) -> None:
+        for result in results:
+            self._send(_reply(result), result.requester.node)
 
     def redirect_waiting(self) -> None:
         """Redirect waiting requests to the nodes that keep the queues from now on.
@@ -632,12 +632,12 @@
                     self._drop_unused_rates()
 
 
-def _reply(answer: SlotResult) -> SlotReply:
-    number = answer.requester.number
-    if isinstance(answer, SlotGranted):
-        return SlotReply(number, answer.server_id)
-    if isinstance(answer, SlotQueued):
+def _reply(result: SlotResult) -> SlotReply:
+    number = result.requester.number
+    if isinstance(result, SlotGranted):
+        return SlotReply(number, result.server_id)
+    if isinstance(result, SlotQueued):
         return SlotReply(number, queued=True)
     return SlotReply(
-        number, retry_after_ms=answer.retry_after_ms if isinstance(answer, SlotRejected) else 0.0
+        number, retry_after_ms=result.retry_after_ms if isinstance(result, SlotRejected) else 0.0
     )
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -93,17 +93,17 @@
 
         A request that already holds the permit gets it for the full time again.
         """
-        content = call.fingerprint.request_digest
+        digest = call.fingerprint.request_digest
         now_ms = elapsed_ms()
-        claim = self._claims.get(content)
+        claim = self._claims.get(digest)
         number = next(self._numbers)
         if claim is not None and claim.until_ms > now_ms:
             if claim.call is not call:
                 return claim.until_ms - now_ms
             number = claim.number
-        claim = self._claims[content] = _Claim(call, number, now_ms + PERMIT_MS)
+        claim = self._claims[digest] = _Claim(call, number, now_ms + PERMIT_MS)
         again_ms = max(POLL_MS, POLL_MS_PER_NODE * self._nodes())
-        after_ms = min(self._request(content, claim), again_ms)
+        after_ms = min(self._request(digest, claim), again_ms)
         if after_ms > 0:
             claim.call = None
             claim.until_ms = elapsed_ms() + after_ms
@@ -114,36 +114,38 @@
 
     def release(self, call: Call) -> None:
         """Release what a finished request holds; it may hold no permit."""
-        for content, claim in list(self._claims.items()):
+        for digest, claim in list(self._claims.items()):
             if claim.call is call:
-                del self._claims[content]
-                self._finish(content, claim)
+                del self._claims[digest]
+                self._finish(digest, claim)
                 self.changed.raise_()
 
-    def _finish(self, content: bytes, claim: _Claim) -> None:
-        self._trials.release(content, claim.number)
+    def _finish(self, digest: bytes, claim: _Claim) -> None:
+        self._trials.release(digest, claim.number)
         if claim.leader is not None:
-            self._send(TrialFinished(content, claim.number), claim.leader)
+            self._send(TrialFinished(digest, claim.number), claim.leader)
 
     def expire(self) -> None:
         """Drop expired claims."""
         now_ms = elapsed_ms()
-        self._claims = {c: claim for c, claim in self._claims.items() if claim.until_ms > now_ms}
+        self._claims = {
+            digest: claim for digest, claim in self._claims.items() if claim.until_ms > now_ms
+        }
 
     # ---- between nodes ------------------------------------------------------------------
 
-    def _request(self, content: bytes, claim: _Claim) -> float:
+    def _request(self, digest: bytes, claim: _Claim) -> float:
         """Ask the leader for a permit; this node decides if the leader doesn't answer."""
         leader = self._leader()
         if leader is not None and elapsed_ms() >= self._skip_leader_until_ms:
             claim.leader = leader
-            after_ms = self._ask_leader(leader, TrialRequest(content, claim.number))
+            after_ms = self._ask_leader(leader, TrialRequest(digest, claim.number))
             if after_ms is not None:
                 return after_ms
             LOG.info("Leader did not answer a trial request.", node=f"{leader[0]}:{leader[1]}")
             self._skip_leader_until_ms = elapsed_ms() + SKIP_LEADER_MS
         claim.leader = None
-        return self._trials.acquire(content, claim.number, elapsed_ms())
+        return self._trials.acquire(digest, claim.number, elapsed_ms())
 
     def _ask_leader(self, node: Node, request: TrialRequest) -> float | None:
         reply = self._replies[request.number] = AsyncResult()
