--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -1,9 +1,10 @@
-"""Keeps requests that end servers away from them, by what all nodes have seen.
+"""Keeps requests that crash servers away from servers, by what all nodes have observed.
 
-A node that finds that a server ended under a request tells all others by a datagram, and
-every node asks another one at a steady pace whether that one knows more. So what was seen
-reaches each node within a second or two, also one that has just started or was cut off,
-whoever leads. What follows from it is decided in :mod:`ploverhatch.quarantine`.
+A node that finds that a server crashed while it ran a request reports this to all other nodes
+by datagram. In addition, every node regularly asks another one whether it knows more. So each
+observation reaches every node within a second or two, including nodes that have just started
+or were disconnected, whichever node leads. What follows from the observations is decided in
+:mod:`ploverhatch.quarantine`. A server that freezes counts as crashed.
 """
 
 import math
@@ -34,31 +35,36 @@
 
 Send = Callable[[CrashReport | CrashQuery, Address], None]
 
-UNRESOLVED_KEPT_MS = 6000.0  # the entry of a server that ended is gone by then: three heartbeats
-MAX_UNRESOLVED = 16  # of one server
-WORK_GOES_ON_MS = 300.0  # after its caller has left; what ends its server does so sooner
-LOOK_S = 0.1  # a dead port refuses within a round trip; a cut link says nothing
-USUAL_ANSWER_MS = 100.0  # of a server that has answered nothing yet
-FROZEN_FACTOR = 4.0  # times its usual answer time: a server that is silent for so long
-TELL_S = 0.02  # between tellings: what is seen meanwhile is told together
-ASK_S = 1.0  # between asks of one other node
-# A node that has just started asks some others before it sends requests on: they answer
-# within a round trip. Where none does it waits no longer, and goes on asking.
-FIRST_ASKED = 3
+# The store entry of a crashed server is removed by then, after three missed heartbeats.
+UNRESOLVED_KEPT_MS = 6000.0
+MAX_UNRESOLVED = 16  # The greatest number of unresolved attempts per server.
+# A server may work on a request for so long after its caller left; a crash comes sooner.
+ABANDONED_WORK_MS = 300.0
+# A dead port refuses a connection within a round trip; a broken link doesn't answer at all.
+PROBE_TIMEOUT_S = 0.1
+DEFAULT_ANSWER_MS = 100.0  # The assumed answer time of a server that hasn't answered yet.
+# A server that answers nothing for so many times its usual answer time is frozen.
+FROZEN_FACTOR = 4.0
+REPORT_INTERVAL_S = 0.02  # Crashes that are observed meanwhile are reported together.
+QUERY_INTERVAL_S = 1.0
+# A node that has just started queries some others before it sends requests to servers. They
+# reply within a round trip. If none does, the node stops waiting but goes on querying.
+INITIAL_QUERIES = 3
 INITIAL_REPLY_TIMEOUT_S = 0.3
-MEMBERS_S = 1.0  # until it is known which other nodes there are
-MOST_TOLD = 24  # records in one datagram: each has 200 bytes, one with eight ends 500
-# Datagrams of tellings: a hundred nodes hear of ten ends a second from one node.
-MOST_SENT_PER_S = 1000.0
-MOST_SENT_AT_ONCE = 2000.0
-# Callers of a request of which another copy is on trial come back after so long: where one
-# server ended under it, it is mostly answered by then; where it was held, it is rarely.
-TRIAL_S = 0.25
-TRIAL_OF_HELD_S = 1.0
+MEMBERS_TIMEOUT_S = 1.0  # The longest wait at the start for the list of other nodes.
+# A record takes 200 bytes of a datagram, one with eight crashes 500.
+MAX_RECORDS_PER_REPORT = 24
+# With this many datagrams a node can report ten crashes a second to a hundred nodes.
+MAX_SENT_PER_S = 1000.0
+MAX_SENT_BURST = 2000.0
+# The retry delay for callers while another copy of their request is on trial. The trial of a
+# request that crashed one server has mostly ended by then, that of a quarantined one rarely.
+TRIAL_RETRY_AFTER_S = 0.25
+QUARANTINED_TRIAL_RETRY_AFTER_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Copy:
+class _SentCopy:
     """A request as it was sent to a server."""
 
     request_id: str
@@ -68,41 +74,43 @@
     sent_ms: float
 
     @classmethod
-    def of(cls, call: Call, upstream: Upstream, sent_ms: float) -> "_Copy":
+    def of(cls, call: Call, upstream: Upstream, sent_ms: float) -> "_SentCopy":
         server_id = upstream.record.server_id
         return cls(call.trace.request_id, call.service, call.fingerprint, server_id, sent_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class _UnresolvedAttempt:
-    """A copy that ended without an answer while its server may have been there.
+    """A copy that ended without an answer, though its server may still have been running.
 
-    ``broke`` says that the server broke its connection, else this node did.
+    :param left_ms: when the copy ended, in elapsed milliseconds.
+    :param connection_lost: whether the server closed the connection; otherwise this node did.
     """
 
-    copy: _Copy
+    copy: _SentCopy
     left_ms: float
-    broke: bool
+    connection_lost: bool
 
-    def is_harmless(self, heard_ms: float) -> bool:
-        """Whether an answer to another request shows that the server went on after it."""
-        return heard_ms >= self.left_ms + (0.0 if self.broke else WORK_GOES_ON_MS)
+    def is_harmless(self, last_answer_ms: float) -> bool:
+        """Whether a later answer to another request shows that the server survived."""
+        return last_answer_ms >= self.left_ms + (0.0 if self.connection_lost else ABANDONED_WORK_MS)
 
 
 class OnTrialElsewhereError(Exception):
-    """Another copy of a request under suspicion is under way, or is about to be."""
+    """Another copy of a suspect request is in flight, or is about to be sent."""
 
 
 class Quarantine:
-    """One node's part.
+    """Checks one node's requests, and shares what the node observes with other nodes.
 
-    :param node: its name, as the witness of what it sees.
-    :param members: addresses of the other nodes that are known.
+    :param node: name of this node, reported as the witness of what it observes.
+    :param members: returns the addresses of the other known nodes.
     :param send: sends a message to a node.
-    :param await_members: waits for so many seconds at most until the other nodes are known.
+    :param await_members: waits until the other nodes are known, for at most so many seconds.
     :param leads: whether this node leads, so that all others report to it.
-    :param ran_until_ms: until when the process ran before it stood still, if it just did.
-    :param permits: for copies of requests under suspicion; by itself alone without it.
+    :param permits: permits for copies of suspect requests; without it, the node alone decides.
+    :param ran_until_ms: returns the start of a suspension that has just ended, else the present
+        time; both in elapsed milliseconds.
     """
 
     def __init__(
@@ -115,7 +123,7 @@
         permits: TrialPermits | None = None,
         ran_until_ms: Callable[[], float] = elapsed_ms,
     ) -> None:
-        self.crashes = 0  # requests under which a server was found to have ended
+        self.crashes = 0  # Crashes that this node observed under requests, without freezes.
         self._node = node
         self._members = members
         self._send = send
@@ -125,288 +133,306 @@
         self._ledger = CrashLedger()
         self._ran_until_ms = ran_until_ms
         self._permits = permits or TrialPermits(lambda: None, lambda: 1, lambda message, to: None)
-        self._first = FirstCopies()
-        self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # by server
+        self._first_copies = FirstCopies()
+        self._unresolved: dict[str, deque[_UnresolvedAttempt]] = {}  # By server.
         self._unreported: set[bytes] = set()
-        self._told_s = -math.inf  # when it was told last, elapsed
-        self._logged: dict[bytes, int] = {}  # contents that are held: by how many ends
-        self._may_send = MOST_SENT_AT_ONCE
+        self._reported_s = -math.inf  # When reports were last sent, in elapsed seconds.
+        self._logged: dict[bytes, int] = {}  # The number of crashes of each quarantined digest.
+        self._send_budget = MAX_SENT_BURST
         self._refilled_ms = elapsed_ms()
 
     @property
     def quarantined_count(self) -> int:
-        """How many contents are held for some caller."""
+        """The number of request digests that are quarantined for some caller."""
         return self._ledger.quarantined_count(elapsed_ms())
 
     @property
     def known_count(self) -> int:
-        """How many contents are remembered, held or not."""
+        """The number of request digests with a record, quarantined or not."""
         return len(self._ledger)
 
     @property
     def synced(self) -> bool:
-        """Whether another node was asked what it knows, or none answers."""
+        """Whether another node's records were received, or no node replied to a query."""
         return bool(self._synced.is_set())
 
     def mark_synced(self) -> None:
-        """Send requests on without asking other nodes first."""
+        """Treat this node's records as synchronized, so that requests wait for no other node."""
         self._synced.set()
 
     # ---- for requests of this node ------------------------------------------------------
 
     def check(self, call: Call, may_have_run: bool) -> None:
-        """Let a request be sent to a server; wait for a while where a copy is on trial.
+        """Return once a request may be sent to a server; wait while another copy is on trial.
 
-        Once a server has ended under a request, and until a copy of it is answered, one copy
-        at a time is under way at all nodes together: what ends servers ends one after the
-        other, until three ends hold it, and what is popular waits for a single answer. Without
-        that, all copies of the moment go to the servers that are left before any node can know
-        of three ends.
+        Once a request has crashed a server, and until a copy of it is answered, all nodes together
+        send one copy at a time. So a request that crashes servers crashes successive ones until
+        three crashes quarantine it, and a popular request waits for a single answer. Otherwise
+        all copies of the moment would reach the remaining servers before any node could know of
+        three crashes.
 
-        :raises RefusedError: when it is held, or another copy's trial takes too long.
+        :param may_have_run: whether an earlier attempt may have run the request.
+        :raises RefusedError: when the request is quarantined, or another copy's trial takes too
+            long.
         """
         self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
         until_ms = call.move_by_ms if may_have_run else call.offer_by_ms
-        self._await_first(call, until_ms)
-        while (after_ms := self._ask(call, may_have_run)) > 0:
+        self._await_first_copy(call, until_ms)
+        while (after_ms := self._permit_wait_ms(call, may_have_run)) > 0:
             left_ms = until_ms - elapsed_ms()
             if left_ms <= 0:
-                raise self._refusal(results.ON_TRIAL, call, may_have_run, TRIAL_S)
+                raise self._refusal(results.ON_TRIAL, call, may_have_run, TRIAL_RETRY_AFTER_S)
             self._permits.changed.wait(min(after_ms, left_ms) / 1000)
 
-    def _await_first(self, call: Call, until_ms: float) -> None:
-        """Wait for a moment while another copy of what nobody was answered yet goes ahead."""
-        while (wait_ms := self._first.admit(call.hint, call, elapsed_ms())) > 0:
+    def _await_first_copy(self, call: Call, until_ms: float) -> None:
+        """Wait briefly while the first copy of a request that has no answer yet is in flight."""
+        while (wait_ms := self._first_copies.admit(call.short_digest, call, elapsed_ms())) > 0:
             left_ms = min(wait_ms, until_ms - elapsed_ms())
             if left_ms <= 0:
                 return
             self._permits.changed.wait(left_ms / 1000)
 
-    def check_now(self, call: Call, may_have_run: bool) -> None:
-        """Look once more right before a request is sent, after the wait for its slot.
+    def recheck(self, call: Call, may_have_run: bool) -> None:
+        """Check a request again right before it is sent, after the wait for its slot.
 
-        :raises RefusedError: when it is held.
-        :raises OnTrialElsewhereError: when it has to wait, which needs no slot.
+        :raises RefusedError: when the request is quarantined.
+        :raises OnTrialElsewhereError: when the request has to wait, which it does without a slot.
         """
-        if self._ask(call, may_have_run) > 0:
+        if self._permit_wait_ms(call, may_have_run) > 0:
             raise OnTrialElsewhereError
 
-    def _ask(self, call: Call, may_have_run: bool) -> float:
-        """Return after how many milliseconds to ask again; 0: it may be sent now.
+    def _permit_wait_ms(self, call: Call, may_have_run: bool) -> float:
+        """Return the milliseconds until the next check, or 0 if the request may be sent now.
 
-        :raises RefusedError: when it is held.
+        :raises RefusedError: when the request is quarantined.
         """
         after_ms = 0.0
-        while self._knows(call):
-            hold = self._ledger.decide(call.fingerprint)
-            left_s = (hold.until_ms - elapsed_ms()) / 1000 if hold else 0.0
+        while self._may_know(call):
+            decision = self._ledger.decide(call.fingerprint)
+            left_s = (decision.until_ms - elapsed_ms()) / 1000 if decision else 0.0
             if left_s > 0:
                 raise self._refusal(results.QUARANTINED, call, may_have_run, left_s)
-            if hold is None and not self._ledger.is_suspect(call.fingerprint.request_digest):
+            if decision is None and not self._ledger.is_suspect(call.fingerprint.request_digest):
                 return 0.0
             if self._permits.has(call):
                 return 0.0
             after_ms = self._permits.acquire(call)
             if after_ms > 0:
-                if hold is not None:
-                    raise self._refusal(results.QUARANTINED, call, may_have_run, TRIAL_OF_HELD_S)
+                if decision is not None:
+                    raise self._refusal(
+                        results.QUARANTINED, call, may_have_run, QUARANTINED_TRIAL_RETRY_AFTER_S
+                    )
                 return after_ms
-            # While the permit was asked for, more may have become known.
+            # Reports may have arrived while the permit was requested.
         return 0.0
 
     def _refusal(
         self, result: Result, call: Call, may_have_run: bool, after_s: float
     ) -> RefusedError:
-        hold = self._ledger.decide(call.fingerprint)
+        decision = self._ledger.decide(call.fingerprint)
         record = self._ledger.get(call.fingerprint.request_digest)
-        ends = hold.crashes if hold else record.crashes_since_any_answer if record else ()
-        reason = self._reason(ends) if ends else ""
+        crashes = (
+            decision.crashes if decision else record.crashes_since_any_answer if record else ()
+        )
+        reason = self._reason(crashes) if crashes else ""
         if may_have_run:
             return RefusedError(results.ANSWER_LOST, reason)
         return RefusedError(result, reason, after_s)
 
-    def _reason(self, ends: Sequence[CrashEvent]) -> str:
-        last = ends[-1]
+    def _reason(self, crashes: Sequence[CrashEvent]) -> str:
+        last = crashes[-1]
         age_ms = elapsed_ms() - last.crashed_ms
-        return f"{len(ends)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
+        return f"{len(crashes)}-ends,last:{last.server_id}@{last.witness},{age_ms:.0f}-ms-ago"
 
-    def over(self, call: Call) -> None:
-        """A request has ended, so that another copy may go on trial."""
-        if self._first.finish(call.hint, call):
+    def note_finished(self, call: Call) -> None:
+        """Note that a request has finished, so that another copy may go on trial."""
+        if self._first_copies.finish(call.short_digest, call):
             self._permits.changed.raise_()
         self._permits.release(call)
 
-    def answered(self, call: Call) -> None:
-        """A server has answered a request: it has not ended under it."""
-        self._first.note_answer(call.hint, elapsed_ms())
-        if not self._ledger.may_contain(call.hint):
+    def note_answer(self, call: Call) -> None:
+        """Note that a server answered a request and so survived it."""
+        self._first_copies.note_answer(call.short_digest, elapsed_ms())
+        if not self._ledger.may_contain(call.short_digest):
             return
         if self._ledger.note_answer(call.fingerprint, elapsed_ms()):
             self._note_change(call.fingerprint.request_digest)
 
-    def lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
-        """A server broke a request's connection before its answer: look whether it has ended.
+    def note_lost(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
+        """Note that a server closed the connection before its answer; probe whether it crashed.
 
-        Returns when that is known, so that a request that is held by it is sent nowhere
-        else. The look goes on when the caller leaves meanwhile.
+        This returns when the result is known or the probe times out, so that a request which is
+        quarantined because of this crash isn't retried elsewhere. The probe goes on if the caller
+        disconnects meanwhile.
         """
         if _announced(upstream):
             return
-        gevent.spawn(self._look, call, upstream, sent_ms, elapsed_ms()).join(LOOK_S)
+        gevent.spawn(self._probe, call, upstream, sent_ms, elapsed_ms()).join(PROBE_TIMEOUT_S)
 
-    def timed_out(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
-        """A server gave no answer in time: it has frozen if it answered nothing else since."""
+    def note_timeout(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
+        """Note that a server didn't answer in time; it is frozen if it answered nothing since."""
         now_ms = min(elapsed_ms(), self._ran_until_ms())
-        usual_ms = upstream.answer_time.mean_ms or USUAL_ANSWER_MS
-        if upstream.heard_ms >= sent_ms or now_ms - sent_ms < FROZEN_FACTOR * usual_ms:
-            self.left(call, upstream, sent_ms)
+        usual_ms = upstream.answer_time.mean_ms or DEFAULT_ANSWER_MS
+        if upstream.last_answer_ms >= sent_ms or now_ms - sent_ms < FROZEN_FACTOR * usual_ms:
+            self.note_abandoned(call, upstream, sent_ms)
             return
-        if self._first.answered_since(call.hint, sent_ms):
-            return  # another copy did no harm
-        self._note(_Copy.of(call, upstream, sent_ms), now_ms, frozen=True)
-
-    def _look(self, call: Call, upstream: Upstream, sent_ms: float, lost_ms: float) -> None:
-        copy = _Copy.of(call, upstream, sent_ms)
-        if upstream.has_ended(LOOK_S):
-            self._note(copy, lost_ms)
-            self.ended(upstream)
-        else:  # its next life may have the port already
-            self._leave_open(upstream, _UnresolvedAttempt(copy, lost_ms, broke=True))
-
-    def left(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
-        """A request's caller has left, or its time is over, while a server worked on it."""
-        copy = _Copy.of(call, upstream, sent_ms)
-        self._leave_open(upstream, _UnresolvedAttempt(copy, elapsed_ms(), broke=False))
-
-    def _leave_open(self, upstream: Upstream, question: _UnresolvedAttempt) -> None:
+        if self._first_copies.answered_since(call.short_digest, sent_ms):
+            return  # Another copy was answered since then, so the request is harmless.
+        self._note_crash(_SentCopy.of(call, upstream, sent_ms), now_ms, frozen=True)
+
+    def _probe(self, call: Call, upstream: Upstream, sent_ms: float, lost_ms: float) -> None:
+        copy = _SentCopy.of(call, upstream, sent_ms)
+        if upstream.has_ended(PROBE_TIMEOUT_S):
+            self._note_crash(copy, lost_ms)
+            self.note_server_ended(upstream)
+        else:  # The server's next incarnation may listen on the port already.
+            self._add_unresolved(upstream, _UnresolvedAttempt(copy, lost_ms, connection_lost=True))
+
+    def note_abandoned(self, call: Call, upstream: Upstream, sent_ms: float) -> None:
+        """Note that a request's caller left, or its time ended, while a server worked on it."""
+        copy = _SentCopy.of(call, upstream, sent_ms)
+        self._add_unresolved(
+            upstream, _UnresolvedAttempt(copy, elapsed_ms(), connection_lost=False)
+        )
+
+    def _add_unresolved(self, upstream: Upstream, attempt: _UnresolvedAttempt) -> None:
         if not _announced(upstream):
             server_id = upstream.record.server_id
-            self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(question)
+            self._unresolved.setdefault(server_id, deque(maxlen=MAX_UNRESOLVED)).append(attempt)
 
-    def ended(self, upstream: Upstream) -> None:
-        """A server has surely ended: its port is dead, or another life or none has its entry.
+    def note_server_ended(self, upstream: Upstream) -> None:
+        """Note that a server has certainly ended.
 
-        Requests that ended without an answer shortly before, and after which it answered
-        nothing, were the last that it worked on.
+        Its port refuses connections, or its entry is gone or belongs to another incarnation.
+        Requests that ended without an answer shortly before, and after which the server answered
+        nothing, were the last that it worked on, so its crash is attributed to them.
         """
         now_ms = elapsed_ms()
-        for question in self._unresolved.pop(upstream.record.server_id, ()):
-            is_late = now_ms - question.left_ms >= UNRESOLVED_KEPT_MS
-            if not (is_late or _announced(upstream) or question.is_harmless(upstream.heard_ms)):
-                self._note(question.copy, question.left_ms)
+        for attempt in self._unresolved.pop(upstream.record.server_id, ()):
+            is_late = now_ms - attempt.left_ms >= UNRESOLVED_KEPT_MS
+            if not (
+                is_late or _announced(upstream) or attempt.is_harmless(upstream.last_answer_ms)
+            ):
+                self._note_crash(attempt.copy, attempt.left_ms)
 
     def _expire_unresolved(self) -> None:
         now_ms = elapsed_ms()
-        for server_id, questions in list(self._unresolved.items()):
-            if all(now_ms - question.left_ms >= UNRESOLVED_KEPT_MS for question in questions):
+        for server_id, attempts in list(self._unresolved.items()):
+            if all(now_ms - attempt.left_ms >= UNRESOLVED_KEPT_MS for attempt in attempts):
                 del self._unresolved[server_id]
 
-    def _note(self, copy: _Copy, ended_ms: float, frozen: bool = False) -> None:
-        """A server has ended under a request, or frozen."""
+    def _note_crash(self, copy: _SentCopy, ended_ms: float, frozen: bool = False) -> None:
+        """Record and report that a server crashed or froze while it ran a request."""
         self.crashes += not frozen
         LOG.warning(
-            "Server froze under a request." if frozen else "Server ended under a request.",
+            "Server froze while it ran a request."
+            if frozen
+            else "Server crashed while it ran a request.",
             request=copy.request_id,
             content=copy.fingerprint,
             server=copy.server_id,
             service=copy.service,
             after_ms=round(ended_ms - copy.sent_ms),
         )
-        content, caller = copy.fingerprint
-        end = CrashEvent(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
-        if self._ledger.note_crash(content, end):
-            self._note_change(content)
+        digest, caller = copy.fingerprint
+        crash = CrashEvent(copy.server_id, caller, self._node, copy.sent_ms, ended_ms, frozen)
+        if self._ledger.note_crash(digest, crash):
+            self._note_change(digest)
 
     # ---- between nodes ------------------------------------------------------------------
 
-    def sending(self, call: Call, server_id: str) -> None:
-        """Tell of a request that is sent though servers are known to have ended under it."""
-        record = self._ledger.get(call.fingerprint.request_digest) if self._knows(call) else None
+    def log_suspect_send(self, call: Call, server_id: str) -> None:
+        """Log that a request is sent although it is known to have crashed servers."""
+        record = self._ledger.get(call.fingerprint.request_digest) if self._may_know(call) else None
         if record is not None and record.crashes_since_any_answer:
             LOG.info(
-                "Sent under suspicion.",
+                "Suspect request sent.",
                 request=call.trace.request_id,
                 content=call.fingerprint,
                 server=server_id,
                 ends=len(record.crashes_since_any_answer),
             )
 
-    def _knows(self, call: Call) -> bool:
-        """Whether anything may be known of a request; cheap, as all requests ask."""
-        return self._ledger.may_contain(call.hint)
+    def _may_know(self, call: Call) -> bool:
+        """Whether a record of a request may exist; cheap, since it is called for each request."""
+        return self._ledger.may_contain(call.short_digest)
 
-    def _note_change(self, content: bytes) -> None:
-        self._log_hold(content)
-        self._tell_soon(content)
-        self._permits.changed.raise_()  # those who wait for a copy's trial look again
+    def _note_change(self, digest: bytes) -> None:
+        self._log_quarantine(digest)
+        self._report_soon(digest)
+        self._permits.changed.raise_()  # Requests that wait for a trial check again.
 
-    def _tell_soon(self, content: bytes) -> None:
+    def _report_soon(self, digest: bytes) -> None:
         if not self._unreported:
-            # The first one at once: the other nodes send copies on until they know of it.
+            # The first report is sent at once, because other nodes send copies until they get it.
             gevent.spawn_later(
-                max(0.0, self._told_s + TELL_S - elapsed_ms() / 1000), self._send_reports
+                max(0.0, self._reported_s + REPORT_INTERVAL_S - elapsed_ms() / 1000),
+                self._send_reports,
             )
-        self._unreported.add(content)
+        self._unreported.add(digest)
 
     def send_reports_now(self) -> None:
-        """Tell what waits to be told together, since the process ends."""
+        """Send the reports that wait to be sent together, because the process is about to exit."""
         if self._unreported:
             self._send_reports()
 
     def _send_reports(self) -> None:
-        contents, self._unreported = self._unreported, set()
-        self._told_s = elapsed_ms() / 1000
-        told = self._told(contents)
+        digests, self._unreported = self._unreported, set()
+        self._reported_s = elapsed_ms() / 1000
+        reports = self._reports(digests)
         members = list(self._members())
-        for address in self._affordable(members, len(told)):
-            for message in told:
+        for address in self._affordable(members, len(reports)):
+            for message in reports:
                 self._send(message, address)
 
-    def _told(self, contents: Iterable[bytes]) -> list[CrashReport]:
+    def _reports(self, digests: Iterable[bytes]) -> list[CrashReport]:
         now_ms = elapsed_ms()
         records: list[CrashRecordEntry] = []
-        for content in contents:
-            record = self._ledger.get(content)
+        for digest in digests:
+            record = self._ledger.get(digest)
             if record is not None:
-                records.append(messages.encode(content, record, now_ms))
-        starts = range(0, len(records), MOST_TOLD)
-        return [CrashReport(records[start : start + MOST_TOLD]) for start in starts]
+                records.append(messages.encode(digest, record, now_ms))
+        starts = range(0, len(records), MAX_RECORDS_PER_REPORT)
+        return [CrashReport(records[start : start + MAX_RECORDS_PER_REPORT]) for start in starts]
 
     def _affordable(self, members: list[Address], each: int) -> list[Address]:
-        """Return the nodes to tell; some of them, where too much was told lately.
+        """Return the nodes to send to; a random part of them if the send budget is used up.
+
+        The other nodes receive the same records by their own queries.
 
-        The others ask for it.
+        :param each: the number of datagrams for each node.
         """
         now_ms = elapsed_ms()
-        refill = (now_ms - self._refilled_ms) / 1000 * MOST_SENT_PER_S
-        self._may_send = min(MOST_SENT_AT_ONCE, self._may_send + refill)
+        refill = (now_ms - self._refilled_ms) / 1000 * MAX_SENT_PER_S
+        self._send_budget = min(MAX_SENT_BURST, self._send_budget + refill)
         self._refilled_ms = now_ms
-        most = int(self._may_send / max(each, 1))
-        chosen = members if len(members) <= most else random.sample(members, most)
-        self._may_send -= len(chosen) * each
+        max_nodes = int(self._send_budget / max(each, 1))
+        chosen = members if len(members) <= max_nodes else random.sample(members, max_nodes)
+        self._send_budget -= len(chosen) * each
         return chosen
 
-    def handle_report(self, told: CrashReport, _peer: Address) -> None:
-        """Take what another node knows."""
+    def handle_report(self, report: CrashReport, _peer: Address) -> None:
+        """Merge the records that another node sent."""
         now_ms = elapsed_ms()
-        for record in told.records:
+        for record in report.records:
             if not self._merge(record, now_ms):
                 continue
-            self._log_hold(record.request_digest)
+            self._log_quarantine(record.request_digest)
             self._permits.changed.raise_()
-            # Nodes hear of new ones seconds later; these report to the leader by then.
+            # Nodes learn of a new node only after seconds, and until then it reports to the
+            # leader.
             if self._leads():
-                self._tell_soon(record.request_digest)
-        if told.is_complete:
+                self._report_soon(record.request_digest)
+        if report.is_complete:
             self.mark_synced()
 
-    def _merge(self, told: CrashRecordEntry, now_ms: float) -> bool:
-        """Take one record; return whether it told something new."""
-        before = self._ledger.get(told.request_digest)
-        heard = messages.decode(told, now_ms, self._ran_until_ms())
-        if not self._ledger.merge(told.request_digest, heard):
+    def _merge(self, entry: CrashRecordEntry, now_ms: float) -> bool:
+        """Merge one record; return whether it contained anything new."""
+        before = self._ledger.get(entry.request_digest)
+        received = messages.decode(entry, now_ms, self._ran_until_ms())
+        if not self._ledger.merge(entry.request_digest, received):
             return False
-        after = self._ledger.get(told.request_digest)
+        after = self._ledger.get(entry.request_digest)
         if (
             after is not None
             and after.crashes_since_any_answer
@@ -414,8 +440,8 @@
         ):
             last = after.crashes_since_any_answer[-1]
             LOG.info(
-                "Heard of an end under a request.",
-                content=format_digest(told.request_digest),
+                "Crash report received.",
+                content=format_digest(entry.request_digest),
                 server=last.server_id,
                 witness=last.witness,
                 ended_ms_ago=round(now_ms - last.crashed_ms),
@@ -423,42 +449,42 @@
         return True
 
     def quarantined_records(self) -> list[CrashRecordEntry]:
-        """Return what is held, as it is saved."""
+        """Return the records of quarantined requests, in the form in which they are saved."""
         return saved.quarantined_records(self._ledger, elapsed_ms())
 
     def load(self, records: list[CrashRecordEntry]) -> None:
-        """Take what was saved before, and tell the other nodes."""
-        for content in saved.load(self._ledger, records, elapsed_ms()):
-            self._note_change(content)
-
-    def handle_query(self, ask: CrashQuery, peer: Address) -> None:
-        """Tell all that is known to a node that knows something else."""
-        same = self._ledger.is_empty or ask.checksum == self._ledger.checksum
-        if same and not ask.just_started:
+        """Load saved records and report them to the other nodes."""
+        for digest in saved.load(self._ledger, records, elapsed_ms()):
+            self._note_change(digest)
+
+    def handle_query(self, query: CrashQuery, peer: Address) -> None:
+        """Send all records to a node whose records differ, or that has just started."""
+        same = self._ledger.is_empty or query.checksum == self._ledger.checksum
+        if same and not query.just_started:
             return
-        told = self._told(content for content, _ in self._ledger) or [CrashReport([])]
-        told[-1] = CrashReport(told[-1].records, is_complete=True)
-        for address in self._affordable([peer], len(told)):
-            for message in told:
+        reports = self._reports(digest for digest, _ in self._ledger) or [CrashReport([])]
+        reports[-1] = CrashReport(reports[-1].records, is_complete=True)
+        for address in self._affordable([peer], len(reports)):
+            for message in reports:
                 self._send(message, address)
 
     def query_forever(self) -> None:
-        """Ask some other nodes at the start, and then one after the other."""
-        self._ask_first()
+        """Query some other nodes at the start, and then a random one at each interval, forever."""
+        self._send_initial_queries()
         while True:
-            gevent.sleep(ASK_S)
+            gevent.sleep(QUERY_INTERVAL_S)
             self._ledger.expire(elapsed_ms())
             self._permits.expire()
             self._expire_unresolved()
-            self._forget_logged()
+            self._expire_logged()
             members = list(self._members())
             if members:
                 self._send(CrashQuery(self._ledger.checksum), random.choice(members))
 
-    def _ask_first(self) -> None:
-        self._await_members(MEMBERS_S)
+    def _send_initial_queries(self) -> None:
+        self._await_members(MEMBERS_TIMEOUT_S)
         members = list(self._members())
-        for address in random.sample(members, min(FIRST_ASKED, len(members))):
+        for address in random.sample(members, min(INITIAL_QUERIES, len(members))):
             self._send(CrashQuery(self._ledger.checksum, just_started=True), address)
         if members:
             self._synced.wait(INITIAL_REPLY_TIMEOUT_S)
@@ -466,33 +492,33 @@
 
     # ---- for operators --------------------------------------------------------------------
 
-    def _log_hold(self, content: bytes) -> None:
-        """Tell when a request is held, for longer than before, or no more."""
-        holds = self._ledger.decisions(content)
-        if not holds:
-            if self._logged.pop(content, None):
-                LOG.info("Request is let through again.", content=format_digest(content))
+    def _log_quarantine(self, digest: bytes) -> None:
+        """Log when a request becomes quarantined, stays so for longer, or is released."""
+        decisions = self._ledger.decisions(digest)
+        if not decisions:
+            if self._logged.pop(digest, None):
+                LOG.info("Request no longer quarantined.", content=format_digest(digest))
             return
-        hold = max(holds, key=lambda hold: len(hold.crashes))
-        if len(hold.crashes) <= self._logged.get(content, 0):
+        decision = max(decisions, key=lambda decision: len(decision.crashes))
+        if len(decision.crashes) <= self._logged.get(digest, 0):
             return
-        self._logged[content] = len(hold.crashes)
+        self._logged[digest] = len(decision.crashes)
         now_ms = elapsed_ms()
         LOG.warning(
-            "Request is kept from servers.",
-            content=format_digest(content),
+            "Request quarantined.",
+            content=format_digest(digest),
             ends="|".join(
-                f"{end.server_id}@{end.witness}:{now_ms - end.crashed_ms:.0f}"
-                for end in hold.crashes
+                f"{crash.server_id}@{crash.witness}:{now_ms - crash.crashed_ms:.0f}"
+                for crash in decision.crashes
             ),
-            for_s=round((hold.until_ms - now_ms) / 1000),
+            for_s=round((decision.until_ms - now_ms) / 1000),
         )
 
-    def _forget_logged(self) -> None:
-        for content in [known for known in self._logged if self._ledger.get(known) is None]:
-            del self._logged[content]
+    def _expire_logged(self) -> None:
+        for digest in [known for known in self._logged if self._ledger.get(known) is None]:
+            del self._logged[digest]
 
 
 def _announced(upstream: Upstream) -> bool:
-    """Whether a server said that it is about to end."""
+    """Whether a server announced that it is about to stop."""
     return upstream.record.draining or upstream.record.announced_leaving
--- a/ploverhatch/gateway/server_choice.py
+++ b/ploverhatch/gateway/server_choice.py
@@ -1,9 +1,10 @@
-"""Which server a request may go to, by what this node knows.
+"""Chooses the server for a request by what this node knows.
 
-Requests with a key go to its holder, others to the server that is likely to answer
-first. Where all nodes share slots, a dispatcher chooses, and this is asked whether the
-server is still right when the slot has come. Whatever the way, :meth:`ServerChoice.bar`
-alone decides what may be sent to a server, and is asked once more right before the send.
+Requests with a key go to the key's holder, others to the server that is likely to answer
+first. Where nodes share slots, a dispatcher chooses the server, and this module checks that
+the server is still eligible once the slot is granted. In all cases
+:meth:`ServerChoice.exclusion` alone decides whether a server may be sent a request, and it is
+called once more right before the request is sent.
 """
 
 import random
@@ -20,26 +21,28 @@
 from ploverhatch.routing.sending import Exclusion, HolderGracePeriods
 from ploverhatch.state.servers import ServerRecord
 
-JITTER = 0.15
+JITTER_FRACTION = 0.15
 DEFAULT_ANSWER_MS = 100.0
-REST_SPREAD_MS = 200.0  # callers that are told of one rest come back spread over so long
+# Callers that are refused because of one server's backoff retry spread over this time.
+BACKOFF_SPREAD_MS = 200.0
 RETRY_AFTER_NO_SERVER_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Hopeless:
-    """No server may be sent a request, and no short wait changes that."""
+class Unservable:
+    """Why no server may be sent a request now or after a short wait."""
 
     result: Result
-    after_s: float  # when its caller may come back
-    detail: str  # for the log: which server's word it follows from, and how old it is
+    after_s: float  # Seconds after which the caller may retry.
+    detail: str  # Text for the log: the servers whose notices are the reason, and their age.
 
 
 class ServerChoice:
-    """Looks servers up for the requests of one node.
+    """Chooses servers for the requests of one node.
 
-    :param evacuate_ms: until an evacuated zone gets nothing.
-    :param drain_ms: until a server that said to this node that it leaves gets nothing.
+    :param evacuate_ms: time after which an evacuated zone gets nothing.
+    :param drain_ms: time after which a server that announced to this node that it is leaving
+        gets nothing.
     """
 
     def __init__(
@@ -48,12 +51,13 @@
         self._directory = directory
         self._pool = pool
         self._times = HolderGracePeriods.of(drain_ms, evacuate_ms)
-        self._rested: set[str] = set()  # servers that asked for a rest and have not recovered
+        # Servers that asked for a backoff and haven't recovered.
+        self._backed_off: set[str] = set()
 
-    def bar(self, call: Call, server_id: str) -> Exclusion | None:
-        """Return why a request may not be sent to a server now; ``None``: it may.
+    def exclusion(self, call: Call, server_id: str) -> Exclusion | None:
+        """Return why a request may not be sent to a server now, or ``None`` if it may.
 
-        First tries and repeats, with and without a key or a shared slot, all ask here.
+        This check applies to first attempts and retries, with and without a key or a shared slot.
         """
         return sending.find_exclusion(
             self._directory.servers,
@@ -65,11 +69,11 @@
         )
 
     def holder(self, call: Call) -> Upstream | None:
-        """Return the server that holds a request's key and may be sent it now."""
+        """Return the server that holds a request's key, if the request may be sent to it now."""
         server_id = self._holder_id(call)
         if server_id is None or not self._directory.keymaps_trusted:
             return None
-        return None if self.bar(call, server_id) else self._pool.get(server_id)
+        return None if self.exclusion(call, server_id) else self._pool.get(server_id)
 
     def _holder_id(self, call: Call) -> str | None:
         keymap = self._directory.keymaps.get(call.service)
@@ -80,8 +84,8 @@
         call.token = found.token
         return found.holder.server_id if self._directory.is_granted(call.service, found) else None
 
-    def cheapest(self, call: Call, tried: set[str]) -> Upstream | None:
-        """Return the server that answers first, as far as this node alone knows."""
+    def fastest(self, call: Call, tried: set[str]) -> Upstream | None:
+        """Return the server that is expected to answer first, by this node's own estimates."""
         upstreams = [
             upstream
             for record in self._directory.servers.of_service(call.service)
@@ -96,120 +100,141 @@
             upstream.load(usual_ms, servers.is_cold(upstream.record.server_id, now_ms))
             for upstream in upstreams
         ]
-        jitter = {load.server_id: random.uniform(1 - JITTER, 1 + JITTER) for load in loads}
+        jitter = {
+            load.server_id: random.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
+            for load in loads
+        }
         chosen = balancer.choose(loads, jitter)
         return self._pool.get(chosen) if chosen else None
 
-    def of_slot(self, call: Call, server_id: str) -> Upstream | None:
-        """Return the server of a slot, unless it left or lost the key during the wait.
+    def upstream_for_slot(self, call: Call, server_id: str) -> Upstream | None:
+        """Return the server of a granted slot, unless it left or lost the key during the wait.
 
-        One that comes back from a rest takes what this node's own slots there allow.
+        A server that recovers from a backoff gets no more requests than this node's own slots
+        there allow.
         """
         if call.partitioned:
             found = self.holder(call)
             if found is None or found.record.server_id != server_id:
                 return None
         else:
-            found = None if self.bar(call, server_id) else self._pool.get(server_id)
-        return found if found is not None and found.has_room else None
+            found = None if self.exclusion(call, server_id) else self._pool.get(server_id)
+        return found if found is not None and found.has_capacity else None
 
     def note_backoff(self, server_id: str) -> None:
-        """A server asked this node for a rest."""
-        self._rested.add(server_id)
+        """Note that a server asked this node for a backoff."""
+        self._backed_off.add(server_id)
 
-    def barred(self) -> tuple[str, ...]:
-        """Return the servers that a dispatcher need not give: they rest, or recover from it."""
+    def excluded(self) -> tuple[str, ...]:
+        """Return the servers whose slots are of no use to this node because of a backoff.
+
+        They are backing off, or are recovering and have no capacity left for this node.
+        """
         notices, now_ms = self._directory.servers.notices, elapsed_ms()
-        barred = []
-        for server_id in list(self._rested):
+        excluded = []
+        for server_id in list(self._backed_off):
             upstream = self._pool.get(server_id)
             if upstream is None or not upstream.recovering:
-                self._rested.discard(server_id)
-            elif notices.backoff_left_ms(server_id, now_ms) > 0 or not upstream.has_room:
-                barred.append(server_id)
-        return tuple(sorted(barred))
+                self._backed_off.discard(server_id)
+            elif notices.backoff_left_ms(server_id, now_ms) > 0 or not upstream.has_capacity:
+                excluded.append(server_id)
+        return tuple(sorted(excluded))
 
     def needs_dispatcher(self, record: ServerRecord) -> bool:
-        """Whether only the group's dispatcher may give a server's slots: it counts for all."""
+        """Whether only the group's dispatcher may grant a server's slots.
+
+        A rate limit holds for all nodes together, and only the dispatcher counts for all of them.
+        """
         servers = self._directory.servers
         if record.server_id in servers.notices.limit_per_s:
             return True
         cold = servers.is_cold(record.server_id, elapsed_ms())
         return cold and self._directory.cold_per_s(record.service) > 0
 
-    def only_by_dispatcher(self, call: Call, tried: Collection[str]) -> bool:
-        """Whether a dispatcher alone may give a request without a key any server."""
+    def all_need_dispatcher(self, call: Call, tried: Collection[str]) -> bool:
+        """Whether only a dispatcher may grant a slot at any eligible server.
+
+        This is always false for a request with a key.
+        """
         if call.partitioned:
             return False
         usable = [
             record
             for record in self._directory.servers.of_service(call.service)
-            if record.server_id not in tried and not self.bar(call, record.server_id)
+            if record.server_id not in tried and not self.exclusion(call, record.server_id)
         ]
         return bool(usable) and all(map(self.needs_dispatcher, usable))
 
-    def hopeless(self, call: Call, tried: Collection[str] = ()) -> Hopeless | None:
-        """Return when to come back if it is known that no server may be sent a request.
+    def unservable(self, call: Call, tried: Collection[str] = ()) -> Unservable | None:
+        """Return why no server can serve a request in time, or ``None`` if one might.
+
+        A holder that is leaving is about to hand its keys over, which is worth a wait until the
+        time for that is over. The other reasons outlast a request's time limit.
 
-        A holder that leaves is about to hand its keys over, which is worth a wait, unless
-        the time for that is over. All else a wait within a request's time changes nothing of.
+        :param tried: ids of servers that already failed this request.
         """
         known = self._directory.servers.records.values()
         records = [record for record in known if record.service == call.service]
         if not call.partitioned and any(
-            record.server_id not in tried and not self.bar(call, record.server_id)
+            record.server_id not in tried and not self.exclusion(call, record.server_id)
             for record in records
         ):
             return None
-        if records and all(self._shut(record, call) for record in records):
-            return Hopeless(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, call.service)
+        if records and all(self._closed_by_operator(record, call) for record in records):
+            return Unservable(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, call.service)
         if call.partitioned:
             server_id = self._holder_id(call)
-            return self._hopeless_at(call, [server_id]) if server_id is not None else None
+            return self._unservable_at(call, [server_id]) if server_id is not None else None
         left = [record.server_id for record in records if record.server_id not in tried]
-        return self._hopeless_at(call, left)
+        return self._unservable_at(call, left)
 
-    def _hopeless_at(self, call: Call, server_ids: Collection[str]) -> Hopeless | None:
-        bars = {server_id: self.bar(call, server_id) for server_id in server_ids}
-        resting = [server_id for server_id, bar in bars.items() if bar is Exclusion.RESTS]
-        if not bars or not all(bars.values()):
+    def _unservable_at(self, call: Call, server_ids: Collection[str]) -> Unservable | None:
+        exclusions = {server_id: self.exclusion(call, server_id) for server_id in server_ids}
+        backing_off = [
+            server_id for server_id, exclusion in exclusions.items() if exclusion is Exclusion.RESTS
+        ]
+        if not exclusions or not all(exclusions.values()):
             return None
-        if resting:
-            return self._until_rest_is_over(resting)
-        if not all(bar is Exclusion.LEAVES for bar in bars.values()):
+        if backing_off:
+            return self._until_backoff_ends(backing_off)
+        if not all(exclusion is Exclusion.LEAVES for exclusion in exclusions.values()):
             return None
-        said_ms = self._directory.servers.notices.leaving_ms
-        said = {name: elapsed_ms() - said_ms[name] for name in bars if name in said_ms}
-        if call.partitioned and not said:
+        announced_ms = self._directory.servers.notices.leaving_ms
+        announced = {
+            name: elapsed_ms() - announced_ms[name] for name in exclusions if name in announced_ms
+        }
+        if call.partitioned and not announced:
             return None
-        words = ",".join(f"{name}:left-{age_ms:.0f}-ms-ago" for name, age_ms in said.items())
-        return Hopeless(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, words or call.service)
+        announcements = ",".join(
+            f"{name}:left-{age_ms:.0f}-ms-ago" for name, age_ms in announced.items()
+        )
+        return Unservable(results.NO_OWNER, RETRY_AFTER_NO_SERVER_S, announcements or call.service)
 
-    def _until_rest_is_over(self, server_ids: Collection[str]) -> Hopeless:
-        """Return when the first of some rests is over; callers come back spread from then on."""
+    def _until_backoff_ends(self, server_ids: Collection[str]) -> Unservable:
+        """Return a refusal until the first backoff ends, with retries spread from then on."""
         notices, now_ms = self._directory.servers.notices, elapsed_ms()
         left_ms, server_id = min(
             (notices.backoff_left_ms(name, now_ms), name) for name in server_ids
         )
-        after_s = (left_ms + random.uniform(0.0, REST_SPREAD_MS)) / 1000
+        after_s = (left_ms + random.uniform(0.0, BACKOFF_SPREAD_MS)) / 1000
         detail = f"{server_id}:rests-{left_ms:.0f}-ms,{len(server_ids)}-rest"
-        return Hopeless(results.SERVERS_REST, after_s, detail)
+        return Unservable(results.SERVERS_REST, after_s, detail)
 
-    def _shut(self, record: ServerRecord, call: Call) -> bool:
-        """Whether operators want nothing sent to a server."""
+    def _closed_by_operator(self, record: ServerRecord, call: Call) -> bool:
+        """Whether an evacuation or the route's regions rule a server out."""
         return record.evacuated or not record.in_regions(call.route.regions)
 
     def wait_until_ms(self, call: Call) -> float:
-        """Return until when a request waits for a server.
+        """Return until when a request waits for a server, in elapsed milliseconds.
 
-        A move whose holder answers is over soon. Where the holder is silent, its
-        lease has to lapse, which takes seconds: then the caller is told early.
+        A key moves soon if its holder answers. If the holder is unresponsive, its lease has to
+        expire first, which takes seconds, so the caller is refused early.
         """
         if call.partitioned and not self._directory.moves_slowly(call.service, call.token):
             return call.move_by_ms
         return call.offer_by_ms
 
     def _usable(self, record: ServerRecord, call: Call, tried: set[str]) -> bool:
-        if record.server_id in tried or self.bar(call, record.server_id):
+        if record.server_id in tried or self.exclusion(call, record.server_id):
             return False
         return not self.needs_dispatcher(record)
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -246,13 +246,13 @@
     other = QuarantineBench()
     other.quarantine.handle_report(bench.sent[-1][0], PEER)
     other.quarantine.handle_report(bench.sent[-1][0], PEER)
-    (heard,) = [text for text in caplog.messages if "Heard of an end under a request." in text]
+    (heard,) = [text for text in caplog.messages if "Crash report received." in text]
     assert "server=u1 witness=node-1 ended_ms_ago=" in heard
-    assert not any("Sent under suspicion." in text for text in caplog.messages)
+    assert not any("Suspect request sent." in text for text in caplog.messages)
     other.add_server()
     assert other.ask(b"/once/a").status == 200
     assert other.ask(b"/once/a").status == 200  # it was answered: no suspicion is left
-    (sent,) = [text for text in caplog.messages if "Sent under suspicion." in text]
+    (sent,) = [text for text in caplog.messages if "Suspect request sent." in text]
     assert "request=r1 content=" in sent and "server=u1 ends=1" in sent
 
 
