--- a/ploverhatch/gateway/quarantine_persistence.py
+++ b/ploverhatch/gateway/quarantine_persistence.py
@@ -64,7 +64,7 @@
                 self._stored = error.current
 
     def _load(self) -> None:
-        self._stored = self._store.get(kinds.QUARANTINE, kinds.HELD_REQUESTS)
+        self._stored = self._store.get(kinds.QUARANTINE, kinds.QUARANTINED_REQUESTS)
         self._loaded = True
         if self._stored is None:
             return
@@ -83,7 +83,7 @@
         self._saved_ms = elapsed_ms()
         content = msgspec.to_builtins(records)
         known = self._stored
-        name = kinds.HELD_REQUESTS
+        name = kinds.QUARANTINED_REQUESTS
         if known is None:
             self._stored = self._store.create(kinds.QUARANTINE, name, content)
         else:
--- a/ploverhatch/gateway/server_control.py
+++ b/ploverhatch/gateway/server_control.py
@@ -119,7 +119,7 @@
             raise _NotSentError
         try:
             with gevent.Timeout(timeout_s):
-                answer = connection.exchange(b"POST", payload, open_when_late=True)
+                answer = connection.exchange(b"POST", payload, keep_open_on_timeout=True)
         except gevent.Timeout as error:
             self._note_unanswered(connection)
             raise _NoAnswerError("no answer in time") from error
@@ -163,13 +163,13 @@
 
     def _has_broken(self) -> bool:
         kept = self._kept
-        if kept is not None and not kept.is_quiet():
+        if kept is not None and not kept.is_usable():
             idle_s = elapsed_ms() / 1000 - kept.idle_since_s
             # The server announced that it closes connections that are idle for this long.
-            announced = 0 < kept.idle_limit_s <= idle_s + IDLE_MARGIN_S
+            announced = 0 < kept.idle_timeout_s <= idle_s + IDLE_MARGIN_S
             self._broken = self._broken or not announced
             self._close_kept()
-        if self._unanswered is not None and self._unanswered.has_ended():
+        if self._unanswered is not None and self._unanswered.closed_by_peer():
             self._broken = True
             self._drop_unanswered()
         return self._broken
@@ -179,7 +179,7 @@
         if self._unanswered is not None:
             connection.abort()
             return
-        connection.probe_steadily()
+        connection.enable_keepalive()
         self._unanswered = connection
 
     def _drop_unanswered(self) -> None:
--- a/ploverhatch/gateway/upstreams.py
+++ b/ploverhatch/gateway/upstreams.py
@@ -155,8 +155,8 @@
         now_s = elapsed_ms() / 1000
         while self._idle:
             connection = self._idle.pop()
-            limit_s = (connection.idle_limit_s or DEFAULT_IDLE_S) - IDLE_MARGIN_S
-            if now_s - connection.idle_since_s < limit_s and connection.is_quiet():
+            limit_s = (connection.idle_timeout_s or DEFAULT_IDLE_S) - IDLE_MARGIN_S
+            if now_s - connection.idle_since_s < limit_s and connection.is_usable():
                 return connection
             connection.close()
         connection = HttpConnection(self.address)
--- a/ploverhatch/platform/store.py
+++ b/ploverhatch/platform/store.py
@@ -90,7 +90,7 @@
                 return self.list_all(kind)  # a stale answer may be older than the restore
             if not page.more or not page.items:
                 # Changes during later pages are reported by a watch from here.
-                return Listing(tuple(items), revisions.joined(*first))
+                return Listing(tuple(items), revisions.combine(*first))
             after = page.items[-1].name
 
     @override
@@ -103,12 +103,12 @@
 
     @override
     def watch(self, kind: str, after: int, wait_s: float) -> ChangeBatch:
-        asked_era, revision = revisions.divided(after)
+        asked_era, revision = revisions.split(after)
         if asked_era < self._era:
             raise HistoryDroppedError(kind)
         parts = [f"watch={revision}", f"wait_ms={int(wait_s * 1000)}"]
         connection = self._watch_idle.pop(kind, None)
-        if connection is not None and not connection.is_quiet():
+        if connection is not None and not connection.is_usable():
             connection.close()
             connection = None
         if connection is None:
@@ -134,7 +134,7 @@
             raise HistoryDroppedError(kind)
         batch = pages.read_changes(answer.body)
         changes = [ObjectChange(_in_era(item.object, era), item.gone) for item in batch.changes]
-        return ChangeBatch(tuple(changes), revisions.joined(era, batch.revision))
+        return ChangeBatch(tuple(changes), revisions.combine(era, batch.revision))
 
     @override
     def create(self, kind: str, name: str, spec: Any) -> VersionedObject:
@@ -143,12 +143,12 @@
 
     @override
     def replace(self, kind: str, name: str, spec: Any, revision: int) -> VersionedObject:
-        expected_era, bare = revisions.divided(revision)
+        expected_era, bare = revisions.split(revision)
         if expected_era < self._era:
             raise RevisionConflictError(self.get(kind, name))
         body = {"metadata": {"name": name, "revision": bare}, "spec": spec}
         item = self._change("PUT", _path(kind, name), body)
-        if revisions.divided(item.revision)[0] != expected_era:
+        if revisions.split(item.revision)[0] != expected_era:
             # The revision was issued twice: this write has replaced another change.
             raise OutcomeUnknownError("written after the store was restored from a snapshot")
         return item
@@ -191,7 +191,7 @@
     def _take(self) -> HttpConnection:
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_quiet():
+            if connection.is_usable():
                 return connection
             connection.close()
         return self._open()
@@ -265,7 +265,7 @@
 
 
 def _in_era(item: VersionedObject, era: int) -> VersionedObject:
-    return replace(item, revision=revisions.joined(era, item.revision))
+    return replace(item, revision=revisions.combine(era, item.revision))
 
 
 def _path(kind: str, name: str = "") -> str:
--- a/ploverhatch/store/kinds.py
+++ b/ploverhatch/store/kinds.py
@@ -9,4 +9,4 @@
 QUARANTINE = "quarantine"  # written by the leader; one object
 
 LEADER_LEASE = "leader"
-HELD_REQUESTS = "held"
+QUARANTINED_REQUESTS = "held"
--- a/ploverhatch/store/revisions.py
+++ b/ploverhatch/store/revisions.py
@@ -8,14 +8,14 @@
 _STORE_MASK = (1 << STORE_BITS) - 1
 
 
-def joined(era: int, revision: int) -> int:
+def combine(era: int, revision: int) -> int:
     """Return the revision of the product that stands for the store's in an era."""
     return (era << STORE_BITS) | (revision & _STORE_MASK)
 
 
 def era_of(revision: int) -> int:
     """Return the era of a joined revision."""
-    return divided(revision)[0]
+    return split(revision)[0]
 
 
 def same_era(revision: int, other: int) -> bool:
@@ -23,7 +23,7 @@
     return era_of(revision) == era_of(other)
 
 
-def divided(revision: int) -> tuple[int, int]:
+def split(revision: int) -> tuple[int, int]:
     """Return the era, and the store's own revision in it; below 0 stays as it is."""
     if revision < 0:
         return 0, revision
--- a/ploverhatch/transport/http_connection.py
+++ b/ploverhatch/transport/http_connection.py
@@ -153,7 +153,7 @@
     def __init__(self, address: HostPort) -> None:
         self.address = address
         self.reusable = False
-        self.idle_limit_s = 0.0  # as the last answer stated; 0: not stated
+        self.idle_timeout_s = 0.0  # as the last answer stated; 0: not stated
         self.idle_since_s = 0.0
         self._socket: Any = None
 
@@ -177,7 +177,7 @@
             raise
         sock.settimeout(None)
 
-    def is_quiet(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether an idle connection is open with nothing to read.
 
         Bytes that arrive while no request is out belong to no request.
@@ -188,7 +188,7 @@
         poll.register(self._socket.fileno(), select.POLLIN | select.POLLHUP | select.POLLERR)
         return not poll.poll(0)
 
-    def has_ended(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the other side has ended a connection, whatever it sent before."""
         if self._socket is None:
             return True
@@ -196,7 +196,7 @@
         poll.register(self._socket.fileno(), select.POLLRDHUP)
         return bool(poll.poll(0))
 
-    def probe_steadily(self) -> None:
+    def enable_keepalive(self) -> None:
         """Have the system ask the other side each second whether it still knows of it.
 
         A machine that was without power meanwhile answers by a reset. One that is dark answers
@@ -206,13 +206,15 @@
             with suppress(OSError):
                 self._socket.setsockopt(level, option, value)
 
-    def exchange(self, method: bytes, payload: bytes, open_when_late: bool = False) -> WireAnswer:
+    def exchange(
+        self, method: bytes, payload: bytes, keep_open_on_timeout: bool = False
+    ) -> WireAnswer:
         """Send one request and read its answer. Bound it by ``gevent.Timeout``.
 
         The connection is closed with a reset unless the answer was whole, so
         that bytes still under way cannot arrive later.
 
-        :param open_when_late: whether it stays open where time was over: it takes no further
+        :param keep_open_on_timeout: whether it stays open where time was over: it takes no further
             request, but shows by its end that the other side has ended.
         :raises AnswerCutError: when no whole answer came.
         """
@@ -226,14 +228,14 @@
                 raise
             raise AnswerCutError(str(error)) from error
         except gevent.Timeout:
-            if not open_when_late:
+            if not keep_open_on_timeout:
                 self.abort()
             raise
         except BaseException:
             self.abort()
             raise
         self.reusable = all_sent and reader.keep_alive and not reader.excess
-        self._note_idle_limit(reader.answer)
+        self._note_idle_timeout(reader.answer)
         return reader.answer
 
     def _send_and_read(self, reader: _AnswerReader, payload: bytes) -> bool:
@@ -264,13 +266,13 @@
             else:
                 raise AnswerCutError("closed before a whole answer")
 
-    def _note_idle_limit(self, answer: WireAnswer) -> None:
-        self.idle_limit_s = 0.0
+    def _note_idle_timeout(self, answer: WireAnswer) -> None:
+        self.idle_timeout_s = 0.0
         value = answer.get(b"keep-alive") or b""
         for part in value.split(b","):
             name, _, number = part.strip().partition(b"=")
             if name.lower() == b"timeout" and number.isdigit():
-                self.idle_limit_s = float(number)
+                self.idle_timeout_s = float(number)
 
     def close(self) -> None:
         """Close in order."""
--- a/tests/functional/test_http_connection.py
+++ b/tests/functional/test_http_connection.py
@@ -81,7 +81,7 @@
     connection = HttpConnection(server.address)
     connection.open(1.0)
     connection.exchange(b"GET", REQUEST)
-    assert connection.is_quiet()
+    assert connection.is_usable()
 
     late = RawUpstream(WHOLE + b"", WHOLE)
     connection = HttpConnection(late.address)
@@ -89,7 +89,7 @@
     connection.exchange(b"GET", REQUEST)
     connection._socket.sendall(REQUEST)  # draws a second answer that nobody asked for
     gevent.sleep(0.05)
-    assert not connection.is_quiet()
+    assert not connection.is_usable()
 
 
 def test_a_connection_that_was_closed_is_not_quiet():
@@ -98,13 +98,13 @@
     connection.open(1.0)
     connection.exchange(b"GET", REQUEST)
     gevent.sleep(0.05)
-    assert not connection.is_quiet()
+    assert not connection.is_usable()
 
 
 def test_keep_alive_seconds_are_read():
     answer = WHOLE.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=7, max=9\r\n")
     connection, _ = exchange(answer)
-    assert connection.idle_limit_s == 7.0
+    assert connection.idle_timeout_s == 7.0
 
 
 def test_a_refused_connection_sends_nothing():
--- a/tests/functional/test_store_eras.py
+++ b/tests/functional/test_store_eras.py
@@ -10,7 +10,7 @@
     RevisionConflictError,
     StoreCallError,
 )
-from ploverhatch.store.revisions import divided
+from ploverhatch.store.revisions import split
 from tests.standin.metadata_store import StoreServer
 
 KIND = kinds.LEASES
@@ -48,7 +48,7 @@
     after = store.list_all(KIND)
     assert after.revision > before
     assert after.items[0].revision > before
-    assert divided(after.revision) == (1, 5)
+    assert split(after.revision) == (1, 5)
 
 
 # A watch went on from a revision that was issued again, and passed over what came before it.
@@ -95,7 +95,7 @@
     restored(server, store)
     listed = store.list_all(KIND)
     written = store.replace(KIND, "a", {"n": "mine"}, listed.items[0].revision)
-    assert divided(written.revision) == (1, 6)
+    assert split(written.revision) == (1, 6)
     with pytest.raises(RevisionConflictError) as caught:
         store.replace(KIND, "a", {"n": "mine"}, listed.items[0].revision)
     assert caught.value.current.revision == written.revision
