--- a/ploverhatch/platform/__init__.py
+++ b/ploverhatch/platform/__init__.py
@@ -1,1 +1,4 @@
-"""Translation between ploverhatch and the users' platform, and nothing else."""
+"""Adapter of the platform: its wire format, settings file and metadata store.
+
+No other package knows the platform's names.
+"""
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -25,8 +25,8 @@
 
 KEY_LIMIT = 65_536
 LEAVING_YES = b"1"
-MOST_MISREAD = 16  # values of a field that are logged, each once
-_SINGLE_HOP = frozenset(
+MAX_LOGGED_VALUES = 16  # distinct malformed values that are logged, each once
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -42,14 +42,14 @@
     }
 )
 _REPLACED = frozenset({names.DEADLINE, names.EXPECT_INSTANCE})
-_SERVER_FAULTS = frozenset({500, 502, 504})
+_SERVER_ERRORS = frozenset({500, 502, 504})
 
 
 class PlatformDialect(Dialect):
-    """Header fields as PROTOCOL.md states them."""
+    """Reads and writes header fields and control calls as PROTOCOL.md defines them."""
 
     def __init__(self) -> None:
-        self._misread: set[bytes] = set()
+        self._logged_values: set[bytes] = set()
 
     @override
     def facts(self, request: CallerRequest) -> RequestFacts:
@@ -66,7 +66,7 @@
 
     @override
     def encode_request(self, request: CallerRequest, server_id: str, remaining_ms: float) -> bytes:
-        dropped = _SINGLE_HOP | _REPLACED | _named_by_connection(request.headers)
+        dropped = _HOP_BY_HOP | _REPLACED | _named_by_connection(request.headers)
         rows = [request.method + b" " + request.target + b" HTTP/1.1"]
         rows += [
             name + b": " + value for name, value in request.headers if name.lower() not in dropped
@@ -84,9 +84,9 @@
         status = answer.status
         answered_id = answer.get(names.REQUEST_ID)
         if answered_id is not None and answered_id != facts.request_id:
-            return AttemptResult.LOST  # an answer to some other request
+            return AttemptResult.LOST  # the answer belongs to another request
         if status == 421:
-            return self._judge_misdirected(server_id, answer)
+            return self._classify_misdirected(server_id, answer)
         if answer.get(names.NOT_EXECUTED) is not None:
             return AttemptResult.DECLINED
         if 200 <= status < 300:
@@ -94,11 +94,11 @@
             return AttemptResult.ANSWERED if sealed else AttemptResult.LOST
         if answer.get(names.SEAL) is None or answered_id is None:
             return AttemptResult.LOST
-        if status in _SERVER_FAULTS:
+        if status in _SERVER_ERRORS:
             return AttemptResult.SERVER_ERROR
         return AttemptResult.ANSWERED
 
-    def _judge_misdirected(self, server_id: str, answer: WireAnswer) -> AttemptResult:
+    def _classify_misdirected(self, server_id: str, answer: WireAnswer) -> AttemptResult:
         instance = answer.get(names.INSTANCE)
         if instance is not None and instance != _instance(server_id):
             return AttemptResult.WRONG_INSTANCE
@@ -113,47 +113,57 @@
         if instance is not None and instance != _instance(server_id):
             return NO_NOTICE
         leaving = answer.get(names.LEAVING)
-        rest_s = 0.0
+        backoff_s = 0.0
         if answer.status == 503:
-            asked = [value for name, value in answer.headers if name.lower() == names.RETRY_AFTER]
-            rest_s = max(map(self._rest_s, asked), default=0.0)
-        says_it_leaves = leaving is not None and leaving.strip() == LEAVING_YES
-        return ServerNotice(says_it_leaves, rest_s * 1000, self._limit_per_s(answered_id, answer))
+            values = [value for name, value in answer.headers if name.lower() == names.RETRY_AFTER]
+            backoff_s = max(map(self._backoff_s, values), default=0.0)
+        is_leaving = leaving is not None and leaving.strip() == LEAVING_YES
+        return ServerNotice(is_leaving, backoff_s * 1000, self._limit_per_s(answered_id, answer))
 
-    def _rest_s(self, value: bytes) -> float:
-        """Read ``Retry-After``: seconds, fractions included; 0 where it is anything else."""
-        return self._quantity(value, "Rest not understood.") or 0.0
+    def _backoff_s(self, value: bytes) -> float:
+        """Return the seconds of a ``Retry-After`` value, which may have a fraction.
+
+        A value that is not a number of 0 or more counts as 0.
+        """
+        return self._quantity(value, "Retry-After field of a server is malformed.") or 0.0
 
     def _limit_per_s(self, answered_id: bytes | None, answer: WireAnswer) -> float | None:
-        """Read ``Server-Limit``: requests a second; the least of several counts.
+        """Return the requests per second of ``Server-Limit``; of several values the least.
 
-        Only the answer to a request that ran shows that its server names no limit. One with a
-        value that can't be read tells nothing, so that the limit named before holds.
+        Without the field, the answer to a request that ran shows that its server announces no
+        rate limit. Any other answer without the field, and one without a well-formed value,
+        returns ``None``: the limit announced before stays in force.
         """
-        named = [value for name, value in answer.headers if name.lower() == names.LIMIT]
-        if not named:
+        announced = [value for name, value in answer.headers if name.lower() == names.LIMIT]
+        if not announced:
             ran = answered_id is not None and answer.get(names.SEAL) is not None
             return NO_LIMIT if ran else None
-        values = [part for value in named for part in value.split(b",")]
-        read = [self._quantity(value, "Limit not understood.") for value in values]
+        values = [part for value in announced for part in value.split(b",")]
+        read = [
+            self._quantity(value, "Server-Limit field of a server is malformed.")
+            for value in values
+        ]
         return min((per_s for per_s in read if per_s is not None), default=None)
 
-    def _quantity(self, value: bytes, complaint: str) -> float | None:
-        """Read a decimal number of 0 or more; anything else is logged, each value once."""
+    def _quantity(self, value: bytes, message: str) -> float | None:
+        """Read a decimal number of 0 or more.
+
+        For any other value, ``message`` is logged, once per value, and ``None`` is returned.
+        """
         try:
             number = float(value)
         except ValueError:
             number = math.nan
         if math.isfinite(number) and number >= 0:
             return number
-        if value not in self._misread and len(self._misread) < MOST_MISREAD:
-            self._misread.add(value)
-            LOG.warning(complaint, value=value[:40].decode("latin-1"))
+        if value not in self._logged_values and len(self._logged_values) < MAX_LOGGED_VALUES:
+            self._logged_values.add(value)
+            LOG.warning(message, value=value[:40].decode("latin-1"))
         return None
 
     @override
     def reply_headers(self, answer: WireAnswer) -> HeaderList:
-        dropped = _SINGLE_HOP | _named_by_connection(answer.headers)
+        dropped = _HOP_BY_HOP | _named_by_connection(answer.headers)
         return [(name, value) for name, value in answer.headers if name.lower() not in dropped]
 
     @override
@@ -201,7 +211,7 @@
 
 
 def _instance(server_id: str) -> bytes:
-    """Return the id by which the platform knows a life's server."""
+    """Return the id under which the platform registers the server of an incarnation."""
     return registered_name(server_id).encode()
 
 
@@ -237,18 +247,18 @@
 def _key(value: bytes | None) -> int | None:
     if value is None:
         return None
-    # Python reads no whole number of more than 4,300 digits; a float of any length is read.
+    # int() refuses text of more than 4,300 digits; float() accepts any length.
     if not value.isdigit() or float(value) >= KEY_LIMIT:
         raise MalformedRequestError("key is not a number below 65536")
     return int(float(value))
 
 
 def _named_by_connection(headers: HeaderList) -> frozenset[bytes]:
-    named: set[bytes] = set()
+    listed: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    return frozenset(named) if named else _NONE
+            listed.update(part.strip().lower() for part in value.split(b","))
+    return frozenset(listed) if listed else _NO_NAMES
 
 
-_NONE: frozenset[bytes] = frozenset()
+_NO_NAMES: frozenset[bytes] = frozenset()
--- a/ploverhatch/platform/documents.py
+++ b/ploverhatch/platform/documents.py
@@ -1,4 +1,7 @@
-"""Translates the platform's objects into the product's model."""
+"""Translates objects of the platform into the types of the gateway.
+
+This module does no I/O and reads no clock.
+"""
 
 import socket
 from typing import Annotated, Literal
@@ -24,13 +27,13 @@
 
 LOG = PartLogger("platform")
 
-LAST_PORT = 65_535
-MOST_SLOTS = 100_000  # beyond what one server can work on: an entry that says more is odd
-MOST_COLD_MS = 3_600_000.0
+MAX_PORT = 65_535
+MAX_SLOTS = 100_000  # more than one server can use: an entry with a higher number is malformed
+MAX_COLD_MS = 3_600_000.0
 
 
 class DocumentError(ValueError):
-    """An object of the platform does not have the form its pages state."""
+    """An object of the platform does not have the form that its protocol defines."""
 
 
 class _Split(msgspec.Struct):
@@ -78,18 +81,18 @@
     limits: _Limits = msgspec.field(default_factory=_Limits)
 
 
-# An entry may come from another writer, so each field that its pages name has to be there and
-# of its type: what is made up in its place would be sent requests.
+# An entry may come from a foreign writer. Each field that the protocol names must be present and
+# of the right type: with default values in its place the entry would receive requests.
 class _ServerInfo(msgspec.Struct):
     service: Annotated[str, Meta(min_length=1)]
     version: str
     zone: str
-    slots: Annotated[int, Meta(ge=1, le=MOST_SLOTS)]
+    slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)]
 
 
 class _ServerStatus(msgspec.Struct):
     state: Literal["ready", "draining"]
-    cold_remaining_ms: Annotated[float, Meta(ge=0, le=MOST_COLD_MS)]
+    cold_remaining_ms: Annotated[float, Meta(ge=0, le=MAX_COLD_MS)]
     call_seq: int
 
 
@@ -103,7 +106,7 @@
 def route_table(spec: object) -> RouteTable:
     """Translate the configuration.
 
-    :raises DocumentError: when it has another form.
+    :raises DocumentError: when the configuration is malformed.
     """
     try:
         document = msgspec.convert(spec, _Configuration, strict=False)
@@ -152,12 +155,12 @@
 
 
 def server_record(item: VersionedObject) -> ServerRecord:
-    """Translate a server's registration.
+    """Translate the entry of a server.
 
-    :raises DocumentError: when it has another form.
+    :raises DocumentError: when the entry is malformed.
     """
     if not isinstance(item.spec, dict) or not isinstance(item.status, dict | None):
-        raise DocumentError(f"{item.name}: its parts are no tables")
+        raise DocumentError(f"{item.name}: spec or status is not an object")
     merged = dict(item.spec)
     if item.status is not None:
         merged["status"] = item.status
@@ -179,22 +182,22 @@
 
 
 def _address(text: str) -> HostPort:
-    """Read an IP number and a port.
+    """Read an IPv4 address and a port.
 
-    :raises ValueError: when the text is anything else.
+    :raises ValueError: when the text has another form.
     """
     address = HostPort.parse(text)
     try:
         socket.inet_pton(socket.AF_INET, address.host)
     except OSError as error:
-        raise ValueError(f"no IP number: {text!r}") from error
-    if not 0 < address.port <= LAST_PORT:
-        raise ValueError(f"no port: {text!r}")
+        raise ValueError(f"not an IPv4 address: {text!r}") from error
+    if not 0 < address.port <= MAX_PORT:
+        raise ValueError(f"port out of range: {text!r}")
     return address
 
 
 class PlatformTranslation(Translation):
-    """Reads the platform's objects; what can't be read is logged and left out."""
+    """Translates objects of the platform; a malformed one is logged and gives ``None``."""
 
     readiness_path = names.READINESS_PATH
 
@@ -205,7 +208,7 @@
         try:
             return route_table(item.spec)
         except DocumentError as error:
-            LOG.error("Configuration not understood.", cause=error)
+            LOG.error("Configuration is malformed.", cause=error)
             return None
 
     @override
@@ -213,5 +216,5 @@
         try:
             return server_record(item)
         except DocumentError as error:
-            LOG.error("Server record not understood.", cause=error)
+            LOG.error("Server record is malformed.", cause=error)
             return None
--- a/ploverhatch/platform/names.py
+++ b/ploverhatch/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the users' platform; source: its page PROTOCOL.md."""
+"""Names that the platform defines in its page PROTOCOL.md."""
 
 SETTINGS_VARIABLE = "PLOVERHATCH_NODE_FILE"
 
@@ -15,7 +15,7 @@
 STATE_DRAINING = "draining"
 KIND_SAFE = "safe"
 
-# Header fields, in lower case as they are compared.
+# Header fields. They are in lower case, since received names are lowered before comparison.
 REQUEST_ID = b"request-id"
 DEADLINE = b"request-deadline-ms"
 SEAL = b"response-seal"
--- a/ploverhatch/platform/pages.py
+++ b/ploverhatch/platform/pages.py
@@ -1,7 +1,7 @@
-"""Reads what the metadata store answers: objects, pages of them, and changes.
+"""Parses answers of the metadata store: objects, pages of a listing, and reports of a watch.
 
-An object may come from any writer. One that cannot be read keeps its name and revision and
-has no content, so that it is taken for what it is and the others on the page hold.
+An object may come from a foreign writer. A malformed object keeps its name and revision and
+loses its content, so that its readers reject it and the other objects of the answer are used.
 """
 
 import io
@@ -20,12 +20,12 @@
 LOG = PartLogger("store")
 
 T = TypeVar("T")
-# What a parser raises on bytes of any kind; nesting beyond its depth is the last one.
-UNREADABLE = (ValueError, OverflowError, RecursionError)
-# An object that is nested more deeply has no content. Parsers that recurse go to some 900
-# levels, fewer where their caller's stack is deep, and then refuse all that they were given.
-MOST_LEVELS = 200
-SPARE_LEVELS = 100  # other nodes read it from deeper in their stacks than this one
+# Raised by the parsers on malformed input; RecursionError stands for too deep nesting.
+PARSE_ERRORS = (ValueError, OverflowError, RecursionError)
+# An object that is nested more deeply loses its content. Recursive parsers reject their whole
+# input at some 900 levels, and at fewer when the caller's stack is deep.
+MAX_LEVELS = 200
+SPARE_LEVELS = 100  # other nodes may parse the object on a deeper stack
 
 
 class _Metadata(msgspec.Struct):
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Some objects of a kind; ``revision`` is the store's when they were read."""
+    """A page of a listing; ``revision`` is that of the store at the time of the read."""
 
     items: list[VersionedObject]
     revision: int
@@ -69,103 +69,103 @@
 
 
 def read_object(body: bytes) -> VersionedObject:
-    """Read one object.
+    """Parse one object.
 
-    :raises StoreCallError: when it has no name.
+    :raises StoreCallError: when the object has no name.
     """
     try:
-        return _object(body)
-    except UNREADABLE as error:
+        return _parse_object(body)
+    except PARSE_ERRORS as error:
         raise StoreCallError(f"not the expected form: {error}") from error
 
 
 def read_page(body: bytes) -> Page:
-    """Read a page of a listing.
+    """Parse a page of a listing.
 
-    :raises StoreCallError: when the page itself has another form.
+    :raises StoreCallError: when the page itself is malformed.
     """
     page = _decode(body, _Page)
-    return Page(_readable(page.items), page.at, page.more)
+    return Page(_named_objects(page.items), page.at, page.more)
 
 
 def read_changes(body: bytes) -> ChangeBatch:
-    """Read what a watch reports.
+    """Parse the report of a watch.
 
-    :raises StoreCallError: when the report itself has another form.
+    :raises StoreCallError: when the report itself is malformed.
     """
     batch = _decode(body, _Events)
     changes = [
         ObjectChange(item, event.gone)
         for event in batch.events
-        for item in _readable([event.object])
+        for item in _named_objects([event.object])
     ]
     return ChangeBatch(tuple(changes), batch.at)
 
 
-def _readable(rows: list[msgspec.Raw]) -> list[VersionedObject]:
-    """Return the objects that can be named at least."""
+def _named_objects(rows: list[msgspec.Raw]) -> list[VersionedObject]:
+    """Return the objects that have a name; others are logged."""
     found = []
     for row in rows:
         try:
-            found.append(_object(row))
-        except UNREADABLE as error:
-            LOG.error("Object without a name left out.", cause=error)
+            found.append(_parse_object(row))
+        except PARSE_ERRORS as error:
+            LOG.error("Object without a name ignored.", cause=error)
     return found
 
 
-def _object(data: bytes | msgspec.Raw) -> VersionedObject:
-    """Read an object; one that other nodes could not be told of has no content.
+def _parse_object(data: bytes | msgspec.Raw) -> VersionedObject:
+    """Parse an object; one that can't be encoded for other nodes loses its content.
 
-    :raises ValueError: when it has no name.
+    :raises ValueError: when the object has no name.
     """
     try:
         item = msgspec.json.decode(data, type=_Object)
-        msgspec.msgpack.encode(_deeper((item.spec, item.status), SPARE_LEVELS))
-    except UNREADABLE as error:
-        named = _named(bytes(data))
-        LOG.error("Object not understood.", name=named.name, cause=error)
+        msgspec.msgpack.encode(_nested((item.spec, item.status), SPARE_LEVELS))
+    except PARSE_ERRORS as error:
+        named = _metadata_of(bytes(data))
+        LOG.error("Object is malformed.", name=named.name, cause=error)
         return VersionedObject(named.name, named.revision, None)
     return VersionedObject(item.metadata.name, item.metadata.revision, item.spec, item.status)
 
 
-def _deeper(value: object, levels: int) -> object:
+def _nested(value: object, levels: int) -> object:
     for _ in range(levels):
         value = [value]
     return value
 
 
-def _named(data: bytes) -> _Metadata:
-    """Return the name of an object whose content is of no use.
+def _metadata_of(data: bytes) -> _Metadata:
+    """Return the metadata of an object with malformed content.
 
-    :raises ValueError: when it has none.
+    :raises ValueError: when the object has no name.
     """
     try:
         return msgspec.json.decode(data, type=_Named).metadata
     except RecursionError:
-        return msgspec.convert(_shallow(data), _Named).metadata
+        return msgspec.convert(_parse_shallow(data), _Named).metadata
 
 
 def _decode(body: bytes, form: type[T]) -> T:
     try:
         return msgspec.json.decode(body, type=form)
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         cause = error
     try:
-        return msgspec.json.decode(_mended(body), type=form)
-    except (*UNREADABLE, AttributeError, TypeError, KeyError):
+        return msgspec.json.decode(_repaired(body), type=form)
+    except (*PARSE_ERRORS, AttributeError, TypeError, KeyError):
         raise StoreCallError(f"not the expected form: {cause}") from cause
 
 
-def _mended(body: bytes) -> bytes:
-    """Return a body that strict parsers refuse as a whole, without what they refuse.
+def _repaired(body: bytes) -> bytes:
+    """Return a body that the strict parser rejects, without the content that it rejects.
 
-    Text that is no text, numbers that are none and deep nesting make an object's content
-    unreadable.
+    An object loses its content if it contains invalid Unicode, NaN, infinity, a number out of
+    range or deep nesting.
     """
     try:
         document = json.loads(body.decode("utf-8", "surrogateescape"), strict=False)
     except RecursionError:
-        document = _shallow(body)
+        document = _parse_shallow(body)
     for event in document.get("events", ()):
         event["object"] = _clean(event["object"])
     if "items" in document:
@@ -176,29 +176,30 @@
 def _clean(item: dict[str, object]) -> dict[str, object]:
     try:
         json.dumps(item, ensure_ascii=False, allow_nan=False).encode()
-    except UNREADABLE as error:
-        LOG.error("Object not understood.", name=item["metadata"], cause=error)
+    except PARSE_ERRORS as error:
+        LOG.error("Object is malformed.", name=item["metadata"], cause=error)
         return {"metadata": item["metadata"]}
     return item
 
 
-def _shallow(body: bytes) -> Any:
-    """Read a body of any nesting; in place of what lies deeper there is no number.
+def _parse_shallow(body: bytes) -> Any:
+    """Parse a body of any depth; NaN replaces each value nested more deeply than ``MAX_LEVELS``.
 
-    The parser doesn't recurse. It is loaded where it is needed only: memory is priced.
+    The parser isn't recursive. It is imported on first use, to save the memory of nodes that
+    never need it.
 
-    :raises ValueError: when it isn't JSON.
+    :raises ValueError: when the body isn't JSON.
     """
     import ijson  # noqa: PLC0415
 
     builder, level = ijson.ObjectBuilder(), 0
-    text = _NO_NUMBER.sub(_infinite, body.decode("utf-8", "replace").encode())
+    text = _NON_FINITE.sub(_replace_non_finite, body.decode("utf-8", "replace").encode())
     try:
         for event, value in ijson.basic_parse(io.BytesIO(text)):
             level -= event in _ENDS
-            if level < MOST_LEVELS:
+            if level < MAX_LEVELS:
                 builder.event(event, float(value) if isinstance(value, Decimal) else value)
-            elif level == MOST_LEVELS and event in _STARTS:
+            elif level == MAX_LEVELS and event in _STARTS:
                 builder.event("number", math.nan)
             level += event in _STARTS
     except ijson.JSONError as error:
@@ -206,11 +207,14 @@
     return builder.value
 
 
-def _infinite(found: re.Match[bytes]) -> bytes:
-    """Return what the parser takes in place of a number that is none; strings stay."""
+def _replace_non_finite(found: re.Match[bytes]) -> bytes:
+    """Return a number that overflows to infinity in place of NaN or Infinity; keep strings.
+
+    The parser accepts neither of these words.
+    """
     return found[0] if found[0].startswith(b'"') else b"1e999"
 
 
-_NO_NUMBER = re.compile(rb'"(?:[^"\\]|\\.)*"|-?(?:NaN|Infinity)', re.DOTALL)
+_NON_FINITE = re.compile(rb'"(?:[^"\\]|\\.)*"|-?(?:NaN|Infinity)', re.DOTALL)
 _STARTS = frozenset({"start_map", "start_array"})
 _ENDS = frozenset({"end_map", "end_array"})
--- a/ploverhatch/platform/settings.py
+++ b/ploverhatch/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the product's settings."""
+"""Translates the platform's settings file into the settings of a gateway."""
 
 import os
 
@@ -10,7 +10,7 @@
 
 
 class SettingsFileError(SettingsError):
-    """The settings file is missing, unreadable or wrong; the text says where."""
+    """The settings file is missing, unreadable or invalid; the text names the cause."""
 
 
 class _Limits(msgspec.Struct):
@@ -69,9 +69,9 @@
 
 
 def read_settings(path: str) -> GatewaySettings:
-    """Read and check a settings file; unknown fields are skipped.
+    """Read and check a settings file; unknown fields are ignored.
 
-    :raises SettingsFileError: with the field that is wrong.
+    :raises SettingsFileError: naming the field that is missing or invalid.
     """
     try:
         with open(path, "rb") as source:
@@ -81,9 +81,9 @@
 
 
 def parse_settings(text: bytes) -> GatewaySettings:
-    """Check the text of a settings file.
+    """Parse and check the text of a settings file.
 
-    :raises SettingsFileError: with the field that is wrong.
+    :raises SettingsFileError: naming the field that is missing or invalid.
     """
     try:
         file = msgspec.toml.decode(text, type=_SettingsFile)
@@ -119,13 +119,13 @@
 
 
 class SettingsFile(SettingsSource):
-    """The settings file, which may change with or without a signal."""
+    """Reads the settings file and detects its changes, since they may come without a signal."""
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._seen = self._stamp()
+        self._last_state = self._file_state()
 
-    def _stamp(self) -> tuple[float, int]:
+    def _file_state(self) -> tuple[float, int]:
         try:
             state = os.stat(self._path)
         except OSError:
@@ -134,9 +134,9 @@
 
     @override
     def read(self) -> GatewaySettings:
-        self._seen = self._stamp()
+        self._last_state = self._file_state()
         return read_settings(self._path)
 
     @override
     def changed(self) -> bool:
-        return self._stamp() != self._seen
+        return self._file_state() != self._last_state
--- a/ploverhatch/platform/store.py
+++ b/ploverhatch/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store behind the product's :class:`ObjectStore`."""
+"""Implements :class:`ObjectStore` with the HTTP API of the platform's metadata store."""
 
 import math
 from dataclasses import replace
@@ -39,9 +39,9 @@
 CALL_TIMEOUT_S = 1.5
 WATCH_SLACK_S = 1.5
 MAX_IDLE = 3
-UNKNOWN_ERA = -1  # before the first answer
-MOST_ERA_DIGITS = 6  # an era is one restore
-NEW_ERA_MS = 10_000.0  # after a restore stale reads may be older than it
+UNKNOWN_ERA = -1  # until an answer states an era
+MAX_ERA_DIGITS = 6  # an era counts restores, so a longer number is malformed
+NEW_ERA_MS = 10_000.0  # within this time of a restore, a stale read may predate the restore
 _KIND_PATHS = {
     kinds.CONFIGURATION: names.KIND_CONFIG,
     kinds.SERVERS: names.KIND_SERVERS,
@@ -50,11 +50,11 @@
 
 
 class PlatformStore(ObjectStore):
-    """Calls on kept connections; each watched kind has a connection of its own.
+    """Client with persistent connections; each watched kind has a connection of its own.
 
-    A store that was restored from a snapshot issues revisions again that it had issued before.
-    The product's revisions therefore have the store's era as their upper bits: they rise
-    monotonically, and one from before a restore never equals one from after it.
+    A store that was restored from a snapshot issues the revisions after the snapshot a second
+    time. The revisions that this class returns have the store's era as their upper bits: they
+    increase monotonically, and no revision from before a restore equals one from after it.
     """
 
     def __init__(self, address: HostPort) -> None:
@@ -64,8 +64,8 @@
         self._watching: set[HttpConnection] = set()
         self._watch_idle: dict[str, HttpConnection] = {}
         self._era = UNKNOWN_ERA
-        self._misread_era = b""
-        self._era_since_ms = -math.inf  # when it was seen to have risen
+        self._logged_era = b""
+        self._era_since_ms = -math.inf  # when an answer first stated a new era
 
     # ---- interface --------------------------------------------------------------
 
@@ -85,11 +85,11 @@
                 first = era, page.revision
             items += [_in_era(item, era) for item in page.items]
             if era != first[0]:
-                raise StoreCallError("restored from a snapshot between two pages")
+                raise StoreCallError("store was restored from a snapshot between two pages")
             if stale and self._is_new(era):
-                return self.list_all(kind)  # a stale answer may be older than the restore
+                return self.list_all(kind)  # the stale answer may predate the restore
             if not page.more or not page.items:
-                # Changes during later pages are reported by a watch from here.
+                # A watch from this revision reports changes made while later pages were read.
                 return Listing(tuple(items), revisions.combine(*first))
             after = page.items[-1].name
 
@@ -143,14 +143,14 @@
 
     @override
     def replace(self, kind: str, name: str, spec: Any, revision: int) -> VersionedObject:
-        expected_era, bare = revisions.split(revision)
+        expected_era, store_revision = revisions.split(revision)
         if expected_era < self._era:
             raise RevisionConflictError(self.get(kind, name))
-        body = {"metadata": {"name": name, "revision": bare}, "spec": spec}
+        body = {"metadata": {"name": name, "revision": store_revision}, "spec": spec}
         item = self._change("PUT", _path(kind, name), body)
         if revisions.split(item.revision)[0] != expected_era:
-            # The revision was issued twice: this write has replaced another change.
-            raise OutcomeUnknownError("written after the store was restored from a snapshot")
+            # The revision was issued again after the restore: this write replaced another change.
+            raise OutcomeUnknownError("store was restored from a snapshot before the write")
         return item
 
     @override
@@ -180,7 +180,7 @@
     def _call(
         self, method: str, path: str, query: list[str] | None = None, body: object = None
     ) -> WireAnswer:
-        connection = self._take()
+        connection = self._acquire_connection()
         answer = self._exchange(connection, method, path, query or [], body, 0.0)
         if connection.reusable and len(self._idle) < MAX_IDLE:
             self._idle.append(connection)
@@ -188,7 +188,7 @@
             connection.close()
         return answer
 
-    def _take(self) -> HttpConnection:
+    def _acquire_connection(self) -> HttpConnection:
         while self._idle:
             connection = self._idle.pop()
             if connection.is_usable():
@@ -227,23 +227,23 @@
             raise failure(str(error)) from error
 
     def _era_of(self, answer: WireAnswer) -> int:
-        """Return the era of an answer: that of a later one, where it tells none."""
+        """Return the era of an answer, or the last known era if the answer states none."""
         value = answer.get(names.ERA) or b""
-        told = int(value) if value.isdigit() and len(value) <= MOST_ERA_DIGITS else self._era
-        return max(told, 0)
+        era = int(value) if value.isdigit() and len(value) <= MAX_ERA_DIGITS else self._era
+        return max(era, 0)
 
     def _is_new(self, era: int) -> bool:
         return era > 0 and elapsed_ms() - self._era_since_ms < NEW_ERA_MS
 
     def _note_era(self, answer: WireAnswer) -> None:
-        """Track how often the store was restored from a snapshot."""
+        """Update the store's era, the number of its restores from a snapshot."""
         value = answer.get(names.ERA)
         if value is None:
             return
-        if not value.isdigit() or len(value) > MOST_ERA_DIGITS:
-            if value != self._misread_era:
-                self._misread_era = value
-                LOG.warning("Era not understood.", value=value[:40].decode("latin-1"))
+        if not value.isdigit() or len(value) > MAX_ERA_DIGITS:
+            if value != self._logged_era:
+                self._logged_era = value
+                LOG.warning("Store-Era field is malformed.", value=value[:40].decode("latin-1"))
             return
         era = int(value)
         if era > self._era >= 0:
--- a/ploverhatch/store/http_store.py
+++ b/ploverhatch/store/http_store.py
@@ -1,4 +1,4 @@
-"""Adapter of the platform's HTTP/JSON object API."""
+"""Client of the platform's HTTP/JSON object API."""
 
 import json
 from typing import Any
@@ -28,7 +28,7 @@
 _REFUSED_STATUSES = frozenset({400, 404, 429, 503})
 
 
-def _stored(item: dict[str, Any]) -> StoredObject:
+def _stored_object(item: dict[str, Any]) -> StoredObject:
     return StoredObject(
         kind=item["kind"],
         name=item["name"],
@@ -40,7 +40,7 @@
 
 
 class HttpPlatformStore(PlatformStore):
-    """Talks to the platform at one base URL."""
+    """Client of the platform at one base URL."""
 
     def __init__(self, url: str, timeout_s: float = CALL_TIMEOUT_S) -> None:
         parts = urlsplit(url)
@@ -50,7 +50,7 @@
     @override
     def get(self, kind: str, name: str) -> StoredObject | None:
         answer = self._read(_path(kind, name), accept=(200, 404))
-        return None if answer.status == 404 else _stored(_document(answer))
+        return None if answer.status == 404 else _stored_object(_document(answer))
 
     @override
     def list(self) -> ObjectList:
@@ -62,7 +62,7 @@
     ) -> StoredObject:
         payload = json.dumps({"operation": operation, "body": body}).encode()
         answer = self._change("PUT", _path(kind, name), expected, payload)
-        return _stored(answer.json())
+        return _stored_object(answer.json())
 
     @override
     def delete(self, kind: str, name: str, expected: int, operation: str) -> int:
@@ -108,11 +108,11 @@
             raise ChangeUnknownError(str(error)) from error
         if answer.status == 412:
             current = answer.json().get("current")
-            raise VersionConflictError(_stored(current) if current else None)
+            raise VersionConflictError(_stored_object(current) if current else None)
         if answer.status in _REFUSED_STATUSES:
             raise StoreUnavailableError(f"status {answer.status}")
         if answer.status != 200:
-            # Any other failure may have come after the change took effect.
+            # With any other status the change may have taken effect.
             raise ChangeUnknownError(f"status {answer.status}")
         return answer
 
@@ -122,9 +122,10 @@
 
 
 def _document(answer: HttpAnswer) -> dict[str, Any]:
-    """Parse an answer to a reading call.
+    """Parse the answer to a read.
 
-    :raises StoreUnavailableError: when it is no JSON, or nested too deeply for its parser.
+    :raises StoreUnavailableError: when the body is not a JSON object, or is nested too deeply
+        for the parser.
     """
     try:
         return dict(answer.json())
@@ -133,5 +134,5 @@
 
 
 def _object_list(document: dict[str, Any]) -> ObjectList:
-    items = tuple(_stored(item) for item in document["items"])
+    items = tuple(_stored_object(item) for item in document["items"])
     return ObjectList(int(document["revision"]), items)
--- a/ploverhatch/store/interface.py
+++ b/ploverhatch/store/interface.py
@@ -1,7 +1,7 @@
-"""What ploverhatch needs of the platform: an object store and a machine list.
+"""Interface of the platform's object store and machine list.
 
-Nothing outside an implementation of :class:`PlatformStore` knows a URL or a
-field name of the platform.
+URLs and field names of the platform are known only to implementations of
+:class:`PlatformStore`.
 """
 
 from abc import ABC, abstractmethod
@@ -10,15 +10,18 @@
 
 
 class StoreUnavailableError(ConnectionError):
-    """The store gave no answer; a read can be tried again."""
+    """The store did not answer or refused the call; a read may be retried."""
 
 
 class ChangeUnknownError(StoreUnavailableError):
-    """The answer to a change was lost: it may have taken effect."""
+    """The answer to a change was lost: the change may have taken effect."""
 
 
 class VersionConflictError(Exception):
-    """The object is at another version; ``current`` is it, or ``None``."""
+    """The object is at another version.
+
+    ``current`` is the object at its present version, or ``None`` if it is unknown or absent.
+    """
 
     def __init__(self, current: "StoredObject | None") -> None:
         super().__init__("version conflict")
@@ -26,24 +29,24 @@
 
 
 class HistoryCompactedError(Exception):
-    """The watch starts before the oldest kept change; list again."""
+    """The watch starts before the oldest change that the store keeps; list all objects again."""
 
 
 @dataclass(frozen=True)
 class StoredObject:
-    """An object at one version. Versions are revisions of the whole store."""
+    """An object at one version; a version is the revision of the whole store at the write."""
 
     kind: str
     name: str
     version: int
     body: dict[str, Any]
-    operation: str = ""  # identity of the change that wrote it
+    operation: str = ""  # identifies the change that wrote this version
     deleted: bool = False
 
 
 @dataclass(frozen=True)
 class ObjectList:
-    """Objects at one revision of the store."""
+    """Objects, and the revision of the store that they were read at."""
 
     revision: int
     items: tuple[StoredObject, ...]
@@ -51,7 +54,7 @@
 
 @dataclass(frozen=True)
 class Machine:
-    """One row of the machine list."""
+    """A machine of the platform's machine list."""
 
     name: str
     host: str
@@ -60,15 +63,15 @@
 
 
 class PlatformStore(ABC):
-    """Objects with versions and watches, and the machine list.
+    """A store of versioned objects with watches, and the machine list.
 
-    Every method raises :class:`StoreUnavailableError` when the store does not
-    answer in time.
+    Every method raises :class:`StoreUnavailableError` when the store refuses
+    the call or does not answer in time.
     """
 
     @abstractmethod
     def get(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or ``None``."""
+        """Return an object, or ``None`` if it is absent."""
 
     @abstractmethod
     def list(self) -> ObjectList:
@@ -78,23 +81,29 @@
     def put(
         self, kind: str, name: str, body: dict[str, Any], expected: int, operation: str
     ) -> StoredObject:
-        """Write an object if it is still at version ``expected`` (0: absent).
+        """Write an object if it is at version ``expected`` (0: absent).
+
+        ``operation`` identifies the change; the object stores it.
 
-        :raises VersionConflictError: when it is not.
+        :raises VersionConflictError: when the object is at another version.
         :raises ChangeUnknownError: when the answer was lost.
         """
 
     @abstractmethod
     def delete(self, kind: str, name: str, expected: int, operation: str) -> int:
-        """Delete an object at a version; return the store's revision."""
+        """Delete an object that is at version ``expected``; return the store's new revision.
+
+        :raises VersionConflictError: when the object is at another version.
+        :raises ChangeUnknownError: when the answer was lost.
+        """
 
     @abstractmethod
     def watch(self, after: int, wait_s: float) -> ObjectList:
-        """Wait for changes after a revision; may return none.
+        """Wait up to ``wait_s`` seconds for changes after revision ``after``; may return none.
 
-        :raises HistoryCompactedError: when ``after`` is too old.
+        :raises HistoryCompactedError: when the store has dropped changes after ``after``.
         """
 
     @abstractmethod
     def machines(self) -> tuple[Machine, ...]:
-        """Return the machine list, which may lag."""
+        """Return the machine list, which may be out of date."""
--- a/ploverhatch/store/objects.py
+++ b/ploverhatch/store/objects.py
@@ -1,7 +1,7 @@
-"""What a gateway needs of a store of versioned objects with watches.
+"""Interface of the store of versioned objects that a gateway uses.
 
-The store is linearizable and keeps everything it acknowledged; nothing
-outside an implementation of :class:`ObjectStore` knows its wire names.
+The store is linearizable, and durable except for a restore from a snapshot.
+Its wire names are known only to implementations of :class:`ObjectStore`.
 """
 
 from abc import ABC, abstractmethod
@@ -10,25 +10,25 @@
 
 
 class StoreCallError(ConnectionError):
-    """The store did not carry out the call; it may be tried again."""
+    """The store did not execute the call; the call may be retried."""
 
 
 class UnreadableObjectError(StoreCallError):
-    """An object of ours does not have our form; to be used only once it has."""
+    """An object that gateways write is malformed; it can be used once it has been rewritten."""
 
 
 class WatchInterruptedError(StoreCallError):
-    """This process broke its own watch off, to ask anew."""
+    """This process cancelled its own watch, to start another one."""
 
 
 class OutcomeUnknownError(StoreCallError):
-    """The answer to a change was lost: it may have happened, or happen later."""
+    """The answer to a change was lost: the change may take effect, even later."""
 
 
 class RevisionConflictError(Exception):
     """The object is at another revision, exists already or is absent.
 
-    ``current`` is the object as it is, or ``None``.
+    ``current`` is the object at its present revision, or ``None``.
     """
 
     def __init__(self, current: "VersionedObject | None") -> None:
@@ -37,12 +37,12 @@
 
 
 class HistoryDroppedError(Exception):
-    """Changes since the given revision are no longer known: list again."""
+    """The store no longer knows all changes since the given revision: list the objects again."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionedObject:
-    """One object: ``spec`` and ``status`` are JSON values."""
+    """An object at one revision; ``spec`` and ``status`` are JSON values."""
 
     name: str
     revision: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectChange:
-    """A change that a watch reported."""
+    """A change that a watch reported; ``gone`` is true for a removal."""
 
     object: VersionedObject
     gone: bool
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All objects of a kind; ``revision`` is the store's when they were read."""
+    """All objects of a kind; ``revision`` is that of the store at the time of the read."""
 
     items: tuple[VersionedObject, ...]
     revision: int
@@ -68,39 +68,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeBatch:
-    """Changes after a revision, and the revision to continue from."""
+    """Changes after a revision; the next watch continues from ``revision``."""
 
     changes: tuple[ObjectChange, ...]
     revision: int
 
 
 class ObjectStore(ABC):
-    """Objects by kind and name.
+    """A store of objects by kind and name.
 
-    Every method raises :class:`StoreCallError` when the call was not carried
-    out or not answered in time.
+    Every method raises :class:`StoreCallError` when the call was not executed
+    or not answered in time.
     """
 
     @abstractmethod
     def list_all(self, kind: str, stale: bool = False) -> Listing:
-        """Return all objects of a kind; ``stale`` ones may be seconds old."""
+        """Return all objects of a kind; with ``stale``, the listing may be some seconds old."""
 
     @abstractmethod
     def get(self, kind: str, name: str) -> VersionedObject | None:
-        """Return one object, or ``None``."""
+        """Return an object, or ``None`` if it is absent."""
 
     @abstractmethod
     def watch(self, kind: str, after: int, wait_s: float) -> ChangeBatch:
-        """Wait for changes of a kind after a revision; may return none.
+        """Wait up to ``wait_s`` seconds for changes of a kind after revision ``after``.
 
-        :raises HistoryDroppedError: when ``after`` is too old.
+        The batch may be empty.
+
+        :raises HistoryDroppedError: when the store no longer knows all changes since ``after``.
         """
 
     @abstractmethod
     def create(self, kind: str, name: str, spec: Any) -> VersionedObject:
-        """Make an object.
+        """Create an object.
 
-        :raises RevisionConflictError: when it exists.
+        :raises RevisionConflictError: when the object exists.
         :raises OutcomeUnknownError: when the answer was lost.
         """
 
@@ -108,10 +110,10 @@
     def replace(self, kind: str, name: str, spec: Any, revision: int) -> VersionedObject:
         """Replace an object that is at ``revision``.
 
-        :raises RevisionConflictError: when it is not.
+        :raises RevisionConflictError: when the object is absent or at another revision.
         :raises OutcomeUnknownError: when the answer was lost.
         """
 
     @abstractmethod
     def interrupt(self) -> None:
-        """Break off waiting watches, so that their callers ask anew."""
+        """Cancel waiting watches, so that their callers start new ones."""
--- a/tests/functional/test_nested_entries.py
+++ b/tests/functional/test_nested_entries.py
@@ -1,15 +1,11 @@
-"""An entry of another writer that is nested more deeply than parsers go, beside sound ones.
-
-Seen: one entry of 3,000 levels of lists, three gateways. What ran was served, but once the
-servers of a service had been replaced nothing of it was, until somebody removed the entry; a
-gateway that started then served nothing at all.
-
-Cause: parsers that recurse refuse a text as a whole where it is nested more deeply than their
-stack goes, some 950 levels less what is on it already. The mended text of a page went through
-one of them too, so that page and report were no answers, and a node knew what it had known.
-
-Proof: each listing ends in `not the expected form: maximum recursion depth exceeded while
-deserializing an object`; 600 and 930 levels are served before, 960, 985, 3,000 and 200,000 are not.
+"""An entry of a foreign writer that is nested too deeply for a parser, beside valid entries.
+
+Guards against one such entry hiding all others: gateways that ran kept their old servers and
+could not serve a service once its servers had been replaced, and a gateway that started served
+nothing. A recursive parser rejects its whole input at some 950 levels, less the depth of the
+caller's stack, so that each listing and each report of a watch failed with `not the expected
+form: maximum recursion depth exceeded while deserializing an object`. Entries of 600 and 930
+levels were harmless then; those of 960, 985, 3,000 and 200,000 levels were not.
 """
 
 import json
@@ -31,19 +27,19 @@
 
 
 class Nested:
-    """Stands in an entry for lists in lists, which no encoder would write."""
+    """Lists nested so deeply that no encoder writes them; a marker stands for them in an entry."""
 
     def __init__(self, levels):
         self.marker = f"nested {levels} levels"
         self.text = b"[" * levels + b"]" * levels
 
     def put_into(self, body):
-        """Return a body of the store's with the lists in it."""
+        """Return an answer of the store with the lists in place of the marker."""
         return body.replace(json.dumps(self.marker).encode(), self.text)
 
 
 def put_nested(site, levels):
-    """Have another writer put an entry that else is a server's."""
+    """Write the entry of a server with nested lists in an additional field."""
     nested = Nested(levels)
     upstream = site.upstreams["deep"] = Upstream("deep")
     spec, status = upstream.record("plain")
@@ -66,7 +62,7 @@
 
 
 @pytest.mark.parametrize("levels", LEVELS)
-def test_a_nested_entry_takes_no_other_along(site, levels):
+def test_a_nested_entry_hides_no_other_entry(site, levels):
     gateways = start_site(site, GATEWAYS)
     put_nested(site, levels)
     until(lambda: served(gateways) == 1.0)
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The adapter of the metadata store, against our stand-in of it."""
+"""Tests of the metadata store's adapter against the stand-in store."""
 
 import gevent
 import pytest
@@ -52,21 +52,21 @@
 
 
 def test_create_get_replace(store):
-    made = store.create(KIND, "a/b c", {"x": 1})
-    assert store.get(KIND, "a/b c") == made
-    replaced = store.replace(KIND, "a/b c", {"x": 2}, made.revision)
-    assert replaced.revision > made.revision
+    created = store.create(KIND, "a/b c", {"x": 1})
+    assert store.get(KIND, "a/b c") == created
+    replaced = store.replace(KIND, "a/b c", {"x": 2}, created.revision)
+    assert replaced.revision > created.revision
     assert store.get(KIND, "none") is None
 
 
 def test_conditions_decide(store):
-    made = store.create(KIND, "a", 1)
+    created = store.create(KIND, "a", 1)
     with pytest.raises(RevisionConflictError) as conflict:
         store.create(KIND, "a", 2)
-    assert conflict.value.current == made
-    store.replace(KIND, "a", 2, made.revision)
+    assert conflict.value.current == created
+    store.replace(KIND, "a", 2, created.revision)
     with pytest.raises(RevisionConflictError) as conflict:
-        store.replace(KIND, "a", 3, made.revision)
+        store.replace(KIND, "a", 3, created.revision)
     assert conflict.value.current.spec == 2
     with pytest.raises(RevisionConflictError) as conflict:
         store.replace(KIND, "absent", 3, 5)
@@ -87,7 +87,7 @@
     assert store.watch(KIND, standin.store.revision, 0.05).changes == ()
 
 
-def test_dropped_history_is_told(standin, store):
+def test_dropped_history_is_an_error(standin, store):
     standin.store.put(KIND, "a", 1)
     standin.store.compact()
     with pytest.raises(HistoryDroppedError):
@@ -131,8 +131,8 @@
     assert waiting.get(timeout=1.0)
 
 
-class Seen:
-    """A consumer of a feed."""
+class FeedRecorder:
+    """Records what a feed delivers."""
 
     def __init__(self):
         self.listed = []
@@ -147,73 +147,76 @@
 
 
 def run_feed(store):
-    seen = Seen()
-    task = gevent.spawn(FeedTask(store, seen.feed(), NoRelay(), seen.failed).run)
+    recorder = FeedRecorder()
+    task = gevent.spawn(FeedTask(store, recorder.feed(), NoRelay(), recorder.failed).run)
     gevent.sleep(0.05)
-    return seen, task
+    return recorder, task
 
 
 def test_a_feed_lists_then_follows(standin, store):
     standin.store.put(KIND, "a", 1)
-    seen, task = run_feed(store)
+    recorder, task = run_feed(store)
     standin.store.put(KIND, "b", 2)
     gevent.sleep(0.05)
     task.kill()
-    assert [item.name for item in seen.listed[0]] == ["a"]
-    assert [change.object.name for change in seen.changes] == ["b"]
+    assert [item.name for item in recorder.listed[0]] == ["a"]
+    assert [change.object.name for change in recorder.changes] == ["b"]
 
 
 def test_a_feed_lists_again_when_history_was_dropped(standin, store):
-    seen, task = run_feed(store)
+    recorder, task = run_feed(store)
     standin.store.put(KIND, "a", 1)
     standin.store.compact()
     gevent.sleep(0.2)
     task.kill()
-    assert [item.name for item in seen.listed[-1]] == ["a"] or seen.changes
+    assert [item.name for item in recorder.listed[-1]] == ["a"] or recorder.changes
 
 
 def test_a_feed_goes_on_after_an_outage(standin, store):
-    seen, task = run_feed(store)
+    recorder, task = run_feed(store)
     standin.store.faults.refuse = 503
     standin.store.wake()
     store.interrupt()
     gevent.sleep(0.2)
-    assert seen.failures
+    assert recorder.failures
     standin.store.faults.refuse = 0
     standin.store.put(KIND, "late", 1)
     gevent.sleep(0.8)
     task.kill()
-    told = [item.name for items in seen.listed for item in items]
-    assert told + [change.object.name for change in seen.changes] == ["late"]
+    listed = [item.name for items in recorder.listed for item in items]
+    assert listed + [change.object.name for change in recorder.changes] == ["late"]
 
 
 def test_an_interrupted_feed_lists_at_once(standin, store):
-    """Found in the incident of hivescale-gw: a resumed watch heard nothing for 1.6 s."""
-    seen, task = run_feed(store)
+    """Guards against a feed that receives nothing for 1.6 s after its process was suspended.
+
+    The resumed watch waited on; an interrupted one must list again without delay.
+    """
+    recorder, task = run_feed(store)
     standin.store.put(KIND, "a", 1)
     gevent.sleep(0.02)
     store.interrupt()
     gevent.sleep(0.05)
     task.kill()
-    assert len(seen.listed) == 2
-    assert seen.failures == 0
+    assert len(recorder.listed) == 2
+    assert recorder.failures == 0
 
 
 def test_a_listing_tells_what_changed_since_the_last_revision(standin, store):
     for name in ("kept", "gone", "changed"):
         standin.store.put(KIND, name, 1)
     relay = NoRelay()
-    seen = Seen()
-    task = gevent.spawn(FeedTask(store, seen.feed(), relay, seen.failed).run)
+    recorder = FeedRecorder()
+    task = gevent.spawn(FeedTask(store, recorder.feed(), relay, recorder.failed).run)
     gevent.sleep(0.05)
     base = standin.store.revision
-    assert relay.told == []  # the first listing follows nothing
+    assert relay.told == []  # the first listing has no revision to compare with
     store.interrupt()
     standin.store.remove(KIND, "gone")
     standin.store.put(KIND, "changed", 2)
     standin.store.put(KIND, "new", 1)
     gevent.sleep(0.1)
     task.kill()
-    told = [(item.name, item.gone) for row in relay.told for item in row[3]]
-    assert sorted(told) == [("changed", False), ("gone", True), ("new", False)]
+    relayed = [(item.name, item.gone) for row in relay.told for item in row[3]]
+    assert sorted(relayed) == [("changed", False), ("gone", True), ("new", False)]
     assert relay.told[0][1] == base
--- a/tests/functional/test_store_eras.py
+++ b/tests/functional/test_store_eras.py
@@ -1,4 +1,4 @@
-"""The adapter of the store, across a restore from a snapshot."""
+"""Tests of the metadata store's adapter across a restore from a snapshot."""
 
 import pytest
 
@@ -34,7 +34,10 @@
 
 
 def restored(server, store, lost=3):
-    """Restore the store from a snapshot that lacks some writes; return the revision before."""
+    """Restore the store from a snapshot that lacks ``lost`` writes.
+
+    :returns: the revision before the restore.
+    """
     write(server, "a", 5)
     snapshot = server.store.copy()
     write(server, "a", lost)
@@ -51,7 +54,7 @@
     assert split(after.revision) == (1, 5)
 
 
-# A watch went on from a revision that was issued again, and passed over what came before it.
+# A watch that continues from a revision which was issued again misses the changes before it.
 def test_a_watch_from_before_a_restore_is_not_answered_with_later_changes(server, store):
     before = restored(server, store)
     write(server, "b", 10)
@@ -60,10 +63,10 @@
     calls = len(server.store.calls)
     with pytest.raises(HistoryDroppedError):
         store.watch(KIND, before, 0.1)
-    assert len(server.store.calls) == calls  # its era is known by now
+    assert len(server.store.calls) == calls  # the store was not called: the new era is known
 
 
-def test_a_watch_goes_on_from_what_was_listed_after_a_restore(server, store):
+def test_a_watch_continues_from_a_listing_after_a_restore(server, store):
     restored(server, store)
     listed = store.list_all(KIND)
     write(server, "b")
@@ -72,11 +75,11 @@
     assert batch.revision == batch.changes[0].object.revision == listed.revision + 1
 
 
-# A condition was met by chance, by a revision that was issued again for another change.
-def test_a_write_over_a_revision_that_was_issued_again_is_not_told_as_done(server, store):
+# The condition of a write holds by accident: its revision was issued again for another change.
+def test_a_write_over_a_revision_that_was_issued_again_has_an_unknown_outcome(server, store):
     restored(server, store, lost=1)
-    lost = 6  # of the write that the snapshot lacks
-    write(server, "a")  # by another writer, at the same revision
+    lost = 6  # revision of the write that the snapshot lacks
+    write(server, "a")  # another writer's change gets the same revision
     fresh = PlatformStore(server.address)
     with pytest.raises(OutcomeUnknownError):
         fresh.replace(KIND, "a", {"n": "mine"}, lost)
@@ -91,7 +94,7 @@
     assert all(method != "PUT" for method, *_ in server.store.calls)
 
 
-def test_conflicts_and_writes_tell_revisions_of_the_era(server, store):
+def test_conflicts_and_writes_return_revisions_of_the_era(server, store):
     restored(server, store)
     listed = store.list_all(KIND)
     written = store.replace(KIND, "a", {"n": "mine"}, listed.items[0].revision)
@@ -109,7 +112,7 @@
     assert "stale" not in server.store.calls[-1][3]
 
 
-def test_pages_of_two_eras_are_no_listing(server, store):
+def test_pages_of_two_eras_fail_the_listing(server, store):
     server.store.page = 1
     for name in ("a", "b", "c"):
         write(server, name)
@@ -127,15 +130,15 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"-1", b"x", b"1.5", b"12345678"])
-def test_an_era_that_cannot_be_read_is_that_of_before(server, store, value):
+def test_a_malformed_era_counts_as_the_last_known_one(server, store, value):
     restored(server, store)
     listed = store.list_all(KIND)
     handle = server._server.handler
 
-    def odd(request):
+    def with_malformed_era(request):
         reply = handle(request)
         reply.headers = [(name, value if name == b"Store-Era" else v) for name, v in reply.headers]
         return reply
 
-    server._server.handler = odd
+    server._server.handler = with_malformed_era
     assert store.list_all(KIND).revision == listed.revision
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter translates, and nothing else knows the platform's names."""
+"""Tests of the platform's adapter, and that no other package knows the platform's names."""
 
 import re
 from pathlib import Path
@@ -78,7 +78,7 @@
     ("limits", "strength"),
     [(b"", 1.0), (b"link_mbps = 10", 0.2), (b"cpu_share = 0.4", 0.8), (b"cpu_cores = 3", 1.0)],
 )
-def test_how_much_of_what_leading_takes_a_machine_has(limits, strength):
+def test_strength_of_a_machine_as_a_leader(limits, strength):
     text = SETTINGS.replace(b"max_fds = 4100", limits)
     assert parse_settings(text).strength == pytest.approx(strength)
 
@@ -160,7 +160,7 @@
     assert [route.regions for route in found] == [{"r1", "r2"}, set()]
 
 
-def test_what_a_service_says_of_cold_servers():
+def test_cold_start_settings_of_a_service():
     services = [{"name": "x", "cold_start_s": 3.0, "cold_per_s": 6.7}, {"name": "y"}]
     table = route_table({**CONFIG, "services": services})
     assert (table.services["x"].cold_ms, table.services["x"].cold_per_s) == (3000.0, 6.7)
@@ -192,7 +192,7 @@
 
 FACTS = RequestFacts(b"h", b"r1", 100.0, None)
 SEALED = [(b"Request-Id", b"r1"), (b"Response-Seal", b"s")]
-JUDGEMENTS = [
+CLASSIFIED_ANSWERS = [
     (200, SEALED, AttemptResult.ANSWERED),
     (404, SEALED, AttemptResult.ANSWERED),
     (500, SEALED, AttemptResult.SERVER_ERROR),
@@ -210,7 +210,7 @@
 ]
 
 
-@pytest.mark.parametrize(("status", "headers", "result"), JUDGEMENTS)
+@pytest.mark.parametrize(("status", "headers", "result"), CLASSIFIED_ANSWERS)
 def test_what_an_answer_proves(status, headers, result):
     assert PlatformDialect().classify_answer(FACTS, "me", WireAnswer(status, headers)) is result
 
@@ -250,8 +250,11 @@
         PlatformDialect().facts(request)
 
 
-def test_control_calls_name_the_life_they_are_for():
-    """Found by a hunt (OWNER): a new life took its predecessor's renewal."""
+def test_control_calls_name_the_instance_they_are_for():
+    """Guards against a new incarnation that accepts the lease renewal of its predecessor.
+
+    The two had the same address, and the call did not name its recipient.
+    """
     dialect = PlatformDialect()
     grant = dialect.encode_grant(GrantCall(1, 2, 3, 4000.0, "h"), "life-1", "10.0.0.1:80")
     release = dialect.encode_release(ReleaseCall(1, 2, 3), "life-1", "10.0.0.1:80")
@@ -278,15 +281,15 @@
     assert headers == [(b"Request-Id", b"r1"), (b"Retry-After", b"0.150")]
 
 
-def test_settings_nested_more_deeply_than_parsers_go_are_wrong_settings():
+def test_settings_beyond_the_limits_of_the_parser_are_rejected():
     for value in (b"[" * 3000 + b"]" * 3000, b"1" + b"0" * 5000):
         with pytest.raises(SettingsFileError):
             parse_settings(SETTINGS + b"\n[odd]\nvalue = " + value)
 
 
 @pytest.mark.parametrize("value", [b"9" * 5000, b"65536", b"1e3", b"inf", b"-1", b""])
-def test_a_key_that_is_none_is_a_malformed_request(value):
-    """A number of more than 4,300 digits is one that Python refuses to read."""
+def test_an_invalid_key_is_a_malformed_request(value):
+    """Python's ``int()`` refuses a number of more than 4,300 digits."""
     request = CallerRequest(b"GET", b"/", [(b"Shard-Key", value)], b"", 0.0)
     with pytest.raises(MalformedRequestError):
         PlatformDialect().facts(request)
--- a/tests/unit/test_store_pages.py
+++ b/tests/unit/test_store_pages.py
@@ -1,4 +1,4 @@
-"""Answers of the store with objects of any writer: one never takes the others down."""
+"""Answers of the store: a malformed object of a foreign writer never hides the other objects."""
 
 import json
 
@@ -11,8 +11,8 @@
 from ploverhatch.platform.documents import PlatformTranslation
 from ploverhatch.store.objects import StoreCallError, VersionedObject
 
-SOUND = b'{"metadata":{"name":"sound","revision":4},"spec":{"x":1}}'
-ODD_SPECS = [
+VALID = b'{"metadata":{"name":"sound","revision":4},"spec":{"x":1}}'
+MALFORMED_SPECS = [
     b'"\xff\xfe"', b'"\\ud800"', b"1e999", b"NaN", b"-Infinity", b"1" * 40, b"[" * 90 + b"]" * 90,
     b'"\x01"', b"null", b"[]", b'""', b"true",
 ]  # fmt: skip
@@ -27,23 +27,23 @@
 )
 
 
-def odd(spec):
+def malformed(spec):
     return b'{"metadata":{"name":"odd","revision":3},"spec":%s}' % spec
 
 
-@pytest.mark.parametrize("spec", ODD_SPECS)
-def test_a_page_with_an_odd_object_is_read(spec):
-    page = pages.read_page(b'{"items":[%s,%s],"at":9,"more":true}' % (odd(spec), SOUND))
+@pytest.mark.parametrize("spec", MALFORMED_SPECS)
+def test_a_page_with_a_malformed_object_is_read(spec):
+    page = pages.read_page(b'{"items":[%s,%s],"at":9,"more":true}' % (malformed(spec), VALID))
     assert (page.revision, page.more) == (9, True)
     assert [item.name for item in page.items] == ["odd", "sound"]
     assert page.items[1].spec == {"x": 1}
     assert PlatformTranslation().server(page.items[0]) is None
-    msgspec.msgpack.encode(page.items[0].spec)  # other nodes can be told of it
+    msgspec.msgpack.encode(page.items[0].spec)  # the leader can relay it to other nodes
 
 
-@pytest.mark.parametrize("spec", ODD_SPECS)
-def test_a_report_with_an_odd_object_is_read(spec):
-    rows = b'{"gone":false,"object":%s},{"gone":true,"object":%s}' % (odd(spec), SOUND)
+@pytest.mark.parametrize("spec", MALFORMED_SPECS)
+def test_a_report_with_a_malformed_object_is_read(spec):
+    rows = b'{"gone":false,"object":%s},{"gone":true,"object":%s}' % (malformed(spec), VALID)
     batch = pages.read_changes(b'{"events":[%s],"at":9}' % rows)
     assert [(item.object.name, item.gone) for item in batch.changes] == [
         ("odd", False),
@@ -54,51 +54,51 @@
 @pytest.mark.parametrize("levels", [600, 905, 930, 970, 3000, 300_000])
 @pytest.mark.parametrize("part", [b"[%s]", b'{"a":%s}', b'"x",%s'])
 def test_an_object_that_is_nested_deeply_leaves_the_others(levels, part):
-    """Parsers that recurse refuse all that they were given at some 900 levels."""
+    """Recursive parsers reject their whole input at some 900 levels."""
     opening, closing = part.split(b"%s")
     if part.startswith(b'"'):
         opening, closing = b'["x",', b"]"
     spec = opening * levels + b"1" + closing * levels
-    page = pages.read_page(b'{"items":[%s,%s],"at":9,"more":true}' % (odd(spec), SOUND))
+    page = pages.read_page(b'{"items":[%s,%s],"at":9,"more":true}' % (malformed(spec), VALID))
     assert (page.revision, page.more) == (9, True)
     assert [item.name for item in page.items] == ["odd", "sound"]
     assert page.items[1].spec == {"x": 1}
     assert levels < 900 or page.items[0].spec is None
     msgspec.msgpack.encode([[[page.items[0].spec]]])
-    rows = b'{"gone":false,"object":%s},{"gone":true,"object":%s}' % (odd(spec), SOUND)
+    rows = b'{"gone":false,"object":%s},{"gone":true,"object":%s}' % (malformed(spec), VALID)
     batch = pages.read_changes(b'{"events":[%s],"at":9}' % rows)
     assert [(item.object.name, item.gone) for item in batch.changes] == [
         ("odd", False),
         ("sound", True),
     ]
-    found = pages.read_object(odd(spec))
+    found = pages.read_object(malformed(spec))
     assert (found.name, found.revision) == ("odd", 3)
 
 
-def test_numbers_and_texts_beside_a_nested_object_stay_what_they_are():
+def test_values_beside_a_nested_object_are_unchanged():
     values = b'{"a":1.5,"b":12345678901234567890,"c":"t\\u00e9","d":[true,null,-0.25]}'
-    sound = b'{"metadata":{"name":"sound","revision":4},"spec":%s}' % values
-    deep = odd(b"[" * 3000 + b"]" * 3000)
-    (_, item) = pages.read_page(b'{"items":[%s,%s],"at":9}' % (deep, sound)).items
+    valid = b'{"metadata":{"name":"sound","revision":4},"spec":%s}' % values
+    deep = malformed(b"[" * 3000 + b"]" * 3000)
+    (_, item) = pages.read_page(b'{"items":[%s,%s],"at":9}' % (deep, valid)).items
     assert item.spec == json.loads(values)
     assert type(item.spec["a"]) is float
 
 
-def test_a_nested_object_and_text_that_is_none_leave_the_others():
-    deep = odd(b"[" * 3000 + b"]" * 3000)
-    page = pages.read_page(b'{"items":[%s,%s,%s],"at":9}' % (deep, odd(b'"\xff"'), SOUND))
+def test_a_nested_object_and_invalid_text_leave_the_others():
+    deep = malformed(b"[" * 3000 + b"]" * 3000)
+    page = pages.read_page(b'{"items":[%s,%s,%s],"at":9}' % (deep, malformed(b'"\xff"'), VALID))
     assert page.items[2].spec == {"x": 1}
 
 
-def test_a_nested_object_and_a_number_that_is_none_leave_the_others():
-    """The parser that takes the one refuses the other, and the whole page was refused."""
-    deep = odd(b"[" * 3000 + b"]" * 3000)
-    page = pages.read_page(b'{"items":[%s,%s,%s],"at":9}' % (deep, odd(b"NaN"), SOUND))
+def test_a_nested_object_and_nan_leave_the_others():
+    """Guards against a page that is rejected as a whole: each parser rejects one of the two."""
+    deep = malformed(b"[" * 3000 + b"]" * 3000)
+    page = pages.read_page(b'{"items":[%s,%s,%s],"at":9}' % (deep, malformed(b"NaN"), VALID))
     assert page.items[2].spec == {"x": 1}
 
 
-def test_text_that_looks_like_a_number_that_is_none_stays():
-    deep = odd(b"[" * 3000 + b"]" * 3000)
+def test_text_that_contains_nan_or_infinity_is_unchanged():
+    deep = malformed(b"[" * 3000 + b"]" * 3000)
     named = b'{"metadata":{"name":"NaN","revision":2},"spec":{"x":"a \\" -Infinity"}}'
     page = pages.read_page(b'{"items":[%s,%s],"at":9}' % (deep, named))
     assert (page.items[1].name, page.items[1].spec) == ("NaN", {"x": 'a " -Infinity'})
@@ -106,12 +106,12 @@
 
 @pytest.mark.parametrize("item", [b"{}", b"[]", b"7", b'{"metadata":{"name":7}}', b"null"])
 def test_an_object_without_a_name_is_left_out(item):
-    page = pages.read_page(b'{"items":[%s,%s],"at":9}' % (item, SOUND))
+    page = pages.read_page(b'{"items":[%s,%s],"at":9}' % (item, VALID))
     assert [found.name for found in page.items] == ["sound"]
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"items":7,"at":1}', b'{"items":[]}'])
-def test_what_is_no_page_is_a_failed_call(body):
+def test_a_malformed_page_is_a_failed_call(body):
     with pytest.raises(StoreCallError):
         pages.read_page(body)
     with pytest.raises(StoreCallError):
@@ -130,7 +130,7 @@
 
 
 @given(st.sampled_from(PATHS), VALUES)
-def test_a_field_of_another_form_is_left_out_or_sound(path, value):
+def test_an_entry_with_a_changed_field_is_rejected_or_valid(path, value):
     entry = json.loads(json.dumps(ENTRY))
     part = entry
     for name in path[:-1]:
