--- a/ploverhatch/backend/__init__.py
+++ b/ploverhatch/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the back ends' control and request protocol."""
+"""Client for requests and control calls to back ends."""
--- a/ploverhatch/backend/http_backend.py
+++ b/ploverhatch/backend/http_backend.py
@@ -1,4 +1,4 @@
-"""Adapter of the back ends' HTTP protocol."""
+"""Client of the back ends' HTTP protocol."""
 
 import json
 from typing import Any
@@ -54,17 +54,17 @@
 
 
 def span_to_json(span: SliceRange) -> list[Any]:
-    """Return a range as a JSON array; hashes are strings, to keep 64 bits."""
+    """Return a range as a JSON array; hashes are strings, to keep all 64 bits."""
     return [span.group, str(span.first), str(span.last)]
 
 
 def span_from_json(row: list[Any]) -> SliceRange:
-    """Read a range from its JSON array."""
+    """Return the range that a JSON array of ``span_to_json`` stands for."""
     return SliceRange(row[0], int(row[1]), int(row[2]))
 
 
 class HttpBackend(BackendClient):
-    """One back end; control calls have connections of their own."""
+    """Client of one back end; control calls and requests use separate connections."""
 
     def __init__(self, host: str, port: int, connections: int) -> None:
         self._address = HostPort(host, port)
@@ -114,8 +114,8 @@
 
     @override
     def has_ended(self, timeout_s: float) -> bool:
-        # On a connection of its own: a kept one breaks with its process too, some moments
-        # after others, and tells no more than that.
+        # A new connection: a persistent one also breaks when the process ends, but possibly
+        # later than others, and its failure doesn't show whether a process still listens.
         connection = HttpConnection(self._address)
         try:
             connection.open(timeout_s)
--- a/ploverhatch/backend/interface.py
+++ b/ploverhatch/backend/interface.py
@@ -1,7 +1,7 @@
-"""What ploverhatch needs of a back end.
+"""Interface of a back end.
 
-Nothing outside an implementation of :class:`BackendClient` knows a URL or a
-field name of the back ends' protocol.
+URLs and field names of the back ends' protocol are known only to
+implementations of :class:`BackendClient`.
 """
 
 from abc import ABC, abstractmethod
@@ -16,9 +16,9 @@
 
 
 class BackendAnswerLostError(ConnectionError):
-    """The request may have run; no whole answer came.
+    """The request may have run, but no complete answer was received.
 
-    ``timed_out`` tells a deadline from a broken connection.
+    ``timed_out`` is true when the time limit passed, and false when the connection broke.
     """
 
     def __init__(self, cause: str, timed_out: bool) -> None:
@@ -27,7 +27,7 @@
 
 
 class Refusal(Enum):
-    """Why a back end did not run a request."""
+    """Reason for which a back end did not run a request."""
 
     NONE = ""
     NOT_OWNER = "not-owner"
@@ -43,7 +43,8 @@
 class BackendRequest:
     """A caller's request with its fencing token and time limits.
 
-    ``not_after_ms`` is on the server's own elapsed clock; zero: no limit.
+    The back end refuses to start the request after ``not_after_ms`` on its own elapsed
+    clock; zero sets no such limit. ``budget_ms`` limits the wait for the answer.
     """
 
     request_id: str
@@ -60,19 +61,25 @@
 
 @dataclass(frozen=True)
 class BackendReply:
-    """A back end's answer, or its refusal before running."""
+    """The answer of a back end, or its refusal to run the request.
+
+    ``clock_ms`` is the back end's elapsed clock when it answered.
+    """
 
     refusal: Refusal
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
     clock_ms: float
-    received_ms: float  # our clock, when the answer was whole
+    received_ms: float  # this node's elapsed clock when the answer was complete
 
 
 @dataclass(frozen=True)
 class ProbeReply:
-    """Health and load as a back end reports them; they may lag or mislead."""
+    """Health and load that a back end reports; they may be out of date or wrong.
+
+    ``clock_ms`` is the back end's elapsed clock and ``received_ms`` this node's.
+    """
 
     healthy: bool
     load: float
@@ -81,34 +88,44 @@
 
 
 class BackendClient(ABC):
-    """One back end."""
+    """Client of one back end."""
 
     @abstractmethod
     def sync(self, request: SyncRequest, timeout_s: float) -> SyncReply:
         """Renew the lease and change grants.
 
-        :raises ConnectionError: without an answer; it may have been applied.
+        :raises ConnectionError: without an answer; the request may have been applied.
         """
 
     @abstractmethod
     def probe(self, timeout_s: float) -> ProbeReply:
-        """Ask for health and load."""
+        """Ask for health and load.
+
+        :raises ConnectionError: without an answer.
+        """
 
     @abstractmethod
     def send(self, request: BackendRequest) -> BackendReply:
         """Send a request once.
 
-        :raises BackendUnreachableError: nothing was sent.
-        :raises BackendAnswerLostError: it may have run.
+        :raises BackendUnreachableError: when no byte of the request was sent.
+        :raises BackendAnswerLostError: when the request may have run.
         """
 
     @abstractmethod
     def cancel(self, request_id: str, timeout_s: float) -> bool:
-        """Cancel a request; true only if it surely never ran nor will."""
+        """Cancel a request.
+
+        :returns: true only if the request did not run and never will.
+        :raises ConnectionError: without an answer.
+        """
 
     @abstractmethod
     def has_ended(self, timeout_s: float) -> bool:
-        """Tell whether the process at the address is gone, as far as a look shows."""
+        """Return whether the address refuses a new connection: no process listens there.
+
+        A timeout or any other failure returns false, since the process may be alive then.
+        """
 
     @abstractmethod
     def close(self) -> None:
--- a/ploverhatch/transport/__init__.py
+++ b/ploverhatch/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Frames and connections between nodes."""
+"""HTTP clients and servers, and the framed connections between nodes."""
--- a/ploverhatch/transport/framing.py
+++ b/ploverhatch/transport/framing.py
@@ -8,15 +8,15 @@
 
 
 class FrameTooLargeError(ValueError):
-    """A frame announces more bytes than the limit."""
+    """A frame is longer than ``MAX_FRAME_BYTES``."""
 
 
 class StreamClosedError(ConnectionError):
-    """The peer closed the stream, perhaps inside a frame."""
+    """The peer closed the stream, at the end of a frame or within one."""
 
 
 class Socket(Protocol):
-    """The part of a socket that framing uses."""
+    """The methods of a socket that framing uses."""
 
     def recv(self, size: int) -> bytes:
         """Read up to ``size`` bytes."""
@@ -28,7 +28,7 @@
 def encode_frame(payload: bytes) -> bytes:
     """Prefix a payload with its length.
 
-    :raises FrameTooLargeError: above ``MAX_FRAME_BYTES``.
+    :raises FrameTooLargeError: when the payload is longer than ``MAX_FRAME_BYTES``.
     """
     if len(payload) > MAX_FRAME_BYTES:
         raise FrameTooLargeError(f"{len(payload)} bytes")
@@ -49,8 +49,8 @@
 def read_frame(sock: Socket) -> bytes:
     """Read one frame.
 
-    :raises StreamClosedError: at the end of the stream.
-    :raises FrameTooLargeError: when the peer announces too much.
+    :raises StreamClosedError: when the stream ends.
+    :raises FrameTooLargeError: when the prefix announces more than ``MAX_FRAME_BYTES``.
     """
     (size,) = _HEADER.unpack(_read_exactly(sock, _HEADER.size))
     if size > MAX_FRAME_BYTES:
--- a/ploverhatch/transport/http_client.py
+++ b/ploverhatch/transport/http_client.py
@@ -1,8 +1,8 @@
-"""HTTP client with exact knowledge of whether bytes were sent.
+"""HTTP client that sends each request once and reports whether bytes of it were sent.
 
-Built on geventhttpclient's connection pool and response parser. Its
-``HTTPClient`` is not used: it sends a request again when a pooled connection
-breaks, which could run a request twice.
+It uses the connection pool and response parser of geventhttpclient, but not its
+``HTTPClient``: this one sends a request again when a pooled connection breaks, so that a
+server may execute the request twice.
 """
 
 import json
@@ -20,13 +20,13 @@
 
 
 class NotSentError(ConnectionError):
-    """No byte of the request left: no connection could be had."""
+    """No byte of the request was sent, since no connection was available."""
 
 
 class AnswerLostError(ConnectionError):
-    """Bytes may have arrived, but no whole answer came back.
+    """Bytes of the request may have been sent, but no complete answer was received.
 
-    ``timed_out`` tells a deadline from a broken connection.
+    ``timed_out`` is true when the time limit passed, and false when the connection broke.
     """
 
     def __init__(self, cause: str, timed_out: bool = False) -> None:
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class HttpAnswer:
-    """A whole answer; header names are in lower case, repeated ones are kept."""
+    """A complete answer; header names are in lower case, and repeated fields are kept."""
 
     status: int
     fields: tuple[tuple[str, str], ...]
@@ -44,7 +44,7 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Header fields by name; of a repeated one the last."""
+        """Header fields by name; the last value of a repeated field."""
         return dict(self.fields)
 
     def json(self) -> Any:
@@ -53,7 +53,7 @@
 
 
 class _NoDelayPool(ConnectionPool):
-    """Pool whose connections send small segments at once."""
+    """Connection pool that disables Nagle's algorithm."""
 
     @override
     def after_connect(self, sock: Any) -> None:
@@ -69,9 +69,9 @@
 
 
 class HttpClient:
-    """Keep-alive connections to one address.
+    """Client with persistent connections to one address.
 
-    A connection whose answer was not read to its end is closed, never reused.
+    A connection is reused only after its answer was read to the end.
     """
 
     def __init__(
@@ -101,11 +101,12 @@
         body: bytes = b"",
         timeout_s: float = 5.0,
     ) -> HttpAnswer:
-        """Send one request, once, and read the whole answer.
+        """Send a request once and read the complete answer.
 
         :raises NotSentError: when no connection was made in time, or the
-            client was closed (the pool raises ``RuntimeError`` for that).
-        :raises AnswerLostError: when bytes may have been sent.
+            client is closed (the pool raises ``RuntimeError`` then).
+        :raises AnswerLostError: when bytes may have been sent and no
+            complete answer was received in time.
         """
         sent = False
         sock = None
--- a/ploverhatch/transport/http_connection.py
+++ b/ploverhatch/transport/http_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 client connection that serves one request at a time.
+"""HTTP/1.1 client connection that carries one request at a time.
 
-It tells exactly how far an exchange got, which decides whether a request may
-be repeated. The parser is llhttp, through ``httptools``.
+Its exceptions state whether bytes of the request were sent, which decides whether
+the request may be repeated. The parser is llhttp, by way of ``httptools``.
 """
 
 import select
@@ -15,8 +15,8 @@
 from gevent import socket
 from httptools import HttpParserError, HttpResponseParser
 
-READ_SIZE = 65_536
-LARGE_PAYLOAD = 32_768  # beyond it, sending and reading go on side by side
+READ_BYTES = 65_536
+LARGE_PAYLOAD_BYTES = 32_768  # a longer request is sent by a second task while its answer is read
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -39,7 +39,10 @@
 
 
 class NotConnectedError(ConnectionError):
-    """No connection was made; no byte of the request left."""
+    """No connection was made, so no byte of the request was sent.
+
+    ``refused`` is true when the address refused the connection.
+    """
 
     def __init__(self, cause: str, refused: bool = False) -> None:
         super().__init__(cause)
@@ -47,19 +50,22 @@
 
 
 class AnswerCutError(ConnectionError):
-    """Bytes were sent, but no whole answer came back."""
+    """Bytes may have been sent, but no complete answer was received."""
 
 
 @dataclass(slots=True)
 class WireAnswer:
-    """A whole answer as it came."""
+    """A complete answer, with its header fields as they were received."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
     body: bytes = b""
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first field of a name in lower case, or ``None``."""
+        """Return the value of the first field with a name, or ``None``.
+
+        ``name`` is in lower case.
+        """
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -67,28 +73,28 @@
 
 
 class _AnswerReader:
-    """Callbacks of the parser for one answer."""
+    """Collects one answer from the callbacks of the parser."""
 
     def __init__(self, method: bytes) -> None:
         self.answer = WireAnswer()
         self.complete = False
-        self.excess = False  # bytes beyond the answer: the connection is spoilt
+        self.excess = False  # bytes follow the answer, so the connection can't be reused
         self.keep_alive = False
         self._head_only = method == b"HEAD"
-        self._sized = False
+        self._has_length = False
         self._headers_done = False
         self._body: list[bytes] = []
         self._parser = HttpResponseParser(self)
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether the answer states no length, so that the close ends it."""
-        return self._headers_done and not self._sized and not self.complete
+        """Whether the answer states no length, so that the connection's end completes it."""
+        return self._headers_done and not self._has_length and not self.complete
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes.
+        """Parse received bytes.
 
-        :raises AnswerCutError: when they are not an answer.
+        :raises AnswerCutError: when they are not an HTTP answer.
         """
         try:
             self._parser.feed_data(data)
@@ -98,7 +104,7 @@
             self.excess = True
 
     def finish(self) -> None:
-        """Take the end of the connection as the end of the answer."""
+        """Complete the answer; the connection can't be reused."""
         self.answer.body = b"".join(self._body)
         self.complete = True
         self.keep_alive = False
@@ -111,7 +117,7 @@
         if self.complete or self._headers_done:
             return
         if name.lower() in {b"content-length", b"transfer-encoding"}:
-            self._sized = True
+            self._has_length = True
         self.answer.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -130,16 +136,16 @@
     def on_message_complete(self) -> None:
         if self.complete:
             return
-        if self.answer.status < 200:  # an interim answer; the final one follows
+        if self.answer.status < 200:  # an interim answer, which the final answer follows
             self.answer = WireAnswer()
-            self._headers_done = self._sized = False
+            self._headers_done = self._has_length = False
             self._body.clear()
             return
         self.answer.body = b"".join(self._body)
         self.complete = True
 
 
-_PROBES = (
+_KEEPALIVE_OPTIONS = (
     (stdlib_socket.SOL_SOCKET, stdlib_socket.SO_KEEPALIVE, 1),
     (stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_KEEPIDLE, 1),  # seconds
     (stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_KEEPINTVL, 1),  # seconds
@@ -148,19 +154,22 @@
 
 
 class HttpConnection:
-    """A connection to one address."""
+    """A connection to one address.
+
+    ``reusable`` is true when the last exchange left the connection ready for another one.
+    """
 
     def __init__(self, address: HostPort) -> None:
         self.address = address
         self.reusable = False
-        self.idle_timeout_s = 0.0  # as the last answer stated; 0: not stated
+        self.idle_timeout_s = 0.0  # stated in Keep-Alive by the last answer; 0: not stated
         self.idle_since_s = 0.0
         self._socket: Any = None
 
     def open(self, timeout_s: float) -> None:
         """Connect.
 
-        :raises NotConnectedError: when that fails or takes too long.
+        :raises NotConnectedError: when that fails or takes longer than ``timeout_s``.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -178,9 +187,9 @@
         sock.settimeout(None)
 
     def is_usable(self) -> bool:
-        """Whether an idle connection is open with nothing to read.
+        """Whether an idle connection is open and has no unread bytes.
 
-        Bytes that arrive while no request is out belong to no request.
+        Bytes that arrive while no request is open belong to no request.
         """
         if self._socket is None:
             return False
@@ -189,7 +198,7 @@
         return not poll.poll(0)
 
     def closed_by_peer(self) -> bool:
-        """Whether the other side has ended a connection, whatever it sent before."""
+        """Whether the peer closed the connection, even if unread bytes remain."""
         if self._socket is None:
             return True
         poll = select.poll()
@@ -197,26 +206,27 @@
         return bool(poll.poll(0))
 
     def enable_keepalive(self) -> None:
-        """Have the system ask the other side each second whether it still knows of it.
+        """Have the kernel send a keepalive probe every second.
 
-        A machine that was without power meanwhile answers by a reset. One that is dark answers
-        nothing, which ends nothing here.
+        A machine that restarted answers the probe with a reset, which closes the connection. A
+        machine that is down does not answer; the kernel closes the connection only after 30
+        unanswered probes.
         """
-        for level, option, value in _PROBES:
+        for level, option, value in _KEEPALIVE_OPTIONS:
             with suppress(OSError):
                 self._socket.setsockopt(level, option, value)
 
     def exchange(
         self, method: bytes, payload: bytes, keep_open_on_timeout: bool = False
     ) -> WireAnswer:
-        """Send one request and read its answer. Bound it by ``gevent.Timeout``.
+        """Send one request and read its answer; the caller limits it by ``gevent.Timeout``.
 
-        The connection is closed with a reset unless the answer was whole, so
-        that bytes still under way cannot arrive later.
+        Without a complete answer the connection is closed with a reset, so that
+        bytes in transit cannot arrive later.
 
-        :param keep_open_on_timeout: whether it stays open where time was over: it takes no further
-            request, but shows by its end that the other side has ended.
-        :raises AnswerCutError: when no whole answer came.
+        :param keep_open_on_timeout: whether the connection stays open after a timeout. It accepts
+            no further request, but its end shows that the peer's process ended.
+        :raises AnswerCutError: when no complete answer was received.
         """
         self.reusable = False
         reader = _AnswerReader(method)
@@ -239,18 +249,18 @@
         return reader.answer
 
     def _send_and_read(self, reader: _AnswerReader, payload: bytes) -> bool:
-        if len(payload) <= LARGE_PAYLOAD:
+        if len(payload) <= LARGE_PAYLOAD_BYTES:
             self._socket.sendall(payload)
             self._read(reader)
             return True
-        sender = gevent.spawn(self._send_quietly, payload)
+        sender = gevent.spawn(self._send_ignoring_errors, payload)
         try:
             self._read(reader)
             return bool(sender.ready() and sender.value)
         finally:
             sender.kill(block=False)
 
-    def _send_quietly(self, payload: bytes) -> bool:
+    def _send_ignoring_errors(self, payload: bytes) -> bool:
         with suppress(OSError):
             self._socket.sendall(payload)
             return True
@@ -258,7 +268,7 @@
 
     def _read(self, reader: _AnswerReader) -> None:
         while not reader.complete:
-            data = self._socket.recv(READ_SIZE)
+            data = self._socket.recv(READ_BYTES)
             if data:
                 reader.feed(data)
             elif reader.ends_with_connection:
@@ -275,14 +285,14 @@
                 self.idle_timeout_s = float(number)
 
     def close(self) -> None:
-        """Close in order."""
+        """Close the connection; bytes in transit may still arrive."""
         sock, self._socket = self._socket, None
         if sock is not None:
             with suppress(OSError):
                 sock.close()
 
     def abort(self) -> None:
-        """Close with a reset: nothing that is still under way arrives."""
+        """Close the connection with a reset, so that bytes in transit are dropped."""
         sock = self._socket
         if sock is not None:
             with suppress(OSError):
--- a/ploverhatch/transport/http_server.py
+++ b/ploverhatch/transport/http_server.py
@@ -1,9 +1,10 @@
-"""gevent's WSGI server, set up for small answers and strict requests.
+"""gevent's WSGI server, configured for small answers and strict requests.
 
-Differences from the default: segments are sent without delay; requests whose
-length is ambiguous are refused (they could be split differently by another
-party); parse errors are answered with a problem document; open connections
-are counted, so that a planned stop can wait for them.
+Differences from the default: Nagle's algorithm is disabled; requests whose
+length is ambiguous are rejected, since another HTTP implementation could split
+them differently (request smuggling); parse errors are answered with a problem
+document; open connections are tracked, so that a planned stop (a graceful
+shutdown) can wait for them.
 """
 
 import contextlib
@@ -22,21 +23,21 @@
 
 
 class AbortConnectionError(Exception):
-    """Raised by an application to end the connection without an answer."""
+    """Raised by an application to close the connection without an answer."""
 
 
 class AmbiguousLengthError(ValueError):
-    """The header fields do not state one length of the body."""
+    """The header fields do not state one unambiguous length of the body."""
 
 
-def cut(sock: Any) -> None:
-    """Close a connection at once, though its reader still refers to it."""
+def shut_down(sock: Any) -> None:
+    """Close a connection at once, even while another task reads from it."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def has_unread(sock: Any) -> bool:
-    """Whether bytes came that nobody has read."""
+    """Whether the socket has received bytes that are still unread."""
     try:
         return bool(sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError:
@@ -44,9 +45,12 @@
 
 
 def check_framing(lengths: list[str], encodings: list[str]) -> None:
-    """Refuse header fields from which two parties could read two lengths.
+    """Check that header fields state at most one length of the body.
 
-    :raises AmbiguousLengthError: on repeated or malformed fields.
+    ``lengths`` and ``encodings`` are the values of ``Content-Length`` and
+    ``Transfer-Encoding``.
+
+    :raises AmbiguousLengthError: for repeated, contradicting or malformed fields.
     """
     if len(lengths) > 1 or len(encodings) > 1 or (lengths and encodings):
         raise AmbiguousLengthError("more than one length")
@@ -73,7 +77,7 @@
             server.connections.discard(self)
 
     def read_requestline(self) -> Any:
-        """Read a request's first line; until its first byte the connection is idle."""
+        """Read the first line of a request; the connection is idle until its first byte."""
         self.idle = True
         self.idle = not self.rfile.peek(1)
         line = super().read_requestline()
@@ -81,10 +85,13 @@
         return line
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is there; one that crosses is not taken."""
+        """Close the connection unless bytes of a request have arrived.
+
+        A request that arrives at the same time is not served.
+        """
         sock = getattr(self, "socket", None)
         if sock is not None and self.idle and not has_unread(sock):
-            cut(sock)
+            shut_down(sock)
 
     def MessageClass(self, *args: Any) -> Any:  # noqa: N802 - name of the base class
         """Parse header fields and check the framing they state."""
@@ -95,21 +102,21 @@
         return headers
 
     def get_environ(self) -> dict[str, Any]:
-        """Add the request target as it was sent; ``PATH_INFO`` is decoded."""
+        """Add the request target as it was sent, since ``PATH_INFO`` is decoded."""
         environ: dict[str, Any] = super().get_environ()
         environ[TARGET_KEY] = self.path
         return environ
 
     def run_application(self) -> None:
-        """Run the application; it may abort the connection."""
+        """Run the application, which may abort the connection."""
         try:
             super().run_application()
         except AbortConnectionError:
             self.close_connection = True
-            cut(self.socket)
+            shut_down(self.socket)
 
     def handle_one_response(self) -> None:
-        """Serve one request, and note that the connection is busy."""
+        """Serve one request; ``serving`` is true meanwhile."""
         server: HttpServer = self.server
         self.serving = True
         try:
@@ -120,7 +127,7 @@
                 self.close_connection = True
 
     def finalize_headers(self) -> None:
-        """Announce that a draining server closes the connection."""
+        """Announce in the answer that a draining server closes the connection."""
         if self.server.draining:
             self.response_headers.append((b"Connection", b"close"))
         super().finalize_headers()
@@ -139,7 +146,7 @@
 
 
 class HttpServer(WSGIServer):
-    """Server with a planned stop."""
+    """WSGI server that supports a planned stop."""
 
     handler_class = StrictHandler
 
@@ -150,34 +157,34 @@
 
     @property
     def busy(self) -> int:
-        """Number of requests being served."""
+        """Number of requests that are being served."""
         return sum(handler.serving for handler in self.connections)
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port that the server listens on."""
         return int(self.server_port)
 
     def abort(self) -> None:
-        """Stop at once and cut open connections, as a crash would."""
+        """Stop at once and close all connections, as a crash would."""
         self.stop(timeout=0)
         for handler in list(self.connections):
-            self._cut(handler)
+            self._shut_down(handler)
 
     def drain(self, limit_s: float, linger_s: float) -> bool:
-        """Stop accepting, wait for open requests, and take no others.
+        """Stop accepting connections and wait for open requests.
 
-        Idle connections stay for ``linger_s``, since a request may be on its
-        way; its answer closes the connection. After that no connection is left
-        on which a request could begin, but those whose head is being read: one
-        that comes to its end late is begun late, and may be cut at the limit.
+        Idle connections stay open for ``linger_s`` seconds, since a request may
+        be in transit; its answer closes the connection. After that, only
+        connections with a partly received request remain open. Such a request is
+        served once it is complete, and may be aborted at the limit.
 
-        :returns: whether every request ended within ``limit_s``.
+        :returns: whether every request was answered within ``limit_s`` seconds.
         """
         self.draining = True
         self._accept_waiting()
         self.close()
-        gevent.sleep(0)  # what was accepted last is counted from its first turn
+        gevent.sleep(0)  # a connection is tracked once its task has run
         loop = gevent.get_hub().loop
         end_s = loop.now() + limit_s
         idle_end_s = loop.now() + linger_s
@@ -190,14 +197,17 @@
         return not self.busy
 
     def await_answers(self, limit_s: float) -> bool:
-        """Wait until no request is being served; false where some are when the time is over."""
+        """Wait up to ``limit_s`` seconds until no request is being served.
+
+        :returns: whether all requests were answered by then.
+        """
         with gevent.Timeout(limit_s, False):
             while self.busy:
                 gevent.sleep(0.01)
         return not self.busy
 
     def _accept_waiting(self) -> None:
-        """Accept what the kernel has set up: closing the listener would reset it."""
+        """Accept the connections in the listen backlog; closing the listener would reset them."""
         with contextlib.suppress(OSError):
             for _ in range(self.backlog):
                 accepted = self.do_read()
@@ -210,12 +220,12 @@
             handler.close_if_idle()
 
     def _close_not_served(self) -> None:
-        """Close connections whose request is still not whole."""
+        """Close connections that serve no request, also those with an incomplete one."""
         for handler in list(self.connections):
             if not handler.serving:
-                self._cut(handler)
+                self._shut_down(handler)
 
-    def _cut(self, handler: StrictHandler) -> None:
+    def _shut_down(self, handler: StrictHandler) -> None:
         sock = getattr(handler, "socket", None)
         if sock is not None:
-            cut(sock)
+            shut_down(sock)
--- a/ploverhatch/transport/peers.py
+++ b/ploverhatch/transport/peers.py
@@ -1,8 +1,8 @@
 """Connections between nodes: one-way messages and requests with replies.
 
-Each connection is owned by its reader and writer tasks; others hand messages
-over through bounded queues. A frame that is malformed, oversized, or answers
-no open request is counted; a malformed or oversized one closes its connection.
+Only the reader and writer tasks of a connection use its socket; other tasks pass
+messages by bounded queues. A frame that is malformed, oversized, or a reply to
+no open request is counted; a malformed or oversized frame closes its connection.
 """
 
 import itertools
@@ -25,7 +25,7 @@
 
 SEND_QUEUE_FRAMES = 1024
 CONNECT_TIMEOUT_S = 0.5
-IDLE_RETRY_S = 0.2
+RECONNECT_DELAY_S = 0.2
 
 Address = tuple[str, int]
 
@@ -35,28 +35,31 @@
 
 
 class PeerRefusedError(PeerUnreachableError):
-    """Nothing listens at the address: the connection was refused."""
+    """The connection was refused: no process listens at the address."""
 
 
 def set_no_delay(sock: Any) -> None:
-    """Send small segments at once (no Nagle delay)."""
+    """Disable Nagle's algorithm, which delays small segments."""
     sock.setsockopt(stdlib_socket.IPPROTO_TCP, stdlib_socket.TCP_NODELAY, 1)
 
 
 class Connection:
-    """One stream to a peer: a writer task, a reader task, open requests."""
+    """A connection to a peer, with a writer task, a reader task and open requests."""
 
     def __init__(self, sock: Any, owner: "PeerNetwork") -> None:
         set_no_delay(sock)
         self._sock = sock
         self._owner = owner
         self._queue: queue.Queue = queue.Queue(SEND_QUEUE_FRAMES)
-        self._waiting: dict[int, AsyncResult] = {}
+        self._open_requests: dict[int, AsyncResult] = {}
         self.closed = False
         self._tasks = [gevent.spawn(self._write), gevent.spawn(self._read)]
 
     def send(self, payload: bytes) -> bool:
-        """Queue a frame; false when the queue is full or the stream closed."""
+        """Queue a frame.
+
+        :returns: whether it was queued: false when the queue is full or the connection closed.
+        """
         if self.closed:
             return False
         try:
@@ -67,22 +70,22 @@
         return True
 
     def expect(self, correlation: int) -> AsyncResult:
-        """Register an open request."""
+        """Register an open request; the result holds its reply."""
         result = AsyncResult()
-        self._waiting[correlation] = result
+        self._open_requests[correlation] = result
         return result
 
     def forget(self, correlation: int) -> None:
-        """Drop an open request; a later answer is counted as late."""
-        self._waiting.pop(correlation, None)
+        """Remove an open request; a later reply to it is counted as late."""
+        self._open_requests.pop(correlation, None)
 
     def close(self) -> None:
-        """Close the stream and fail open requests."""
+        """Close the connection and fail open requests."""
         if self.closed:
             return
         self.closed = True
         self._sock.close()
-        waiting, self._waiting = self._waiting, {}
+        waiting, self._open_requests = self._open_requests, {}
         for result in waiting.values():
             result.set_exception(PeerUnreachableError("connection closed"))
         self._owner.forget(self)
@@ -112,14 +115,16 @@
                 self._dispatch(*unpack(data))
         except (MalformedFrameError, FrameTooLargeError) as error:
             self._owner.counters["malformed_frames"] += 1
-            LOG.warning("Dropped a connection.", cause=type(error).__name__)
+            LOG.warning(
+                "Connection to a peer closed after a malformed frame.", cause=type(error).__name__
+            )
             self.close()
         except OSError:
             self.close()
 
     def _dispatch(self, envelope: wire.Envelope, message: Any) -> None:
         if envelope.reply:
-            result = self._waiting.pop(envelope.correlation, None)
+            result = self._open_requests.pop(envelope.correlation, None)
             if result is None:
                 self._owner.counters["late_replies"] += 1
             else:
@@ -132,11 +137,11 @@
 
 
 class PeerNetwork:
-    """Listening socket and outgoing connections of one node.
+    """The listening socket and the outgoing connections of a node.
 
-    ``handler(connection, envelope, message)`` runs in the reader task for
-    one-way messages and in a task of its own for requests, whose return value
-    is sent back. Messages for another process lifetime are not handled.
+    ``handler(connection, envelope, message)`` runs in the reader task for one-way
+    messages and in a separate task for requests; for a request, its return value
+    is the reply. Messages for another incarnation of the node are not handled.
     """
 
     def __init__(self, node_id: str, address: Address, handler: Handler) -> None:
@@ -153,7 +158,7 @@
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port that the node listens on."""
         return int(self._server.server_port)
 
     def close(self) -> None:
@@ -163,7 +168,7 @@
             connection.close()
 
     def forget(self, connection: Connection) -> None:
-        """Drop a closed connection from the books."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
         for address, known in list(self._outgoing.items()):
             if known is connection:
@@ -175,7 +180,7 @@
         gevent.joinall(connection._tasks)
 
     def receive(self, connection: Connection, envelope: wire.Envelope, message: Any) -> None:
-        """Hand an incoming message to the handler."""
+        """Pass a received message to the handler."""
         if envelope.recipient and envelope.recipient != self.node_id:
             self.counters["wrong_recipient"] += 1
             if envelope.correlation:
@@ -196,7 +201,7 @@
         connection.send(payload)
 
     def send(self, address: Address, recipient: str, message: Any) -> None:
-        """Send one way, without waiting; the message may be lost."""
+        """Send a one-way message without waiting; the message may be lost."""
         payload = pack(message, sender=self.node_id, recipient=recipient)
         connection = self._outgoing.get(address)
         if connection is not None:
@@ -217,7 +222,7 @@
         try:
             connection = self._connect(address)
         except PeerUnreachableError:
-            self._retry_at[address] = gevent.get_hub().loop.now() + IDLE_RETRY_S
+            self._retry_at[address] = gevent.get_hub().loop.now() + RECONNECT_DELAY_S
         finally:
             backlog = self._connecting.pop(address, [])
         if connection is not None:
@@ -245,8 +250,8 @@
     ) -> tuple[wire.Envelope, Any]:
         """Send a request and wait for its reply.
 
-        :raises PeerUnreachableError: without a reply in time; whether the
-            peer handled the request is then unknown.
+        :raises PeerUnreachableError: when no reply arrives within ``timeout_s``
+            seconds. The peer may have handled the request.
         """
         connection = self._connect(address)
         correlation = next(self._correlations)
--- a/ploverhatch/transport/registry.py
+++ b/ploverhatch/transport/registry.py
@@ -1,4 +1,4 @@
-"""Numbers of the messages that an envelope may carry."""
+"""Encoding of messages in envelopes, and the numbers of their types."""
 
 from typing import Any
 
@@ -28,7 +28,7 @@
 
 
 class MalformedFrameError(ValueError):
-    """A frame does not parse, or names an unknown version or message."""
+    """A frame does not parse, or has an unknown version or message type."""
 
 
 def pack(
--- a/ploverhatch/transport/wsgi.py
+++ b/ploverhatch/transport/wsgi.py
@@ -1,4 +1,4 @@
-"""Small WSGI helpers shared by the HTTP services."""
+"""WSGI helpers of the HTTP services."""
 
 import http.client
 import json
@@ -19,7 +19,7 @@
 
 
 def send_reply(reply: HttpReply, start_response: StartResponse) -> Iterable[bytes]:
-    """Start a WSGI response."""
+    """Start a WSGI response and return its body."""
     reason = http.client.responses.get(reply.status, "Unknown")
     start_response(f"{reply.status} {reason}", list(reply.headers))
     return [reply.body]
@@ -28,7 +28,7 @@
 def read_body(environ: Environ, limit: int) -> bytes:
     """Read a whole body.
 
-    :raises BodyTooLargeError: above ``limit`` bytes.
+    :raises BodyTooLargeError: when the body is longer than ``limit`` bytes.
     """
     length = environ.get("CONTENT_LENGTH")
     if length and int(length) > limit:
@@ -42,13 +42,17 @@
 
 
 def read_json(environ: Environ, limit: int = 4 << 20) -> Any:
-    """Read a JSON body; an empty one is an empty object."""
+    """Parse a JSON body; an empty body is read as an empty object.
+
+    :raises BodyTooLargeError: when the body is longer than ``limit`` bytes.
+    :raises ValueError: when the body is not JSON.
+    """
     body = read_body(environ, limit)
     return json.loads(body) if body else {}
 
 
 def request_headers(environ: Environ) -> dict[str, str]:
-    """Return header fields with lower-case names."""
+    """Return the header fields with names in lower case."""
     headers = {
         name[5:].replace("_", "-").lower(): value
         for name, value in environ.items()
@@ -71,7 +75,7 @@
 
 
 def as_application(handler: Callable[[Environ], HttpReply]) -> Application:
-    """Wrap a function from environ to reply as a WSGI application."""
+    """Return a WSGI application that answers with the reply of ``handler``."""
 
     def application(environ: Environ, start_response: StartResponse) -> Iterable[bytes]:
         return send_reply(handler(environ), start_response)
--- a/tests/functional/test_backend_contract.py
+++ b/tests/functional/test_backend_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the back end adapter against the emulator."""
+"""Tests of the back ends' client against the emulator."""
 
 from types import SimpleNamespace
 
@@ -22,7 +22,7 @@
 from ploverhatch.settings.model import LimitsSection
 
 TOKEN = (3 << 48) | 9
-WHOLE = SliceRange("g", 0, MAX_HASH)
+WHOLE_RANGE = SliceRange("g", 0, MAX_HASH)
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
     backend = HttpBackend("127.0.0.1", server.port, 8)
     request = SyncRequest(
         epoch=1, term=1, sequence=1, boot_id=server.book.boot_id,
-        expires_clock_ms=clock_ms() + 60_000, full=True, grants=(Grant(WHOLE, TOKEN),),
+        expires_clock_ms=clock_ms() + 60_000, full=True, grants=(Grant(WHOLE_RANGE, TOKEN),),
     )  # fmt: skip
     assert backend.sync(request, 1.0).accepted
     yield backend
@@ -116,7 +116,7 @@
 
 
 class DyingServer:
-    """Answers one control call; its port is dead then, and the connection breaks at the next."""
+    """Answers one control call and stops listening; the next call breaks the connection."""
 
     PROBE = b'{"healthy": true, "load": 0, "clock_ms": 1}'
 
@@ -134,12 +134,13 @@
 
 
 def test_a_server_whose_control_connection_breaks_last_is_seen_to_have_ended():
-    """Seen beside load: four back ends were killed under a request, two were found to have ended.
+    """Guards against missed crashes: two of four back ends killed under a request on a busy
+    machine.
 
-    Whether a server ended was read from how the call that cancels its request failed. That
-    call may go over a kept connection, which breaks with the process, a moment after the
-    request's own: closed, not refused. Proof: in two failed runs with the causes written, each
-    end that was missed had that one. So a connection of its own looks at the port.
+    The router inferred a crash from the failure of the call that cancels the request. On a
+    persistent connection, which may break slightly later than the request's own, this call
+    fails with a closed connection and not with a refused one; each missed crash had this
+    cause. A new connection shows whether a process still listens.
     """
     backend = HttpBackend("127.0.0.1", DyingServer().port, 1)
     assert backend.probe(1.0).healthy
--- a/tests/functional/test_http_connection.py
+++ b/tests/functional/test_http_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server: whole, cut, extra, late and odd answers."""
+"""Tests of a client connection with complete, truncated, excess, late and malformed answers."""
 
 import gevent
 import pytest
@@ -12,7 +12,7 @@
 from tests.standin.upstream import RawUpstream
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+COMPLETE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
 UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\nok"
 
@@ -25,20 +25,20 @@
         return connection, connection.exchange(method, payload)
 
 
-WHOLE_ANSWERS = {
-    "length": ([WHOLE], False, True),
+COMPLETE_ANSWERS = {
+    "length": ([COMPLETE], False, True),
     "chunks": ([CHUNKED], False, True),
     "until the end": ([UNFRAMED], True, False),
-    "interim first": ([b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE], False, True),
-    "asks to close": ([WHOLE.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")], False, False),
-    "second answer too": ([WHOLE + WHOLE], False, False),
-    "garbage after it": ([WHOLE + b"\x00\x01garbage"], False, False),
+    "interim first": ([b"HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE], False, True),
+    "asks to close": ([COMPLETE.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")], False, False),
+    "second answer too": ([COMPLETE + COMPLETE], False, False),
+    "garbage after it": ([COMPLETE + b"\x00\x01garbage"], False, False),
 }
 
 
-@pytest.mark.parametrize("name", WHOLE_ANSWERS)
+@pytest.mark.parametrize("name", COMPLETE_ANSWERS)
 def test_whole_answers(name):
-    answers, close, reusable = WHOLE_ANSWERS[name]
+    answers, close, reusable = COMPLETE_ANSWERS[name]
     connection, answer = exchange(*answers, close=close)
     assert (answer.status, answer.body) == (200, b"ok")
     assert connection.reusable is reusable
@@ -64,7 +64,7 @@
 def test_a_reset_does_not_end_an_answer_without_length():
     class Resetting(RawUpstream):
         def _serve(self, sock, address):
-            sock.recv(100)  # leaves bytes unread, so that the close resets
+            sock.recv(100)  # unread bytes remain, so that closing the socket sends a reset
             sock.sendall(UNFRAMED)
             gevent.sleep(0.05)
             sock.close()
@@ -77,23 +77,23 @@
 
 
 def test_late_bytes_on_an_idle_connection_are_noticed():
-    server = RawUpstream(WHOLE)
+    server = RawUpstream(COMPLETE)
     connection = HttpConnection(server.address)
     connection.open(1.0)
     connection.exchange(b"GET", REQUEST)
     assert connection.is_usable()
 
-    late = RawUpstream(WHOLE + b"", WHOLE)
+    late = RawUpstream(COMPLETE + b"", COMPLETE)
     connection = HttpConnection(late.address)
     connection.open(1.0)
     connection.exchange(b"GET", REQUEST)
-    connection._socket.sendall(REQUEST)  # draws a second answer that nobody asked for
+    connection._socket.sendall(REQUEST)  # causes a second answer, which no exchange reads
     gevent.sleep(0.05)
     assert not connection.is_usable()
 
 
-def test_a_connection_that_was_closed_is_not_quiet():
-    server = RawUpstream(WHOLE, close=True)
+def test_a_connection_that_was_closed_is_not_usable():
+    server = RawUpstream(COMPLETE, close=True)
     connection = HttpConnection(server.address)
     connection.open(1.0)
     connection.exchange(b"GET", REQUEST)
@@ -102,7 +102,7 @@
 
 
 def test_keep_alive_seconds_are_read():
-    answer = WHOLE.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=7, max=9\r\n")
+    answer = COMPLETE.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=7, max=9\r\n")
     connection, _ = exchange(answer)
     assert connection.idle_timeout_s == 7.0
 
--- a/tests/functional/test_store_eras.py
+++ b/tests/functional/test_store_eras.py
@@ -66,7 +66,7 @@
     assert len(server.store.calls) == calls  # the store was not called: the new era is known
 
 
-def test_a_watch_continues_from_a_listing_after_a_restore(server, store):
+def test_a_watch_goes_on_from_what_was_listed_after_a_restore(server, store):
     restored(server, store)
     listed = store.list_all(KIND)
     write(server, "b")
@@ -94,7 +94,7 @@
     assert all(method != "PUT" for method, *_ in server.store.calls)
 
 
-def test_conflicts_and_writes_return_revisions_of_the_era(server, store):
+def test_conflicts_and_writes_tell_revisions_of_the_era(server, store):
     restored(server, store)
     listed = store.list_all(KIND)
     written = store.replace(KIND, "a", {"n": "mine"}, listed.items[0].revision)
@@ -112,7 +112,7 @@
     assert "stale" not in server.store.calls[-1][3]
 
 
-def test_pages_of_two_eras_fail_the_listing(server, store):
+def test_pages_of_two_eras_are_no_listing(server, store):
     server.store.page = 1
     for name in ("a", "b", "c"):
         write(server, name)
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -160,7 +160,7 @@
     assert [route.regions for route in found] == [{"r1", "r2"}, set()]
 
 
-def test_cold_start_settings_of_a_service():
+def test_what_a_service_says_of_cold_servers():
     services = [{"name": "x", "cold_start_s": 3.0, "cold_per_s": 6.7}, {"name": "y"}]
     table = route_table({**CONFIG, "services": services})
     assert (table.services["x"].cold_ms, table.services["x"].cold_per_s) == (3000.0, 6.7)
@@ -281,7 +281,7 @@
     assert headers == [(b"Request-Id", b"r1"), (b"Retry-After", b"0.150")]
 
 
-def test_settings_beyond_the_limits_of_the_parser_are_rejected():
+def test_settings_nested_more_deeply_than_parsers_go_are_wrong_settings():
     for value in (b"[" * 3000 + b"]" * 3000, b"1" + b"0" * 5000):
         with pytest.raises(SettingsFileError):
             parse_settings(SETTINGS + b"\n[odd]\nvalue = " + value)
--- a/tests/unit/test_revisions.py
+++ b/tests/unit/test_revisions.py
@@ -10,17 +10,17 @@
 
 
 @given(ERAS, REVISIONS)
-def test_split_reverses_combine(era, revision):
+def test_era_and_revision_are_found_again(era, revision):
     assert split(combine(era, revision)) == (era, revision)
 
 
 @given(ERAS, REVISIONS, REVISIONS)
-def test_revisions_of_a_later_era_are_greater(era, before, after):
+def test_whatever_is_of_a_later_era_is_later(era, before, after):
     assert combine(era + 1, after) > combine(era, before)
 
 
 @given(ERAS, REVISIONS, REVISIONS)
-def test_revisions_of_one_era_are_distinguished_from_others(era, before, after):
+def test_revisions_of_one_era_are_told_from_others(era, before, after):
     assert same_era(combine(era, before), combine(era, after))
     assert not same_era(combine(era, before), combine(era + 1, after))
 
--- a/tests/unit/test_store_pages.py
+++ b/tests/unit/test_store_pages.py
@@ -75,7 +75,7 @@
     assert (found.name, found.revision) == ("odd", 3)
 
 
-def test_values_beside_a_nested_object_are_unchanged():
+def test_numbers_and_texts_beside_a_nested_object_stay_what_they_are():
     values = b'{"a":1.5,"b":12345678901234567890,"c":"t\\u00e9","d":[true,null,-0.25]}'
     valid = b'{"metadata":{"name":"sound","revision":4},"spec":%s}' % values
     deep = malformed(b"[" * 3000 + b"]" * 3000)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"items":7,"at":1}', b'{"items":[]}'])
-def test_a_malformed_page_is_a_failed_call(body):
+def test_what_is_no_page_is_a_failed_call(body):
     with pytest.raises(StoreCallError):
         pages.read_page(body)
     with pytest.raises(StoreCallError):
@@ -130,7 +130,7 @@
 
 
 @given(st.sampled_from(PATHS), VALUES)
-def test_an_entry_with_a_changed_field_is_rejected_or_valid(path, value):
+def test_a_field_of_another_form_is_left_out_or_sound(path, value):
     entry = json.loads(json.dumps(ENTRY))
     part = entry
     for name in path[:-1]:
--- a/tests/unit/test_transport.py
+++ b/tests/unit/test_transport.py
@@ -1,4 +1,4 @@
-"""Contract of frames and envelopes: a table of bad input."""
+"""Tests of frames, envelopes and lengths of HTTP bodies, most of them with malformed input."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 class Stream:
-    """A socket that delivers prepared bytes in small pieces."""
+    """A socket that delivers prepared bytes, at most three at a time."""
 
     def __init__(self, data):
         self.data = data
