--- a/ploverhatch/transport/peers.py
+++ b/ploverhatch/transport/peers.py
@@ -85,8 +85,8 @@
             return
         self.closed = True
         self._sock.close()
-        waiting, self._open_requests = self._open_requests, {}
-        for result in waiting.values():
+        open_requests, self._open_requests = self._open_requests, {}
+        for result in open_requests.values():
             result.set_exception(PeerUnreachableError("connection closed"))
         self._owner.forget(self)
         gevent.killall(
--- a/tests/functional/test_nested_entries.py
+++ b/tests/functional/test_nested_entries.py
@@ -21,9 +21,9 @@
 
 @pytest.fixture
 def site():
-    made = Site()
-    yield made
-    made.close()
+    running_site = Site()
+    yield running_site
+    running_site.close()
 
 
 class Nested:
--- a/tests/functional/test_odd_entries.py
+++ b/tests/functional/test_odd_entries.py
@@ -1,10 +1,8 @@
-"""Entries of servers that another program wrote: they name no server, and the others hold.
+"""Malformed entries of a foreign writer are no servers, and leave all other entries in use.
 
-Seen: one entry whose spec was a list made every node refuse every request. Entries without
-slots, or in a state that nobody knows, were sent requests.
-
-Cause: an entry was merged and read as if its parts had the form that servers write; what had
-another form broke the task that follows all servers, or was made up from defaults.
+Guards against an entry that is read without a check of its form. One entry whose spec was a list
+stopped the task that follows all servers, so that every node refused every request. Entries
+without slots, or in an unknown state, got default values and received requests.
 """
 
 import gevent
@@ -14,35 +12,35 @@
 from tests.standin.odd_entries import CHANGES, odd_record
 from tests.standin.upstream import Upstream
 
-ODD_SERVICE = "plain"
+SERVICE = "plain"
 
 
 @pytest.fixture
 def site():
-    made = Site()
-    yield made
-    made.close()
+    running_site = Site()
+    yield running_site
+    running_site.close()
 
 
-def _put_odd(site, name, change):
-    """Put an entry of a server that would run requests, changed by another writer."""
+def _put_malformed(site, name, change):
+    """Write the malformed entry of a server that would run requests."""
     upstream = site.upstreams[name] = Upstream(name)
-    site.store.put("servers", name, *odd_record(upstream, ODD_SERVICE, change))
+    site.store.put("servers", name, *odd_record(upstream, SERVICE, change))
     return upstream
 
 
 def test_entries_of_another_writer_name_no_server_and_leave_the_others(site):
     (gateway,) = start_site(site)
-    odd = [_put_odd(site, name, change) for name, change in CHANGES.items()]
+    malformed_servers = [_put_malformed(site, name, change) for name, change in CHANGES.items()]
     site.start_upstream("u9", "plain")
     until(lambda: "u9" in gateway.directory.servers.records)
     for key in range(60):
         assert ask(gateway, b"/p/a")[0] == 200
         assert ask(gateway, b"/k/a", key)[0] == 200
-    assert [upstream.server_id for upstream in odd if upstream.arrived] == []
+    assert [upstream.server_id for upstream in malformed_servers if upstream.arrived] == []
     late = site.start_gateway("late")
     until(lambda: is_ready(late))
-    # A service that no configuration names may be named by the next one.
+    # The entry of a service that the configuration lacks is valid: a later one may add the service.
     known = {"u1", "u2", "u3", "u9", "service-unknown"}
     assert set(late.directory.servers.records) == known
     assert set(gateway.directory.servers.records) == known
@@ -50,7 +48,7 @@
     assert gateway.leads
 
 
-def test_odd_objects_of_our_own_kinds_stop_neither_election_nor_other_services(site):
+def test_malformed_objects_of_the_gateways_kinds_stop_neither_election_nor_other_services(site):
     site.store.put("leases", "node-odd", ["x"])
     site.store.put("keymaps", "another", {"token": "x"})
     (gateway,) = start_site(site)
--- a/tests/functional/test_reborn_servers.py
+++ b/tests/functional/test_reborn_servers.py
@@ -1,10 +1,9 @@
-"""A server that starts again under its id holds nothing, and nothing of before concerns it.
+"""A server that restarts under its id is a new incarnation, without the state of the old one.
 
-Seen: a holder of keys crashed and was back under its id 0.2 s later at another address. Not
-one request ran there in 9 s, and a quarter of the requests failed in the first 2 s.
-
-Cause: what is kept of a server was kept by its id: the address of its control calls, its
-lease, who holds its keys, what it had said. All that spoke of the life before.
+Guards against state that is kept by server id instead of by incarnation: the address for control
+calls, the lease, the keys that the server holds, and its notices. A holder of keys that crashed
+and restarted 0.2 s later under its id at another address ran no request in 9 s, and a quarter of
+the requests failed in the first 2 s.
 """
 
 import gevent
@@ -15,45 +14,46 @@
 from tests.standin.site import KEYED, PLAIN, StandinSite
 
 GATEWAYS = 3
-RUNS_S = 4.0  # within which the next life runs requests
-SERVED_S = 2.0  # after which all keys are served again: its own ones by whoever has them
-SAME_ADDRESS_S = 5.5  # the same, where a late grant to the life before might reach the next one
-LONG_REST_S = 60.0
+FIRST_REQUEST_S = 4.0  # within this time the new incarnation runs requests
+SERVED_S = 2.0  # after this time all keys are served again, each by its present holder
+# The same at the old address, where a late grant to the old incarnation may reach the new one.
+SAME_ADDRESS_SERVED_S = 5.5
+LONG_BACKOFF_S = 60.0
 
 
 @pytest.fixture
-def play():
-    made = Play(StandinSite(GATEWAYS, keyed=4, plain=2))
-    made.begin()
-    yield made
-    made.close()
+def scenario():
+    running_scenario = Play(StandinSite(GATEWAYS, keyed=4, plain=2))
+    running_scenario.begin()
+    yield running_scenario
+    running_scenario.close()
 
 
 @pytest.mark.parametrize("elsewhere", [True, False])
-def test_a_holder_that_is_back_under_its_id_gets_keys_again(play, elsewhere):
-    before = play.busiest()[1]
+def test_a_holder_that_is_back_under_its_id_gets_keys_again(scenario, elsewhere):
+    crashed = scenario.busiest()[1]
     start_s = now_s()
-    reborn = play.site.rebirth(before, 0.2, elsewhere)
-    served_s = SERVED_S if elsewhere else SAME_ADDRESS_S
-    gevent.sleep(max(RUNS_S, served_s) + 2.0)
-    play.stop_callers()
-    assert reborn.ran and reborn.work[0].start_s < start_s + max(RUNS_S, served_s)
-    assert play.served(KEYED, start_s + served_s) == 1.0
-    assert judge(play.site.journal.holds) == []
-
-
-def test_what_a_life_said_does_not_bind_the_next_one(play):
-    before = play.busiest()[0]
-    other = next(u for u in play.upstreams(PLAIN) if u is not before)
-    for upstream in (before, other):
-        upstream.behaviour.rest_s = LONG_REST_S
+    restarted = scenario.site.rebirth(crashed, 0.2, elsewhere)
+    served_s = SERVED_S if elsewhere else SAME_ADDRESS_SERVED_S
+    gevent.sleep(max(FIRST_REQUEST_S, served_s) + 2.0)
+    scenario.stop_callers()
+    assert restarted.ran and restarted.work[0].start_s < start_s + max(FIRST_REQUEST_S, served_s)
+    assert scenario.served(KEYED, start_s + served_s) == 1.0
+    assert judge(scenario.site.journal.holds) == []
+
+
+def test_notices_of_an_incarnation_do_not_apply_to_the_next_one(scenario):
+    crashed = scenario.busiest()[0]
+    other = next(server for server in scenario.upstreams(PLAIN) if server is not crashed)
+    for upstream in (crashed, other):
+        upstream.behaviour.rest_s = LONG_BACKOFF_S
     gevent.sleep(0.5)
-    before.behaviour.leaving = True
+    crashed.behaviour.leaving = True
     gevent.sleep(0.5)
     start_s = now_s()
-    reborn = play.site.rebirth(before, 0.2)
+    restarted = scenario.site.rebirth(crashed, 0.2)
     gevent.sleep(2.0)
-    play.stop_callers()
-    assert len(reborn.ran) > 20
-    assert play.served(PLAIN, start_s + 1.2) == 1.0
+    scenario.stop_callers()
+    assert len(restarted.ran) > 20
+    assert scenario.served(PLAIN, start_s + 1.2) == 1.0
     assert other.turned_away
