--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -32,7 +32,7 @@
 
 LOG = PartLogger("callers")
 
-READ_SIZE = 65_536
+READ_BYTES = 65_536
 WRITE_TIMEOUT_S = 10.0
 LINGER_S = 1.0
 # Of the idle timeout: a request that a caller sends until then still arrives before the close.
@@ -253,7 +253,7 @@
             limit_s = self._read_limit_s()
             self._socket.settimeout(limit_s)
             try:
-                data = self._socket.recv(READ_SIZE)
+                data = self._socket.recv(READ_BYTES)
             except TimeoutError as error:
                 if self._incoming is None:
                     return None  # idle for as long as is allowed
@@ -322,7 +322,7 @@
         self._lingering = True
         with suppress(OSError), gevent.Timeout(LINGER_S, False):
             self._socket.shutdown(stdlib_socket.SHUT_WR)
-            while self._socket.recv(READ_SIZE):
+            while self._socket.recv(READ_BYTES):
                 pass
 
     def close_if_idle(self, idle_s: float) -> None:
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -23,7 +23,7 @@
 # A rate limit that an answer to this node announced is repeated in its reports for this time,
 # since reports may be lost.
 OWN_LIMIT_MS = 1000.0
-MOST_LIMITS = 64  # servers whose rate limits one message holds
+MAX_LIMITS = 64  # servers whose rate limits one message holds
 SLOW_MOVE_MS = 400.0  # a move that takes longer waits until a lease expires
 
 
@@ -165,13 +165,13 @@
             if now_ms - announced_ms < OWN_LIMIT_MS
         }
         latest = sorted(self._own_limits_ms, key=self._own_limits_ms.__getitem__)
-        return self.rate_limits_of(latest[-MOST_LIMITS:])
+        return self.rate_limits_of(latest[-MAX_LIMITS:])
 
     def next_rate_limits(self) -> ReportedLimits:
         """Return the rate limits to relay next; all get their turn, since messages are short."""
         known = sorted(self.servers.notices.limits)
         after = [name for name in known if name > self._last_relayed_limit]
-        chosen = [*after, *known][: min(MOST_LIMITS, len(known))]
+        chosen = [*after, *known][: min(MAX_LIMITS, len(known))]
         self._last_relayed_limit = chosen[-1] if chosen else ""
         return self.rate_limits_of(chosen)
 
--- a/ploverhatch/gateway/peer_link.py
+++ b/ploverhatch/gateway/peer_link.py
@@ -39,7 +39,7 @@
 REPORT_S = 0.3
 FIRST_REPORT_S = 0.1  # interval of checks for a first leader to report to
 MAX_KEYS = 400  # in one report, for each service
-MAX_DATAGRAM = 8192  # bytes
+MAX_DATAGRAM_BYTES = 8192
 PEER_EXPIRY_MS = 3000.0  # a node that reported within this time is sent changes
 MEMBERS_EVERY = 4  # every fourth beacon also goes to nodes that do not report
 
@@ -177,7 +177,7 @@
     def _datagrams(self, message: RelayedUpdate | Beacon) -> list[bytes]:
         """Return the datagrams of a message; a long one is compressed and divided."""
         data = msgspec.msgpack.encode(message)
-        if len(data) <= MAX_DATAGRAM:
+        if len(data) <= MAX_DATAGRAM_BYTES:
             return [data]
         self._divided += 1
         return [msgspec.msgpack.encode(part) for part in packing.divide(self._divided, data)]
@@ -197,7 +197,7 @@
                 self._send(data, address)
 
     def _send(self, data: bytes, to: Address) -> None:
-        if len(data) <= MAX_DATAGRAM:
+        if len(data) <= MAX_DATAGRAM_BYTES:
             with suppress(OSError):
                 self._socket.sendto(data, tuple(to))
 
@@ -205,7 +205,7 @@
         """Receive messages of other nodes and pass them to their handlers."""
         while True:
             try:
-                data, peer = self._socket.recvfrom(MAX_DATAGRAM)
+                data, peer = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
                 message = self._decode(data, peer)
             except (OSError, ValueError, RecursionError) as error:  # RecursionError: nested deeply
                 LOG.warning("Datagram not received, or malformed.", cause=error)
--- a/ploverhatch/gateway/relay.py
+++ b/ploverhatch/gateway/relay.py
@@ -32,8 +32,8 @@
 LEADER_WAIT_S = 0.5  # longest wait at the start for a known leader
 LONG_WAIT_S = 2.0  # shorter than key maps are trusted, and finds dead connections
 PROOF_WAIT_FRACTION = 0.65  # of the longest age at which the leader's view may be used
-OVERTAKEN_S = 0.05  # a beacon may arrive before the changes that it covers
-MAX_CHANGES = 200_000  # bytes of changes in one message; nodes ask for longer ones
+REORDERING_S = 0.05  # a beacon may arrive before the changes that it covers
+MAX_CHANGES_BYTES = 200_000  # in one message; nodes ask the leader for longer ones
 
 
 class Relay:
@@ -77,8 +77,8 @@
     def watch_wait_s(self, kind: str) -> float:
         """Return how long a watch waits at the store.
 
-        A leader's watches wait shorter, since each answer proves that its view is current. Its
-        watch of key maps does not, since it writes them itself.
+        A leader's watches wait shorter, since each answer proves that its view is current. The
+        watch of key maps is an exception, since the leader writes them itself.
         """
         if not self._leading or kind == kinds.KEYMAPS:
             return LONG_WAIT_S
@@ -114,7 +114,7 @@
             if self.covered_until_ms(task.kind, task.cursor) < now_ms
         ]
         if behind:
-            gevent.spawn_later(OVERTAKEN_S, _nudge, behind)
+            gevent.spawn_later(REORDERING_S, _wake_all, behind)
 
     def _note_keymaps(self) -> None:
         """Trust the key maps for as long as if the store itself had answered.
@@ -125,7 +125,7 @@
         current_ms = coverage.current_ms(self._coverage, kinds.KEYMAPS, task.cursor)
         self._directory.note_keymaps(current_ms)
 
-    # ---- whole kinds --------------------------------------------------------------------
+    # ---- snapshots of a kind -------------------------------------------------------------
 
     def await_leader(self) -> None:
         """Wait for a limited time until the leader is known."""
@@ -217,7 +217,9 @@
     ) -> None:
         self._sent_through[kind] = max(through_revision, self._sent_through.get(kind, -1))
         sized = [(change, len(msgspec.msgpack.encode(change))) for change in changes]
-        for update in publisher.split_changes(kind, base, through_revision, sized, MAX_CHANGES):
+        for update in publisher.split_changes(
+            kind, base, through_revision, sized, MAX_CHANGES_BYTES
+        ):
             self._send(update)
 
     def publish_promoted(self, service: str, revision: int, tokens: Collection[int]) -> None:
@@ -292,9 +294,9 @@
         self._sent_through.clear()
         self._packed.clear()
         self._keymaps.begin_term()
-        _nudge(list(self._tasks.values()))
+        _wake_all(list(self._tasks.values()))
 
 
-def _nudge(tasks: Sequence[FeedTask]) -> None:
+def _wake_all(tasks: Sequence[FeedTask]) -> None:
     for task in tasks:
         task.wake()
--- a/tests/functional/test_dropped_history.py
+++ b/tests/functional/test_dropped_history.py
@@ -5,7 +5,7 @@
 from tests.standin.site import StandinSite
 
 MEASURED_S = 2.0
-MOST_LISTINGS = 15 * MEASURED_S  # 15 a second, of one kind and by one node
+MAX_LISTINGS = 15 * MEASURED_S  # 15 a second, of one kind and by one node
 
 
 # Nodes whose watches were answered repeatedly with dropped history listed the kind 60 times a
@@ -25,6 +25,6 @@
         gevent.sleep(MEASURED_S)
         calls = site.store.calls[before:]
         listings = [call for call in calls if call[1] == "config" and "watch" not in call[3]]
-        assert 0 < len(listings) <= MOST_LISTINGS
+        assert 0 < len(listings) <= MAX_LISTINGS
     finally:
         site.close()
