--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -1,9 +1,10 @@
-"""Slots of servers that all nodes share: this node's requests, and the queues it keeps.
+"""Server slots that all nodes share: this node's slot requests, and the queues that it keeps.
 
-A request asks its group's dispatcher, which may be this node, by a datagram, and
-goes straight to the server whose slot it was given. Decisions are in
-:mod:`ploverhatch.admission`. Where no dispatcher answers in time, the node goes
-on with its own limits: nothing is promised that depends on an answer.
+Servers form groups, and one node at a time, the dispatcher, grants the slots of a group. A
+request asks its group's dispatcher, which may be this node, by a datagram, and then goes
+straight to the server whose slot was granted. The decisions are made in
+:mod:`ploverhatch.admission`. If no dispatcher answers in time, the node goes on with its own
+limits, because no guarantee depends on an answer.
 """
 
 import itertools
@@ -44,33 +45,40 @@
 
 LOG = PartLogger("slots")
 
-REPLY_TIMEOUT_S = 0.025  # a dispatcher is asked again after it, and twice before it is passed over
+# A dispatcher is sent a request MAX_TRIES times, with this time-out, before it is skipped.
+REPLY_TIMEOUT_S = 0.025
 MAX_TRIES = 2
-ASKED_NODES = 4  # where the first ones are about to stop, as in a restart of all in turn
-SILENT_NODES = 2  # of these, that give no answer: each one costs the time of two answers
-LEARN_MS = 25.0  # a new dispatcher asks all nodes for the slots they hold, and waits so long
-LONGEST_LEARN_MS = 500.0  # ... where the process stands still meanwhile
-MOST_HELD = 200  # slots that one message tells
-CEDED_MS = 250.0  # until all nodes ask the one that a group was left to
-RELEARN_MS = 1000.0  # between these questions
-ELSEWHERE_MS = 10_000.0  # slots are held for less: who gave some before then says nothing
-LATE_S = 0.02  # the way of an answer to one that waits
-# Of the time that a request waits, spent in its own zone where other zones have servers.
+# In a rolling restart, the first dispatchers that are asked may all be about to stop.
+MAX_NODES_ASKED = 4
+# Each node that doesn't answer costs the request MAX_TRIES time-outs.
+MAX_UNRESPONSIVE_NODES = 2
+# A new dispatcher asks all nodes for the slots in use, and waits so long for their replies.
+LEARN_MS = 25.0
+MAX_LEARN_MS = 500.0  # The bound on that wait if the process is suspended meanwhile.
+MAX_HELD_SLOTS = 200  # The number of slots in one reply.
+# All nodes ask the dispatcher to which a group was ceded after this time at the latest.
+CEDED_MS = 250.0
+RELEARN_MS = 1000.0  # The least time between two queries for the slots in use of one group.
+# Slots are held for less, so none is left of a dispatcher that granted its last one before.
+OTHER_DISPATCHER_MS = 10_000.0
+REPLY_MARGIN_S = 0.02  # The time that a reply takes to reach a node that waits for a slot.
+# The share of a request's wait that is spent on its own zone if other zones have servers.
 OWN_ZONE_WAIT_FRACTION = 0.3
-REFRESH_MS = 100.0  # how old the members of a group may be at its dispatcher
-FORGET_MS = 20_000.0  # a queue that nobody asked for so long is forgotten
-DISCOVERY_MS = 6000.0  # from the start of a node until all others know it
-STANDBY_SHARE = 0.5  # of a limit: enforced by a node that is not surely the only one
-BY_ASKER = "a-request"  # who told of a limit, in the log
-TICK_S = 0.025  # between looks for slots whose time is over
+REFRESH_MS = 100.0  # The greatest age of a dispatcher's list of a group's servers.
+IDLE_QUEUE_MS = 20_000.0  # A queue without requests for so long is dropped.
+DISCOVERY_MS = 6000.0  # All other nodes know a node this long after its start.
+# The share of a rate limit that a node grants while another node may grant slots beside it.
+STANDBY_SHARE = 0.5
+LIMIT_SOURCE = "a-request"  # The source of a rate limit in the log.
+TICK_S = 0.025  # The interval of checks for expired slots.
 NO_INFORMATION_MS = 0.0
 
 
 class TurnedAwayError(Exception):
     """No slot can be expected in time.
 
-    :param after_ms: when one can be expected.
-    :param dispatcher: the node that said so.
+    :param after_ms: milliseconds until a slot can be expected.
+    :param dispatcher: address of the node that rejected the request.
     """
 
     def __init__(self, after_ms: float, dispatcher: str = "") -> None:
@@ -81,12 +89,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRequirements:
-    """What a request needs; times are milliseconds from now.
-
-    With a slot within ``useful_ms`` its answer is in time; within ``wait_ms`` it is
-    of use at least. ``holder`` is the server that must run it, ``None`` where any of
-    the service may; ``avoid`` one that failed the request before. ``regions`` are those
-    whose servers may run it; empty for all. ``barred`` are servers that this node may not use.
+    """The slot that a request needs; times are milliseconds from now.
+
+    :param useful_ms: time within which a granted slot still meets the objective.
+    :param wait_ms: time within which a granted slot is still of use.
+    :param hold_ms: the longest time for which the request needs the slot.
+    :param holder: the server that must run the request, or ``None`` if any of the service may.
+    :param avoid: id of a server that failed the request before; empty for none.
+    :param regions: the regions whose servers may run the request; empty for all.
+    :param excluded: ids of servers that this node may not use now.
     """
 
     service: str
@@ -97,10 +108,10 @@
     holder: ServerRecord | None = None
     avoid: str = ""
     regions: frozenset[str] = frozenset()
-    barred: tuple[str, ...] = ()
+    excluded: tuple[str, ...] = ()
 
-    def after(self, spent_ms: float) -> "SlotRequirements":
-        """Return what is left of the wish after a time."""
+    def remaining_after(self, spent_ms: float) -> "SlotRequirements":
+        """Return the requirements with all times reduced by the time spent."""
         return replace(
             self,
             useful_ms=max(0.0, self.useful_ms - spent_ms),
@@ -111,7 +122,10 @@
 
 @dataclass(slots=True)
 class SharedSlot:
-    """A slot that was given; the fields that say how it went are set before it goes back."""
+    """A granted slot.
+
+    The holder sets ``took_ms``, ``failed`` and ``unanswered`` before the slot is released.
+    """
 
     server_id: str = ""
     dispatcher: str = ""
@@ -121,59 +135,60 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """A slot that a request of this node has."""
+class _HeldSlot:
+    """A slot that a request of this node holds."""
 
     name: GroupName
     server_id: str
     until_ms: float
-    keepers: set[Address]  # dispatchers that count it
+    dispatchers: set[Address]  # The nodes that count the slot as in use.
 
 
-class _Pending:
-    """A request that waits for its dispatcher's word."""
+class _PendingRequest:
+    """A slot request that waits for its dispatcher's reply."""
 
     def __init__(self) -> None:
-        self.asked: Address = ("", 0)  # the node whose word is waited for
-        self.word: SlotReply | None = None
+        self.asked: Address = ("", 0)  # The node that was asked last.
+        self.reply: SlotReply | None = None
         self._changed = Event()
 
-    def take(self, word: SlotReply) -> None:
-        """Take a word; a repeated place in the queue tells nothing new."""
-        if self.word is None or not word.queued:
-            self.word = word
+    def accept(self, reply: SlotReply) -> None:
+        """Accept a reply, unless it only repeats that the request is queued."""
+        if self.reply is None or not reply.queued:
+            self.reply = reply
             self._changed.set()
 
     def wait(self, timeout_s: float) -> bool:
-        """Wait for a word that was not waited for before; false when there is none."""
-        came = self._changed.wait(max(timeout_s, 0.0))
-        if not came:
-            # Where the process stood still, the timer goes off before the word is read that
-            # has long come: without a look at it a sound dispatcher is passed over for 1 s.
+        """Wait for a new reply; return whether one came in time."""
+        changed = self._changed.wait(max(timeout_s, 0.0))
+        if not changed:
+            # After a suspension of the process the timer fires before a reply that has already
+            # arrived is read. Without this check a working dispatcher is skipped for 1 s.
             gevent.sleep(0)
-            came = self._changed.is_set()
+            changed = self._changed.is_set()
         self._changed.clear()
-        return bool(came)
+        return bool(changed)
 
 
 @dataclass(slots=True)
-class _Kept:
-    """A queue that this node keeps."""
+class _Queue:
+    """The queue of a group whose dispatcher this node is."""
 
     group: Group
-    refreshed_ms: float = -1e12  # when its members were last looked up
+    refreshed_ms: float = -1e12  # When the group's servers were last looked up.
     used_ms: float = 0.0
-    asked_ms: float = -1e12  # when the nodes were asked what they hold
-    awaited: set[Address] = field(default_factory=set)  # nodes that have not said it yet
+    asked_ms: float = -1e12  # When the nodes were asked for slots in use.
+    awaited: set[Address] = field(default_factory=set)  # Nodes that haven't replied yet.
 
 
 class SharedSlots:
-    """One node's part.
+    """Requests and grants shared slots on behalf of one node.
 
-    :param zone: of this node.
-    :param members: zones of all nodes by address.
+    :param zone: the zone of this node.
+    :param members: returns the zones of all nodes by address.
     :param send: sends a message to a node.
-    :param own: address of this node; where it is not given, the node counts as the first.
+    :param own: address of this node. Without it, the node counts as the first in rank for each
+        group.
     """
 
     def __init__(
@@ -185,52 +200,54 @@
         own: str = "",
     ) -> None:
         self._zone = zone
-        self._own = own
+        self._own_address = own
         self._started_ms = elapsed_ms()
         self._directory = directory
         self._members = members
         self._send = send
         self._numbers = itertools.count(random.getrandbits(32))
-        self._pending: dict[int, _Pending] = {}
-        self._held: dict[int, _Held] = {}
-        self._ceded_ms: dict[GroupName, float] = {}  # groups left to a node that is back
-        self._served_by: dict[GroupName, tuple[str, float]] = {}  # dispatcher, and when
+        self._pending: dict[int, _PendingRequest] = {}
+        self._held: dict[int, _HeldSlot] = {}
+        self._ceded_ms: dict[GroupName, float] = {}  # When a group was ceded.
+        self._served_by: dict[GroupName, tuple[str, float]] = {}  # Dispatcher, and when.
         self._choice = DispatcherChoice()
-        self._kept: dict[GroupName, _Kept] = {}
-        self._rates: dict[str, RequestRate] = {}  # by server, of all queues that are kept
+        self._queues: dict[GroupName, _Queue] = {}
+        self._rates: dict[str, RequestRate] = {}  # By server, over all queues.
         self._handlers: dict[type, Callable[..., None]] = {
-            SlotRequestMessage: self._take_ask,
-            SlotReply: self._take_word,
-            SlotRelease: self._take_return,
-            HeldSlotsRequest: self._take_held_ask,
-            HeldSlotsReply: self._take_held_word,
+            SlotRequestMessage: self._handle_request,
+            SlotReply: self._handle_reply,
+            SlotRelease: self._handle_release,
+            HeldSlotsRequest: self._handle_held_request,
+            HeldSlotsReply: self._handle_held_reply,
         }
-        self.leaving = False  # this node is about to stop: others keep the queues
+        self.leaving = False  # Set once this node is about to stop and grants nothing more.
 
     @property
     def in_use(self) -> int:
-        """Slots given by this node's queues."""
-        return sum(kept.group.in_use for kept in self._kept.values())
+        """The number of slots that this node granted and that are in use."""
+        return sum(queue.group.in_use for queue in self._queues.values())
 
     @property
     def waiting(self) -> int:
-        """Requests that wait in this node's queues."""
-        return sum(kept.group.waiting for kept in self._kept.values())
+        """The number of requests that wait in this node's queues."""
+        return sum(queue.group.waiting for queue in self._queues.values())
 
     # ---- for requests of this node ------------------------------------------------------
 
     @contextmanager
-    def hold(self, wish: SlotRequirements) -> Iterator[SharedSlot | None]:
-        """Hold a slot, or ``None`` where no dispatcher tells.
+    def hold(self, requirements: SlotRequirements) -> Iterator[SharedSlot | None]:
+        """Hold a slot; yields ``None`` if no dispatcher answers.
 
-        :raises TurnedAwayError: when none can be expected in time.
+        :raises TurnedAwayError: when no slot can be expected in time.
         """
         start_ms = elapsed_ms()
         turned_away: TurnedAwayError | None = None
-        for name, part in self._groups(wish):
-            left = wish.after(elapsed_ms() - start_ms)
+        for name, fraction in self._groups(requirements):
+            left = requirements.remaining_after(elapsed_ms() - start_ms)
             try:
-                with self._hold_in(name, left, min(wish.wait_ms * part, left.wait_ms)) as slot:
+                with self._hold_in(
+                    name, left, min(requirements.wait_ms * fraction, left.wait_ms)
+                ) as slot:
                     yield slot
                     return
             except TurnedAwayError as error:
@@ -239,15 +256,19 @@
             raise turned_away
         yield None
 
-    def _groups(self, wish: SlotRequirements) -> list[tuple[GroupName, float]]:
-        """Return the groups to ask, and the part of the time to wait there."""
-        if wish.holder is not None:
-            name = GroupName(wish.service, wish.holder.zone, wish.holder.server_id)
+    def _groups(self, requirements: SlotRequirements) -> list[tuple[GroupName, float]]:
+        """Return the groups to ask, each with the share of the wait to spend there."""
+        if requirements.holder is not None:
+            name = GroupName(
+                requirements.service, requirements.holder.zone, requirements.holder.server_id
+            )
             return [(name, 1.0)]
-        sizes = groups.groups_of(self._directory.servers.of_service(wish.service), wish.regions)
-        near = [name for name in sizes if name.zone in {"", self._zone}]
-        others = [name for name in sizes if name not in near]
-        found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in near]
+        sizes = groups.groups_of(
+            self._directory.servers.of_service(requirements.service), requirements.regions
+        )
+        own_zone = [name for name in sizes if name.zone in {"", self._zone}]
+        others = [name for name in sizes if name not in own_zone]
+        found = [(name, OWN_ZONE_WAIT_FRACTION if others else 1.0) for name in own_zone]
         if others:
             weights = [sizes[name] for name in others]
             found.append((random.choices(others, weights)[0], 1.0))
@@ -255,72 +276,79 @@
 
     @contextmanager
     def _hold_in(
-        self, name: GroupName, wish: SlotRequirements, wait_ms: float
+        self, name: GroupName, requirements: SlotRequirements, wait_ms: float
     ) -> Iterator[SharedSlot | None]:
         number = next(self._numbers)
         slot = SharedSlot()
         asked: list[str] = []
-        self._pending[number] = _Pending()
+        self._pending[number] = _PendingRequest()
         try:
-            word = self._await_word(number, name, wish, wait_ms, asked)
-            if word is not None and word.server:
-                slot.server_id, slot.dispatcher = word.server, asked[-1]
-                self._note_given(number, name, slot, wish.hold_ms)
-            elif word is not None and word.retry_after_ms > 0:
-                raise TurnedAwayError(word.retry_after_ms, asked[-1])
+            reply = self._await_reply(number, name, requirements, wait_ms, asked)
+            if reply is not None and reply.server:
+                slot.server_id, slot.dispatcher = reply.server, asked[-1]
+                self._note_granted(number, name, slot, requirements.hold_ms)
+            elif reply is not None and reply.retry_after_ms > 0:
+                raise TurnedAwayError(reply.retry_after_ms, asked[-1])
             yield slot if slot.server_id else None
         finally:
             del self._pending[number]
-            self._give_back(number, name, slot, asked)
+            self._release(number, name, slot, asked)
 
-    def _await_word(
-        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: list[str]
+    def _await_reply(
+        self,
+        number: int,
+        name: GroupName,
+        requirements: SlotRequirements,
+        wait_ms: float,
+        asked: list[str],
     ) -> SlotReply | None:
-        """Return a dispatcher's last word, asking the next one where one stops or is silent.
+        """Return a dispatcher's final reply; ask the next node if one stops or doesn't answer.
 
-        :param asked: takes the nodes that may have given a slot; the last one gave the word.
+        :param asked: receives the nodes that may have granted a slot; the reply is the last one's.
         """
-        pending, start_ms, silent = self._pending[number], elapsed_ms(), 0
-        for _ in range(ASKED_NODES):
+        pending, start_ms, unresponsive = self._pending[number], elapsed_ms(), 0
+        for _ in range(MAX_NODES_ASKED):
             spent_ms = elapsed_ms() - start_ms
             node = self._choice.choose(name, self._members(), elapsed_ms())
-            if not node or (silent and (spent_ms >= wait_ms or self._is_in_doubt(name, node))):
+            if not node or (
+                unresponsive and (spent_ms >= wait_ms or self._limits_unenforced(name, node))
+            ):
                 return None
-            left = wish.after(spent_ms)
+            left = requirements.remaining_after(spent_ms)
             if not self._enforces_limits(name, node):
-                left = self._without_limited(name, left)
+                left = self._excluding_limited(name, left)
             asked.append(node)
-            ask = self._ask_for(number, name, left, max(0.0, wait_ms - spent_ms), node)
-            word = self._ask(ask, pending, node)
-            if word is not None and word.queued:
-                word = self._await_turn(pending, word, ask.wait_ms)
-            if word is not None and not word.leaving:
-                return word
-            silent += word is None
-            if silent >= SILENT_NODES:
+            message = self._request_message(number, name, left, max(0.0, wait_ms - spent_ms), node)
+            reply = self._send_request(message, pending, node)
+            if reply is not None and reply.queued:
+                reply = self._await_slot(pending, reply, message.wait_ms)
+            if reply is not None and not reply.leaving:
+                return reply
+            unresponsive += reply is None
+            if unresponsive >= MAX_UNRESPONSIVE_NODES:
                 return None
-            if word is not None:
+            if reply is not None:
                 self._choice.note_stopping(node, elapsed_ms())
-                pending.word = None
+                pending.reply = None
         return None
 
-    def _is_in_doubt(self, name: GroupName, node: str) -> bool:
-        """Whether a node enforces no limits of a group that has some."""
-        return bool(self._limited(name)) and not self._enforces_limits(name, node)
+    def _limits_unenforced(self, name: GroupName, node: str) -> bool:
+        """Whether a group has rate limits that a node doesn't enforce."""
+        return bool(self._limited_servers(name)) and not self._enforces_limits(name, node)
 
-    def _note_given(self, number: int, name: GroupName, slot: SharedSlot, hold_ms: float) -> None:
+    def _note_granted(self, number: int, name: GroupName, slot: SharedSlot, hold_ms: float) -> None:
         now_ms = elapsed_ms()
-        keepers: set[Address] = {HostPort.parse(slot.dispatcher)}
-        self._held[number] = _Held(name, slot.server_id, now_ms + hold_ms, keepers)
+        dispatchers: set[Address] = {HostPort.parse(slot.dispatcher)}
+        self._held[number] = _HeldSlot(name, slot.server_id, now_ms + hold_ms, dispatchers)
         self._served_by[name] = slot.dispatcher, now_ms
 
-    def _give_back(
+    def _release(
         self, number: int, name: GroupName, slot: SharedSlot, asked: Sequence[str]
     ) -> None:
-        """Return a slot, or a place in the queue, to all dispatchers that may count it."""
+        """Release a slot, or a place in the queue, at all dispatchers that may count it."""
         held = self._held.pop(number, None)
-        keepers: set[Address] = {HostPort.parse(node) for node in asked}
-        back = SlotRelease(
+        dispatchers: set[Address] = {HostPort.parse(node) for node in asked}
+        message = SlotRelease(
             number,
             name.service,
             name.zone,
@@ -331,11 +359,16 @@
             name.regions,
             self._directory.rate_limits_of([slot.server_id]),
         )
-        for keeper in keepers | (held.keepers if held else set()):
-            self._send(back, keeper)
+        for address in dispatchers | (held.dispatchers if held else set()):
+            self._send(message, address)
 
-    def _ask_for(
-        self, number: int, name: GroupName, wish: SlotRequirements, wait_ms: float, asked: str
+    def _request_message(
+        self,
+        number: int,
+        name: GroupName,
+        requirements: SlotRequirements,
+        wait_ms: float,
+        asked: str,
     ) -> SlotRequestMessage:
         return SlotRequestMessage(
             number,
@@ -343,26 +376,26 @@
             name.zone,
             name.holder,
             self._zone,
-            wish.priority,
-            min(wish.useful_ms, wait_ms),
+            requirements.priority,
+            min(requirements.useful_ms, wait_ms),
             wait_ms,
-            wish.hold_ms,
-            wish.avoid,
+            requirements.hold_ms,
+            requirements.avoid,
             name.regions,
-            wish.barred,
-            self._directory.rate_limits_of(self._limited(name)),
-            self._had_others(name, asked),
+            requirements.excluded,
+            self._directory.rate_limits_of(self._limited_servers(name)),
+            self._may_have_other_dispatcher(name, asked),
         )
 
-    def _had_others(self, name: GroupName, asked: str) -> bool:
-        """Whether another node than the one that is asked may have given slots lately."""
+    def _may_have_other_dispatcher(self, name: GroupName, asked: str) -> bool:
+        """Whether a node other than the one asked may have granted slots of a group recently."""
         node, at_ms = self._served_by.get(name, ("", 0.0))
-        if node and elapsed_ms() - at_ms < ELSEWHERE_MS:
+        if node and elapsed_ms() - at_ms < OTHER_DISPATCHER_MS:
             return node != asked
         return asked != groups.dispatcher_of(name, self._members(), ())
 
-    def _limited(self, name: GroupName) -> list[str]:
-        """Return the servers of a group that named a limit."""
+    def _limited_servers(self, name: GroupName) -> list[str]:
+        """Return the servers of a group that announced a rate limit."""
         limits = self._directory.servers.notices.limits
         if not limits:
             return []
@@ -370,147 +403,164 @@
         members = groups.members_of(name, records)
         return [record.server_id for record in members if record.server_id in limits]
 
-    def _without_limited(self, name: GroupName, wish: SlotRequirements) -> SlotRequirements:
-        """Return a wish that bars rate-limited servers, for a node that enforces no limits.
+    def _excluding_limited(
+        self, name: GroupName, requirements: SlotRequirements
+    ) -> SlotRequirements:
+        """Return requirements that exclude rate-limited servers.
+
+        They are for a dispatcher that enforces no limits.
 
-        :raises TurnedAwayError: when it is for a holder that names one.
+        :raises TurnedAwayError: when the request is for a holder that has a rate limit.
         """
-        named = self._directory.servers.notices.limit_per_s
-        limited = [server_id for server_id in self._limited(name) if server_id in named]
-        if limited and wish.holder is not None:
+        limit_per_s = self._directory.servers.notices.limit_per_s
+        limited = [
+            server_id for server_id in self._limited_servers(name) if server_id in limit_per_s
+        ]
+        if limited and requirements.holder is not None:
             raise TurnedAwayError(UNREACHABLE_MS)
-        return replace(wish, barred=tuple(sorted({*wish.barred, *limited})))
+        return replace(requirements, excluded=tuple(sorted({*requirements.excluded, *limited})))
 
-    def _ask(self, ask: SlotRequestMessage, pending: _Pending, node: str) -> SlotReply | None:
-        """Return a dispatcher's answer; ``None`` when there is none in time."""
+    def _send_request(
+        self, message: SlotRequestMessage, pending: _PendingRequest, node: str
+    ) -> SlotReply | None:
+        """Send a slot request; return the reply, or ``None`` if none comes in time."""
         address = pending.asked = HostPort.parse(node)
         for _ in range(MAX_TRIES):
-            self._send(ask, address)
+            self._send(message, address)
             if pending.wait(REPLY_TIMEOUT_S):
-                return pending.word
+                return pending.reply
         if self._choice.note_no_answer(node, elapsed_ms()):
             LOG.info(
-                "Dispatcher does not answer.", node=node, service=ask.service, zone=ask.group_zone
+                "Dispatcher does not answer.",
+                node=node,
+                service=message.service,
+                zone=message.group_zone,
             )
         return None
 
-    def _await_turn(self, pending: _Pending, word: SlotReply, wait_ms: float) -> SlotReply:
-        """Wait for the slot of a request that has a place in the queue."""
-        if pending.word is word:
-            pending.wait(wait_ms / 1000 + LATE_S)
-        if pending.word is None or pending.word is word:
-            return SlotReply(word.number, retry_after_ms=wait_ms)
-        return pending.word
+    def _await_slot(self, pending: _PendingRequest, reply: SlotReply, wait_ms: float) -> SlotReply:
+        """Wait for the final reply to a request that is queued."""
+        if pending.reply is reply:
+            pending.wait(wait_ms / 1000 + REPLY_MARGIN_S)
+        if pending.reply is None or pending.reply is reply:
+            return SlotReply(reply.number, retry_after_ms=wait_ms)
+        return pending.reply
 
     # ---- messages -----------------------------------------------------------------------
 
     def handle_message(self, message: SlotMessage, peer: Address) -> None:
-        """Take a message of another node, or of this one."""
+        """Handle a message of another node, or of this one."""
         self._handlers[type(message)](message, peer)
 
-    def _take_word(self, word: SlotReply, peer: Address) -> None:
-        if not word.leaving:
+    def _handle_reply(self, reply: SlotReply, peer: Address) -> None:
+        if not reply.leaving:
             self._choice.note_answer(f"{peer[0]}:{peer[1]}")
-        pending = self._pending.get(word.number)
+        pending = self._pending.get(reply.number)
         if pending is None:
-            return  # the request is over, and gave everything back
-        if word.leaving and peer != pending.asked:
-            return  # a repeated answer of a node that was passed over
-        pending.take(word)
+            return  # The request has finished and has released everything.
+        if reply.leaving and peer != pending.asked:
+            return  # A repeated reply of a node that was skipped.
+        pending.accept(reply)
 
-    def _take_ask(self, ask: SlotRequestMessage, peer: Address) -> None:
-        name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
+    def _handle_request(self, message: SlotRequestMessage, peer: Address) -> None:
+        name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         ceded_ms = self._ceded_ms.get(name, -1e12)
         if self.leaving or elapsed_ms() - ceded_ms < CEDED_MS:
-            self._send(SlotReply(ask.number, leaving=True), peer)
+            self._send(SlotReply(message.number, leaving=True), peer)
             return
-        self._directory.note_rate_limits(ask.limits, BY_ASKER)
+        self._directory.note_rate_limits(message.limits, LIMIT_SOURCE)
         now_ms = elapsed_ms()
-        is_new = name not in self._kept
-        kept = self._kept.setdefault(name, _Kept(Group(rates=self._rates)))
-        kept.used_ms = now_ms
-        if is_new or (ask.served_elsewhere and now_ms - kept.asked_ms >= RELEARN_MS):
-            self._learn_held(name, kept, now_ms)
-        if now_ms - kept.refreshed_ms > REFRESH_MS:
+        is_new = name not in self._queues
+        queue = self._queues.setdefault(name, _Queue(Group(rates=self._rates)))
+        queue.used_ms = now_ms
+        if is_new or (message.served_elsewhere and now_ms - queue.asked_ms >= RELEARN_MS):
+            self._query_held_slots(name, queue, now_ms)
+        if now_ms - queue.refreshed_ms > REFRESH_MS:
             servers = self._directory.servers
             bounds = self._bounds(name)
-            records = groups.members_of(name, servers.of_service(ask.service))
-            kept.group.set_members(records, now_ms, bounds)
-            kept.refreshed_ms = now_ms
-        wish = SlotRequest(
-            Requester(peer, ask.number),
-            ask.priority,
-            now_ms + ask.useful_ms,
-            now_ms + ask.wait_ms,
-            ask.lease_ms,
-            ask.avoid,
-            ask.zone,
-            frozenset(ask.excluded),
+            records = groups.members_of(name, servers.of_service(message.service))
+            queue.group.set_members(records, now_ms, bounds)
+            queue.refreshed_ms = now_ms
+        request = SlotRequest(
+            Requester(peer, message.number),
+            message.priority,
+            now_ms + message.useful_ms,
+            now_ms + message.wait_ms,
+            message.lease_ms,
+            message.avoid,
+            message.zone,
+            frozenset(message.excluded),
         )
-        self._answer(kept.group.request_slot(wish, now_ms))
+        self._send_results(queue.group.request_slot(request, now_ms))
 
-    def _learn_held(self, name: GroupName, kept: _Kept, now_ms: float) -> None:
-        """Ask all nodes which slots they hold: another dispatcher may have given them."""
-        kept.asked_ms = now_ms
-        kept.awaited = {HostPort.parse(member) for member in self._members()}
-        if not kept.awaited:
+    def _query_held_slots(self, name: GroupName, queue: _Queue, now_ms: float) -> None:
+        """Ask all nodes which slots they hold, since another dispatcher may have granted some."""
+        queue.asked_ms = now_ms
+        queue.awaited = {HostPort.parse(member) for member in self._members()}
+        if not queue.awaited:
             return
-        kept.group.start_learning(now_ms + LONGEST_LEARN_MS)
-        ask = HeldSlotsRequest(name.service, name.zone, name.holder, name.regions)
-        for address in kept.awaited:
-            self._send(ask, address)
+        queue.group.start_learning(now_ms + MAX_LEARN_MS)
+        message = HeldSlotsRequest(name.service, name.zone, name.holder, name.regions)
+        for address in queue.awaited:
+            self._send(message, address)
 
-    def _take_held_ask(self, ask: HeldSlotsRequest, peer: Address) -> None:
-        name = GroupName(ask.service, ask.group_zone, ask.holder, ask.regions)
+    def _handle_held_request(self, message: HeldSlotsRequest, peer: Address) -> None:
+        name = GroupName(message.service, message.group_zone, message.holder, message.regions)
         now_ms = elapsed_ms()
-        self._make_way(name, f"{peer[0]}:{peer[1]}", now_ms)
-        told = []
+        self._cede(name, f"{peer[0]}:{peer[1]}", now_ms)
+        entries = []
         for number, held in self._held.items():
             if held.name == name:
-                held.keepers.add(peer)
-                told.append((number, held.server_id, held.until_ms - now_ms))
-        word = HeldSlotsReply(
-            ask.service, ask.group_zone, ask.holder, ask.regions, told[:MOST_HELD]
+                held.dispatchers.add(peer)
+                entries.append((number, held.server_id, held.until_ms - now_ms))
+        reply = HeldSlotsReply(
+            message.service,
+            message.group_zone,
+            message.holder,
+            message.regions,
+            entries[:MAX_HELD_SLOTS],
         )
-        self._send(word, peer)
+        self._send(reply, peer)
 
-    def _make_way(self, name: GroupName, keeper: str, now_ms: float) -> None:
-        """Leave a group to a node that keeps its queue again and ranks before this one.
+    def _cede(self, name: GroupName, other: str, now_ms: float) -> None:
+        """Cede a group to a node that keeps its queue again and ranks before this one.
 
-        Else both would give the same slots, each to the nodes that have it for the dispatcher.
+        Otherwise both nodes would grant the same slots, each to the nodes that regard it as the
+        dispatcher.
         """
-        self._choice.note_return(keeper)
+        self._choice.note_return(other)
         members = self._members()
-        both = {node: members[node] for node in (keeper, self._own) if node in members}
-        if len(both) < 2 or groups.dispatcher_of(name, both, ()) != keeper:
+        both = {node: members[node] for node in (other, self._own_address) if node in members}
+        if len(both) < 2 or groups.dispatcher_of(name, both, ()) != other:
             return
         self._ceded_ms[name] = now_ms
-        kept = self._kept.pop(name, None)
-        if kept is not None:
-            self._dismiss(kept)
-
-    def _take_held_word(self, word: HeldSlotsReply, peer: Address) -> None:
-        name = GroupName(word.service, word.group_zone, word.holder, word.regions)
-        kept = self._kept.get(name)
-        if kept is None or peer not in kept.awaited:
+        queue = self._queues.pop(name, None)
+        if queue is not None:
+            self._redirect(queue)
+
+    def _handle_held_reply(self, reply: HeldSlotsReply, peer: Address) -> None:
+        name = GroupName(reply.service, reply.group_zone, reply.holder, reply.regions)
+        queue = self._queues.get(name)
+        if queue is None or peer not in queue.awaited:
             return
         now_ms = elapsed_ms()
-        for number, server_id, left_ms in word.held:
-            kept.group.adopt(Requester(peer, number), server_id, left_ms, now_ms)
-        kept.awaited.discard(peer)
-        if not kept.awaited:
-            self._answer(kept.group.finish_learning(now_ms))
+        for number, server_id, left_ms in reply.held:
+            queue.group.adopt(Requester(peer, number), server_id, left_ms, now_ms)
+        queue.awaited.discard(peer)
+        if not queue.awaited:
+            self._send_results(queue.group.finish_learning(now_ms))
 
     def _bounds(self, name: GroupName) -> ServerBounds:
-        """Return what bounds the servers of a group whose queue this node keeps.
+        """Return the request rates that bound the servers of a group whose queue this node keeps.
 
-        A node that others rank before, and that can reach these, is asked by nodes that
-        can't; one that has just started is not known to all yet. Half of the rate, beside the
-        whole of it at the first node, is within the excess that servers tolerate.
+        A node that isn't first in rank is asked by nodes that can't reach the first one, and a
+        node that has just started isn't known to all others yet. So another node may grant the
+        full rate at the same time; half of the rate in addition is within the excess that servers
+        tolerate.
         """
         servers = self._directory.servers
         is_known = elapsed_ms() - self._started_ms >= DISCOVERY_MS
-        is_first = not self._own or self._enforces_limits(name, self._own)
+        is_first = not self._own_address or self._enforces_limits(name, self._own_address)
         share = 1.0 if is_known and is_first else STANDBY_SHARE
         return ServerBounds(
             servers.cold_until_ms,
@@ -522,68 +572,72 @@
     def _enforces_limits(self, name: GroupName, node: str) -> bool:
         return self._choice.enforces_limits(name, node, self._members(), elapsed_ms())
 
-    def _take_return(self, message: SlotRelease, peer: Address) -> None:
-        self._directory.note_rate_limits(message.limits, BY_ASKER)
+    def _handle_release(self, message: SlotRelease, peer: Address) -> None:
+        self._directory.note_rate_limits(message.limits, LIMIT_SOURCE)
         name = GroupName(message.service, message.group_zone, message.holder, message.regions)
-        kept = self._kept.get(name)
-        if kept is not None:
-            asker = Requester(peer, message.number)
-            took_ms, failed, silent = message.service_ms, message.failed, message.unanswered
-            self._answer(kept.group.release(asker, took_ms, failed, elapsed_ms(), silent))
+        queue = self._queues.get(name)
+        if queue is not None:
+            requester = Requester(peer, message.number)
+            took_ms, failed, unanswered = message.service_ms, message.failed, message.unanswered
+            self._send_results(
+                queue.group.release(requester, took_ms, failed, elapsed_ms(), unanswered)
+            )
 
-    def _answer(self, answers: list[SlotResult]) -> None:
-        for answer in answers:
-            self._send(_word(answer), answer.requester.node)
+    def _send_results(self, results: list[SlotResult]) -> None:
+        for result in results:
+            self._send(_reply(result), result.requester.node)
 
     def redirect_waiting(self) -> None:
-        """Send those who wait here to the nodes that keep the queues from now on.
+        """Redirect waiting requests to the nodes that keep the queues from now on.
 
-        These learn from all nodes which slots are in use.
+        Those nodes learn from all nodes which slots are in use.
         """
-        for kept in self._kept.values():
-            self._dismiss(kept)
+        for queue in self._queues.values():
+            self._redirect(queue)
 
-    def _dismiss(self, kept: _Kept) -> None:
-        for asker in kept.group.clear_queue():
-            self._send(SlotReply(asker.number, leaving=True), asker.node)
+    def _redirect(self, queue: _Queue) -> None:
+        for requester in queue.group.clear_queue():
+            self._send(SlotReply(requester.number, leaving=True), requester.node)
 
-    def _forget_old(self, now_ms: float) -> None:
+    def _expire_records(self, now_ms: float) -> None:
         ceded, served_by = self._ceded_ms, self._served_by
         for name in [known for known, at_ms in ceded.items() if now_ms - at_ms >= CEDED_MS]:
             del ceded[name]
-        for name in [known for known, row in served_by.items() if now_ms - row[1] >= ELSEWHERE_MS]:
+        for name in [
+            known for known, row in served_by.items() if now_ms - row[1] >= OTHER_DISPATCHER_MS
+        ]:
             del served_by[name]
 
-    def _forget_rates(self) -> None:
+    def _drop_unused_rates(self) -> None:
         known = self._directory.servers.records
         for server_id in [name for name in self._rates if name not in known]:
             del self._rates[server_id]
 
     def expire_forever(self) -> None:
-        """Take back slots whose time is over."""
+        """Reclaim expired slots, reject overdue requests and drop idle queues, forever."""
         while True:
             gevent.sleep(TICK_S)
-            gevent.sleep(0)  # what came while the process stood still is read first
+            gevent.sleep(0)  # Messages that arrived during a suspension are read first.
             now_ms = elapsed_ms()
-            self._forget_old(now_ms)
-            for name, kept in list(self._kept.items()):
-                if self.leaving or (kept.group.waiting and kept.group.grants_nothing(now_ms)):
-                    self._dismiss(kept)
-                if kept.group.is_learning and now_ms - kept.asked_ms >= LEARN_MS:
-                    self._answer(kept.group.finish_learning(now_ms))
-                if kept.group.waiting:
-                    self._answer(kept.group.expire(now_ms))
-                elif now_ms - kept.used_ms > FORGET_MS:
-                    del self._kept[name]
-                    self._forget_rates()
-
-
-def _word(answer: SlotResult) -> SlotReply:
-    number = answer.requester.number
-    if isinstance(answer, SlotGranted):
-        return SlotReply(number, answer.server_id)
-    if isinstance(answer, SlotQueued):
+            self._expire_records(now_ms)
+            for name, queue in list(self._queues.items()):
+                if self.leaving or (queue.group.waiting and queue.group.grants_nothing(now_ms)):
+                    self._redirect(queue)
+                if queue.group.is_learning and now_ms - queue.asked_ms >= LEARN_MS:
+                    self._send_results(queue.group.finish_learning(now_ms))
+                if queue.group.waiting:
+                    self._send_results(queue.group.expire(now_ms))
+                elif now_ms - queue.used_ms > IDLE_QUEUE_MS:
+                    del self._queues[name]
+                    self._drop_unused_rates()
+
+
+def _reply(result: SlotResult) -> SlotReply:
+    number = result.requester.number
+    if isinstance(result, SlotGranted):
+        return SlotReply(number, result.server_id)
+    if isinstance(result, SlotQueued):
         return SlotReply(number, queued=True)
     return SlotReply(
-        number, retry_after_ms=answer.retry_after_ms if isinstance(answer, SlotRejected) else 0.0
+        number, retry_after_ms=result.retry_after_ms if isinstance(result, SlotRejected) else 0.0
     )
