--- a/ploverhatch/gateway/feeds.py
+++ b/ploverhatch/gateway/feeds.py
@@ -40,7 +40,7 @@
 UNKNOWN_CONTENT = msgspec.Raw(msgspec.msgpack.encode(None))
 RELIST_INTERVAL_MS = 500.0  # a pause follows listings at shorter intervals
 FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0  # the leader waits half of it, since the other nodes depend on it
+MAX_PAUSE_S = 2.0  # the leader waits half of it, since the other nodes depend on it
 OUTAGE_PAUSE_S = 4.0  # while the elector asks the store whether it answers again
 
 
@@ -240,7 +240,7 @@
         the store answers, or when the leader can serve this node instead.
         """
         pause_s = self._pause_s / 2 if self._relay.leads else self._pause_s
-        self._pause_s = min(self._pause_s * 2, LONGEST_PAUSE_S)
+        self._pause_s = min(self._pause_s * 2, MAX_PAUSE_S)
         if self._relay.leads or not self._relay.store_unavailable:
             self._woken.wait(pause_s)
             return
