--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("chosen", [one, leader_and_dispatcher, all_but_one, whole_zone])
-def test_no_request_that_a_server_received_is_left_without_its_answer(standin, chosen):
+def test_no_request_that_a_server_got_is_left_without_its_answer(standin, chosen):
     load = serve_around_stop(standin, [Habit.ONCE, Habit.KEEPS], chosen)
     assert unanswered(standin, load) == []
     assert sum(sent.status == 200 for sent in load.requests) > 100
@@ -141,7 +141,7 @@
     assert sum(sent.status == 200 for sent in ended) > 100
 
 
-def test_pipelined_requests_are_answered_by_a_process_that_stops(standin):
+def test_requests_that_are_sent_at_once_are_answered_by_a_process_that_stops(standin):
     """The second one was dropped after the answer that closes the connection.
 
     It reached no server, but its caller can't know that.
@@ -191,7 +191,7 @@
     forwarder.end_overdue()
 
 
-def test_an_answer_that_is_being_sent_is_not_cut_by_the_end_of_requests(site):
+def test_an_answer_that_leaves_is_not_cut_by_what_ends_requests(site):
     """A task that was already sending its answer ended there, without a log line.
 
     The error that ends requests, at the end of a process or of a suspension, is thrown into
--- a/tests/functional/test_caller_server.py
+++ b/tests/functional/test_caller_server.py
@@ -157,7 +157,7 @@
         assert sock.recv(1) == b""
 
 
-def test_a_caller_that_disconnects_is_noticed_at_once(server, application):
+def test_a_caller_that_leaves_is_noticed_at_once(server, application):
     application.wait_s = 5.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -187,7 +187,7 @@
     assert application.gone == 0
 
 
-def test_a_caller_that_ended_its_sending_side_and_disconnects_is_noticed(server, application):
+def test_a_caller_that_ended_its_sending_side_and_leaves_is_noticed(server, application):
     application.wait_s = 5.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -224,7 +224,7 @@
         assert is_reset(sock)
 
 
-def test_bytes_of_a_next_request_are_not_a_disconnect(server, application):
+def test_bytes_of_a_next_request_are_not_a_departure(server, application):
     application.wait_s = 0.15
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
@@ -274,7 +274,7 @@
     assert application.requests == []
 
 
-def test_a_request_that_crosses_a_close_is_answered_as_not_run(server, application):
+def test_a_request_that_crosses_a_close_is_told_that_it_was_not_taken(server, application):
     """Its caller got a reset, and couldn't tell whether it had run.
 
     The request is sent before the caller has read the close.
@@ -291,7 +291,7 @@
     assert application.requests == []
 
 
-def test_an_idle_connection_that_is_closed_ends_soon(server):
+def test_a_connection_that_is_closed_at_rest_ends_soon(server):
     """The caller neither reads nor closes."""
     sock = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
@@ -301,7 +301,7 @@
     sock.close()
 
 
-def test_requests_during_a_planned_stop_are_counted(server):
+def test_what_comes_during_a_planned_stop_is_counted(server):
     """The first requests of connections and later ones are counted apart."""
     kept = socket.create_connection(("127.0.0.1", server.port))
     kept.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -328,7 +328,7 @@
     assert application.requests == []
 
 
-def test_connections_in_the_backlog_are_served_when_listening_ends(server):
+def test_connections_that_wait_to_be_taken_are_served_when_listening_ends(server):
     """They are connected as far as their callers can see; closing the listener reset them."""
     sock = stdlib_socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /waiting HTTP/1.1\r\n\r\n")
@@ -337,7 +337,7 @@
     assert b"X-Target: /waiting" in answer
 
 
-def test_a_kept_connection_announces_its_idle_timeout(application):
+def test_a_kept_connection_states_how_long_it_may_rest(application):
     """No request crosses the close of an idle connection that its caller no longer uses.
 
     Of 9,210 idle connections that stopping processes closed, 34 had a request on its way, whose
@@ -357,7 +357,7 @@
     running.stop()
 
 
-def test_no_longer_idle_timeout_is_announced_than_the_configuration_allows(application):
+def test_no_longer_rest_is_stated_than_the_configuration_allows(application):
     allowed = replace(PATIENT_LIMITS, idle_timeout_ms=1500.0)
     running = CallerServer(HostPort("127.0.0.1", 0), application, lambda: allowed, keep_alive_s=2)
     running.start()
@@ -365,12 +365,12 @@
     running.stop()
 
 
-def test_an_idle_timeout_below_one_second_is_not_announced(server):
+def test_where_less_than_a_second_is_allowed_nothing_is_stated(server):
     """The field has whole seconds; 0 would forbid keeping the connection at all."""
     assert b"Keep-Alive" not in talk(server, b"GET / HTTP/1.1\r\n\r\n", 0.1)
 
 
-def test_a_connection_whose_last_answer_is_being_read_is_not_closed_as_idle(server):
+def test_a_connection_whose_last_answer_is_being_read_is_not_closed_as_resting(server):
     server.draining = True
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
@@ -406,9 +406,7 @@
 
 
 @pytest.mark.parametrize("further", [b"GET /next HTTP/1.1\r\n\r\n", b"GET /ne"])
-def test_a_caller_that_sends_a_further_request_and_disconnects_is_noticed(
-    server, application, further
-):
+def test_a_caller_that_sends_a_further_request_and_leaves_is_noticed(server, application, further):
     """Its first request was served to the end, since unread bytes hid the disconnect."""
     application.wait_s = 2.0
     sock = socket.create_connection(("127.0.0.1", server.port))
@@ -432,7 +430,7 @@
     assert application.gone == 0
 
 
-def test_a_caller_that_read_on_and_disconnects_later_is_noticed(server, application):
+def test_a_caller_that_read_on_and_leaves_later_is_noticed(server, application):
     """It ends its sending side, accepts an interim answer, and disconnects after a while."""
     application.wait_s = 2.0
     sock = socket.create_connection(("127.0.0.1", server.port))
@@ -447,7 +445,7 @@
     assert application.gone == 1
 
 
-def test_the_time_since_the_last_new_connection_is_known(server):
+def test_how_long_no_new_connection_has_come_is_known(server):
     """If listening ends while connections arrive, those in their handshakes are reset."""
     gevent.sleep(0.1)
     assert server.quiet_ms >= 100.0
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -105,7 +105,7 @@
     assert follower.received == []
 
 
-def test_a_new_leader_sends_beacons_to_all_members_and_gets_reports_at_once(monkeypatch):
+def test_a_new_leader_calls_all_members_and_is_reported_to_at_once(monkeypatch):
     monkeypatch.setattr("ploverhatch.gateway.peer_link.REPORT_S", 60.0)
     leader, node = Node(), Node()
     leader.link._members = lambda: [leader.leader, node.leader]
@@ -119,7 +119,7 @@
     node.close()
 
 
-def test_nodes_that_stopped_reporting_are_forgotten(pair, monkeypatch):
+def test_nodes_that_fell_silent_are_forgotten(pair, monkeypatch):
     leader, follower = pair
     gevent.killall(follower.tasks)
     monkeypatch.setattr("ploverhatch.gateway.peer_link.PEER_EXPIRY_MS", 0.0)
@@ -139,7 +139,7 @@
     assert follower.received == [UPDATE]
 
 
-def test_a_deeply_nested_datagram_is_dropped():
+def test_a_datagram_that_is_nested_deeply_is_passed_over():
     node = Node()
     try:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
--- a/tests/functional/test_planned_stop.py
+++ b/tests/functional/test_planned_stop.py
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("work_s", [WORK_S, LONG_WORK_S])
-def test_no_request_is_given_up_while_new_connections_keep_arriving(site, work_s):
+def test_no_request_is_given_up_while_new_connections_keep_coming(site, work_s):
     callers = ask_during_a_stop(site, work_s, 0.0)
     ran = {name for name, _ in site.ran()}
     given_up = [name for name in callers.unanswered if name in ran]
@@ -163,7 +163,7 @@
     assert callers.unanswered == [], callers.statuses
 
 
-def test_a_process_that_was_suspended_when_it_was_told_to_stop_ends_before_it_is_killed(site):
+def test_a_process_that_stood_still_when_it_was_told_to_stop_ends_before_it_is_killed(site):
     """The platform's time begins when it sends the signal, not when the process resumes."""
     (gateway,) = site.gateways
     callers = Callers(gateway.front, 0.0)
--- a/tests/functional/test_server_control.py
+++ b/tests/functional/test_server_control.py
@@ -72,7 +72,7 @@
     assert grant(control, renewal=True) is CallOutcome.DONE
 
 
-def test_a_truncated_answer_and_a_refused_connection_are_breaks_too():
+def test_an_answer_that_is_cut_and_a_dead_port_are_ends_too():
     upstream = RawUpstream(None)
     control = control_of(upstream)
     assert grant(control) is CallOutcome.NO_ANSWER
@@ -82,7 +82,7 @@
     assert control.pop_connection_break()
 
 
-def test_a_connection_that_an_answer_closes_is_replaced_at_once():
+def test_a_connection_that_an_answer_closes_is_made_again_at_once():
     upstream = RawUpstream(CLOSING, DONE)
     control = control_of(upstream)
     assert grant(control) is CallOutcome.DONE
@@ -90,7 +90,7 @@
     assert not control.pop_connection_break()
 
 
-def test_a_servers_notice_in_an_answer_is_passed_on():
+def test_what_an_answer_says_of_its_server_is_heard():
     notices = []
     control = control_of(RawUpstream(LEAVING), lambda *arguments: notices.append(arguments))
     grant(control)
--- a/tests/functional/test_supervision.py
+++ b/tests/functional/test_supervision.py
@@ -94,7 +94,7 @@
             gevent.sleep(0.05)
 
 
-def test_a_leader_whose_action_fails_lets_another_lead(site, monkeypatch):
+def test_a_leader_whose_action_breaks_off_lets_another_lead(site, monkeypatch):
     gateway = started(site)
     leader = gateway._leader
 
@@ -108,7 +108,7 @@
     assert site.store.objects["leases", "leader"]["spec"]["released"]
 
 
-def test_an_internal_error_is_answered_as_unknown(monkeypatch):
+def test_a_fault_of_ours_is_answered_as_unknown(monkeypatch):
     bench = Bench()
     bench.add(RawUpstream(WHOLE), "u1")
 
--- a/tests/functional/test_suspension.py
+++ b/tests/functional/test_suspension.py
@@ -37,7 +37,7 @@
     assert 5000 <= clock.elapsed_ms() - before_ms < 5500
 
 
-def test_a_leader_that_was_suspended_for_long_has_lost_its_lead(machine, site):
+def test_a_leader_that_was_suspended_for_long_leads_no_more(machine, site):
     (gateway,) = start_site(site)
     assert gateway.leads
     machine.suspend(AUTHORITY_MS / 1000)
@@ -67,7 +67,7 @@
     assert clock.elapsed_ms() - begun_ms < gateway.settings.grace_s * 1000
 
 
-def test_calls_to_the_store_are_repeated_after_a_suspension(machine, site):
+def test_what_waits_for_the_store_asks_again(machine, site):
     (gateway,) = start_site(site)
     gevent.sleep(0.3)
     before = len(site.store.calls)
@@ -80,7 +80,7 @@
     )  # the renewal of the lease
 
 
-def test_a_short_pause_of_the_process_is_no_suspension(machine, site):
+def test_a_short_rest_of_the_process_is_no_suspension(machine, site):
     (gateway,) = start_site(site)
     before = len(site.store.calls)
     machine.suspend(0.001)
