--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -246,8 +246,8 @@
     other = QuarantineBench()
     other.quarantine.handle_report(bench.sent[-1][0], PEER)
     other.quarantine.handle_report(bench.sent[-1][0], PEER)
-    (heard,) = [text for text in caplog.messages if "Crash report received." in text]
-    assert "server=u1 witness=node-1 ended_ms_ago=" in heard
+    (received,) = [text for text in caplog.messages if "Crash report received." in text]
+    assert "server=u1 witness=node-1 ended_ms_ago=" in received
     assert not any("Suspect request sent." in text for text in caplog.messages)
     other.add_server()
     assert other.ask(b"/once/a").status == 200
@@ -412,8 +412,8 @@
     assert len(crashing.arrived) < 8  # the others wait for slots
     servers = [bench.add_server() for _ in range(4)]
     gevent.joinall(asked)
-    ended = [upstream for upstream in servers if upstream.ended_s is not None]
-    assert len(ended) <= 2
+    crashed = [upstream for upstream in servers if upstream.ended_s is not None]
+    assert len(crashed) <= 2
     assert sum(len(upstream.arrived) for upstream in servers) <= 2
 
 
--- a/tests/functional/test_requests_that_end_servers.py
+++ b/tests/functional/test_requests_that_end_servers.py
@@ -107,11 +107,11 @@
     """Assert that quarantined requests got a fast refusal that says when to retry."""
     settled_s = scenario.crash_times()[2] + PROPAGATION_S
     late = [sent for sent in crashing_caller.asked if sent.sent_s > settled_s and sent.status]
-    held = [sent for sent in late if HELD in sent.head]
-    assert len(held) >= len(late) - MAX_LATE > 0
-    assert {sent.status for sent in held} == {503}
-    assert all(b"retry-after: " in sent.head for sent in held)
-    assert sorted(sent.took_s for sent in held)[len(held) * 9 // 10] < ANSWER_LIMIT_S
+    refused = [sent for sent in late if HELD in sent.head]
+    assert len(refused) >= len(late) - MAX_LATE > 0
+    assert {sent.status for sent in refused} == {503}
+    assert all(b"retry-after: " in sent.head for sent in refused)
+    assert sorted(sent.took_s for sent in refused)[len(refused) * 9 // 10] < ANSWER_LIMIT_S
 
 
 def assert_others_served(scenario):
