--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -25,7 +25,7 @@
     SlotResult,
 )
 from ploverhatch.gateway.forwarder import (
-    HOLD_MARGIN_MS,
+    LEASE_MARGIN_MS,
     MOVE_FRACTION,
     USEFUL_FRACTION,
     WAIT_FRACTION,
@@ -273,7 +273,7 @@
             1,
             start_ms + scenario.objective_ms * USEFUL_FRACTION,
             start_ms + scenario.deadline_ms * WAIT_FRACTION,
-            start_ms + scenario.deadline_ms - self.now_ms + HOLD_MARGIN_MS,
+            start_ms + scenario.deadline_ms - self.now_ms + LEASE_MARGIN_MS,
             zone="zone",
         )
         self._asked[request.number] = request
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -25,7 +25,7 @@
 )
 from ploverhatch.admission.groups import GroupName
 from ploverhatch.experiment.slots_world import SERVICE, Request, World
-from ploverhatch.gateway.forwarder import HOLD_MARGIN_MS, USEFUL_FRACTION, WAIT_FRACTION
+from ploverhatch.gateway.forwarder import LEASE_MARGIN_MS, USEFUL_FRACTION, WAIT_FRACTION
 from ploverhatch.gateway.shared_slots import OWN_ZONE_WAIT_FRACTION
 from ploverhatch.routing import balancer
 from ploverhatch.routing.answer_time import AnswerTime
@@ -168,7 +168,7 @@
             priority=0,
             useful_until_ms=request.arrived_ms + scenario.objective_ms * USEFUL_FRACTION,
             expires_ms=request.arrived_ms + scenario.deadline_ms * WAIT_FRACTION,
-            lease_ms=scenario.deadline_ms + HOLD_MARGIN_MS,
+            lease_ms=scenario.deadline_ms + LEASE_MARGIN_MS,
             zone=zone,
         )
         self._ask(request, wish, near)
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -63,7 +63,7 @@
 USEFUL_FRACTION = 0.5
 # The share of the request's time limit after which a granted slot comes too late for an answer.
 WAIT_FRACTION = 0.55
-HOLD_MARGIN_MS = 100.0  # A shared slot's lease must outlast the request that uses it.
+LEASE_MARGIN_MS = 100.0  # A shared slot's lease must outlast the request that uses it.
 MAX_RETRY_AFTER_S = 2.0  # Callers' deadlines are seconds, so a longer delay is of no use to them.
 MOVE_FRACTION = 0.6  # The share of the objective spent waiting for keys that change holders.
 MIN_ATTEMPT_FRACTION = 0.1  # With less of the objective left, another attempt is not made.
@@ -349,7 +349,7 @@
                 slot.failed = result in FAILED_RESULTS
                 slot.unanswered = result in UNANSWERED_RESULTS
                 if result is AttemptResult.ANSWERED:
-                    slot.took_ms = call.trace.attempts[-1].took_ms
+                    slot.service_ms = call.trace.attempts[-1].took_ms
                 return granted, result, answer
         if self._choice.all_need_dispatcher(call, tried):
             raise self._refusal_without_server(call, history, results.QUEUE_TIMEOUT)
@@ -381,7 +381,7 @@
             call.route.priority,
             max(0.0, useful_ms - now_ms),
             max(0.0, until_ms - now_ms),
-            max(0.0, call.remaining_ms) + HOLD_MARGIN_MS,
+            max(0.0, call.remaining_ms) + LEASE_MARGIN_MS,
             holder.record if holder else None,
             attempts[-1].server_id if attempts else "",
             call.route.regions,
@@ -390,8 +390,8 @@
         try:
             slot = held_slots.enter_context(self._shared_slots.hold(requirements))
         except TurnedAwayError as error:
-            call.trace.slot = f"turned-away:{error.after_ms:.0f}@{error.dispatcher}"
-            after_s = min(error.after_ms / 1000, MAX_RETRY_AFTER_S)
+            call.trace.slot = f"turned-away:{error.retry_after_ms:.0f}@{error.dispatcher}"
+            after_s = min(error.retry_after_ms / 1000, MAX_RETRY_AFTER_S)
             raise self._refusal_without_server(
                 call, history, results.QUEUE_TIMEOUT, after_s
             ) from error
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -77,13 +77,13 @@
 class TurnedAwayError(Exception):
     """No slot can be expected in time.
 
-    :param after_ms: milliseconds until a slot can be expected.
+    :param retry_after_ms: milliseconds until a slot can be expected.
     :param dispatcher: address of the node that rejected the request.
     """
 
-    def __init__(self, after_ms: float, dispatcher: str = "") -> None:
-        super().__init__(f"after {after_ms:.0f} ms")
-        self.after_ms = after_ms
+    def __init__(self, retry_after_ms: float, dispatcher: str = "") -> None:
+        super().__init__(f"after {retry_after_ms:.0f} ms")
+        self.retry_after_ms = retry_after_ms
         self.dispatcher = dispatcher
 
 
@@ -93,7 +93,7 @@
 
     :param useful_ms: time within which a granted slot still meets the objective.
     :param wait_ms: time within which a granted slot is still of use.
-    :param hold_ms: the longest time for which the request needs the slot.
+    :param lease_ms: the longest time for which the request needs the slot.
     :param holder: the server that must run the request, or ``None`` if any of the service may.
     :param avoid: id of a server that failed the request before; empty for none.
     :param regions: the regions whose servers may run the request; empty for all.
@@ -104,7 +104,7 @@
     priority: int
     useful_ms: float
     wait_ms: float
-    hold_ms: float
+    lease_ms: float
     holder: ServerRecord | None = None
     avoid: str = ""
     regions: frozenset[str] = frozenset()
@@ -116,7 +116,7 @@
             self,
             useful_ms=max(0.0, self.useful_ms - spent_ms),
             wait_ms=max(0.0, self.wait_ms - spent_ms),
-            hold_ms=max(0.0, self.hold_ms - spent_ms),
+            lease_ms=max(0.0, self.lease_ms - spent_ms),
         )
 
 
@@ -124,12 +124,12 @@
 class SharedSlot:
     """A granted slot.
 
-    The holder sets ``took_ms``, ``failed`` and ``unanswered`` before the slot is released.
+    The holder sets ``service_ms``, ``failed`` and ``unanswered`` before the slot is released.
     """
 
     server_id: str = ""
     dispatcher: str = ""
-    took_ms: float = NO_INFORMATION_MS
+    service_ms: float = NO_INFORMATION_MS
     failed: bool = False
     unanswered: bool = False
 
@@ -286,7 +286,7 @@
             reply = self._await_reply(number, name, requirements, wait_ms, asked)
             if reply is not None and reply.server:
                 slot.server_id, slot.dispatcher = reply.server, asked[-1]
-                self._note_granted(number, name, slot, requirements.hold_ms)
+                self._note_granted(number, name, slot, requirements.lease_ms)
             elif reply is not None and reply.retry_after_ms > 0:
                 raise TurnedAwayError(reply.retry_after_ms, asked[-1])
             yield slot if slot.server_id else None
@@ -336,10 +336,12 @@
         """Whether a group has rate limits that a node doesn't enforce."""
         return bool(self._limited_servers(name)) and not self._enforces_limits(name, node)
 
-    def _note_granted(self, number: int, name: GroupName, slot: SharedSlot, hold_ms: float) -> None:
+    def _note_granted(
+        self, number: int, name: GroupName, slot: SharedSlot, lease_ms: float
+    ) -> None:
         now_ms = elapsed_ms()
         dispatchers: set[Address] = {HostPort.parse(slot.dispatcher)}
-        self._held[number] = _HeldSlot(name, slot.server_id, now_ms + hold_ms, dispatchers)
+        self._held[number] = _HeldSlot(name, slot.server_id, now_ms + lease_ms, dispatchers)
         self._served_by[name] = slot.dispatcher, now_ms
 
     def _release(
@@ -353,7 +355,7 @@
             name.service,
             name.zone,
             name.holder,
-            slot.took_ms,
+            slot.service_ms,
             slot.failed,
             slot.unanswered,
             name.regions,
@@ -379,7 +381,7 @@
             requirements.priority,
             min(requirements.useful_ms, wait_ms),
             wait_ms,
-            requirements.hold_ms,
+            requirements.lease_ms,
             requirements.avoid,
             name.regions,
             requirements.excluded,
@@ -578,9 +580,9 @@
         queue = self._queues.get(name)
         if queue is not None:
             requester = Requester(peer, message.number)
-            took_ms, failed, unanswered = message.service_ms, message.failed, message.unanswered
+            service_ms, failed, unanswered = message.service_ms, message.failed, message.unanswered
             self._send_results(
-                queue.group.release(requester, took_ms, failed, elapsed_ms(), unanswered)
+                queue.group.release(requester, service_ms, failed, elapsed_ms(), unanswered)
             )
 
     def _send_results(self, results: list[SlotResult]) -> None:
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -389,7 +389,7 @@
     for _ in range(3):
         assert bench.ask(b"/once/", b"POST").status == 200
     assert [len(upstream.ran) for upstream in upstreams] == [1, 2]
-    assert all(slot.took_ms > 0 and not slot.failed for slot in slots.ended)
+    assert all(slot.service_ms > 0 and not slot.failed for slot in slots.ended)
 
 
 def test_a_request_without_a_slot_is_refused_at_once_with_a_retry_delay(bench):
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -409,7 +409,7 @@
 
 def hold(node, wait_ms, time_s):
     try:
-        with node.slots.hold(requirements(holder=record(0), wait_ms=wait_ms, hold_ms=9000.0)):
+        with node.slots.hold(requirements(holder=record(0), wait_ms=wait_ms, lease_ms=9000.0)):
             gevent.sleep(time_s)
     except TurnedAwayError:
         return "turned away"
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -33,8 +33,8 @@
     return ServerRecord(f"s{number}", SERVICE, "127.0.0.1", 9000 + number, zone, slots, False)
 
 
-def requirements(holder=None, wait_ms=300.0, hold_ms=2000.0, priority=1):
-    return SlotRequirements(SERVICE, priority, wait_ms, wait_ms, hold_ms, holder)
+def requirements(holder=None, wait_ms=300.0, lease_ms=2000.0, priority=1):
+    return SlotRequirements(SERVICE, priority, wait_ms, wait_ms, lease_ms, holder)
 
 
 class Node:
@@ -101,7 +101,7 @@
             cluster.hold_all(held, 1, node, holder=record(0))
         with pytest.raises(TurnedAwayError) as caught:
             cluster.hold_all(held, 1, holder=record(0), wait_ms=30.0)
-        assert caught.value.after_ms > 0
+        assert caught.value.retry_after_ms > 0
 
 
 def test_a_waiting_request_gets_a_slot_that_becomes_free(start):
@@ -193,7 +193,7 @@
     cluster = start([record(0)])
     cluster.nodes[0].lost = lambda message: type(message).__name__ == "SlotRelease"
     for _ in range(3):
-        with cluster.nodes[0].slots.hold(requirements(holder=record(0), hold_ms=150.0)) as slot:
+        with cluster.nodes[0].slots.hold(requirements(holder=record(0), lease_ms=150.0)) as slot:
             assert slot is not None
     with cluster.nodes[1].slots.hold(requirements(holder=record(0), wait_ms=2000.0)) as slot:
         assert slot is not None
@@ -277,7 +277,7 @@
         # The second node skips the first one, so its own slots come from its own queue.
         second.slots._choice._skipped_until_ms[first.name] = elapsed_ms() + 9000.0
         for _ in range(3):
-            held.enter_context(second.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
+            held.enter_context(second.slots.hold(requirements(holder=record(0), lease_ms=9000.0)))
         assert second.slots.in_use == 3
         waiting = gevent.spawn(slot_of, third, requirements(holder=record(0), wait_ms=2000.0))
         gevent.sleep(0.4)
@@ -343,7 +343,7 @@
     first, second, third = in_order(cluster)
     with ExitStack() as held:
         for _ in range(3):
-            held.enter_context(third.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
+            held.enter_context(third.slots.hold(requirements(holder=record(0), lease_ms=9000.0)))
         first.slots.leaving = True
         with pytest.raises(TurnedAwayError):
             held.enter_context(third.slots.hold(requirements(holder=record(0), wait_ms=30.0)))
@@ -364,7 +364,7 @@
     first.lost = lambda message: True
     with ExitStack() as held:
         for _ in range(3):
-            held.enter_context(third.slots.hold(requirements(holder=record(0), hold_ms=9000.0)))
+            held.enter_context(third.slots.hold(requirements(holder=record(0), lease_ms=9000.0)))
         assert second.slots.in_use == 3
         first.lost = lambda message: False
         gevent.sleep(RELEARN_MS / 1000 + 0.1)  # The first node is asked again from then on.
