--- a/tests/functional/test_members.py
+++ b/tests/functional/test_members.py
@@ -1,4 +1,4 @@
-"""All nodes know the same members, among which queues and budgets are shared."""
+"""All nodes know the same members, which share queues and retry budgets."""
 
 import re
 
@@ -11,7 +11,7 @@
 from tests.standin.site import StandinSite
 
 GATEWAYS = 4
-KNOWN_S = 8.0
+KNOWN_WITHIN_S = 8.0
 NODES = re.compile(rb"^ploverhatch_nodes (\d+)$", re.MULTILINE)
 
 
@@ -35,11 +35,11 @@
     return int(found[1]) if found else 0
 
 
-# The leader of a site that starts knew no other node for its whole term: it shared no slots with
-# them, and took the retry budget of all for its own.
+# The leader of a starting site read the members before the others had registered, and not again
+# in its term: it shared no slots with them, and used the retry budget of all nodes alone.
 def test_the_leader_knows_the_nodes_that_start_beside_it(site):
     known = []
-    with gevent.Timeout(KNOWN_S, False):
+    with gevent.Timeout(KNOWN_WITHIN_S, False):
         while known != [GATEWAYS] * GATEWAYS:
             gevent.sleep(0.2)
             known = [nodes_known_to(gateway) for gateway in site.gateways]
@@ -47,7 +47,7 @@
 
 
 class Leases:
-    """A store whose listings a test lays down."""
+    """A store whose listings are empty, at a revision that the test sets."""
 
     def __init__(self):
         self.revision = 10
@@ -61,16 +61,16 @@
         return VersionedObject(name, 20, spec)
 
 
-def look(leases, revision, elector):
+def read_lease(leases, revision, elector):
     leases.revision = revision
-    elector._look()
+    elector._read_lease()
     return leases.created.count("node-n1")
 
 
-# A node registered again and again where stale listings were older than its registration.
+# A node registered repeatedly where stale listings were older than its registration.
 def test_a_node_registers_again_only_where_its_object_is_surely_gone():
     leases = Leases()
     elector = Elector(leases, "n1", "life", "127.0.0.1:1", lambda: None, lambda: None)
-    assert look(leases, 10, elector) == 1
-    assert look(leases, 15, elector) == 1
-    assert look(leases, 25, elector) == 2
+    assert read_lease(leases, 10, elector) == 1
+    assert read_lease(leases, 15, elector) == 1
+    assert read_lease(leases, 25, elector) == 2
