--- a/ploverhatch/transport/wsgi.py
+++ b/ploverhatch/transport/wsgi.py
@@ -15,7 +15,7 @@
 
 
 class BodyTooLargeError(ValueError):
-    """The body exceeds the limit."""
+    """The body is longer than the limit."""
 
 
 def send_reply(reply: HttpReply, start_response: StartResponse) -> Iterable[bytes]:
--- a/tests/functional/test_odd_entries.py
+++ b/tests/functional/test_odd_entries.py
@@ -40,7 +40,7 @@
     assert [upstream.server_id for upstream in malformed_servers if upstream.arrived] == []
     late = site.start_gateway("late")
     until(lambda: is_ready(late))
-    # The entry of a service that the configuration lacks is valid: a later one may add the service.
+    # An entry whose service the configuration lacks is valid: a later one may add the service.
     known = {"u1", "u2", "u3", "u9", "service-unknown"}
     assert set(late.directory.servers.records) == known
     assert set(gateway.directory.servers.records) == known
--- a/tests/functional/test_store_eras.py
+++ b/tests/functional/test_store_eras.py
@@ -18,9 +18,9 @@
 
 @pytest.fixture
 def server():
-    made = StoreServer()
-    yield made
-    made.close()
+    running_server = StoreServer()
+    yield running_server
+    running_server.close()
 
 
 @pytest.fixture
