--- a/ploverhatch/bench/slopes.py
+++ b/ploverhatch/bench/slopes.py
@@ -156,7 +156,7 @@
             for action in controller.tick(clock[0], True):
                 if isinstance(action, CallServer):
                     reply = SyncReply(True, "boot", clock[0])
-                    controller.replied(action.server, action.request, reply, clock[0])
+                    controller.handle_reply(action.server, action.request, reply, clock[0])
 
     renewal_round()
     return _cpu_us(renewal_round, 3)
--- a/ploverhatch/consensus/actions.py
+++ b/ploverhatch/consensus/actions.py
@@ -70,6 +70,6 @@
     next_index: int
     match_index: int = 0
     acknowledged_ms: float = float("-inf")  # newest heartbeat sent and answered
-    heard_ms: float = float("-inf")
-    flight_last: int = 0  # last index of the batch on its way, zero when none
+    last_reply_ms: float = float("-inf")
+    in_flight_index: int = 0  # last index of the batch on its way, zero when none
     sent_ms: float = float("-inf")
--- a/ploverhatch/consensus/replica.py
+++ b/ploverhatch/consensus/replica.py
@@ -37,9 +37,9 @@
 from ploverhatch.transport import wire
 
 MAX_ENTRIES_PER_APPEND = 256
-COMPACT_AFTER = 4096
-KEEP_AFTER_COMPACTION = 1024
-LEARNER_SLACK = 32
+COMPACT_AFTER_ENTRIES = 4096
+KEPT_ENTRIES = 1024
+LEARNER_SLACK_ENTRIES = 32
 
 
 @dataclass
@@ -51,9 +51,9 @@
     state: ReplicatedState = field(default_factory=ReplicatedState)
 
     def __post_init__(self) -> None:
-        self._begin(self.state)
+        self._reset(self.state)
 
-    def _begin(self, state: ReplicatedState) -> None:
+    def _reset(self, state: ReplicatedState) -> None:
         """Set all volatile state to that of a new process with ``state``."""
         self.state = state
         self.epoch = state.epoch
@@ -68,7 +68,7 @@
         self._learners: dict[str, wire.Member] = {}
         self._membership: wire.MembershipChange = state.membership
         self._membership_index: int = state.index
-        self._heard_leader_ms = float("-inf")
+        self._leader_contact_ms = float("-inf")
         self._election_due_ms = float("inf")
         self._heartbeat_due_ms = float("-inf")
         self._clock_base_ms = 0.0
@@ -109,10 +109,10 @@
         """
         return self.is_leader and self.state.index >= self._first_index_of_term
 
-    def silent_for_ms(self, node_id: str, now_ms: float) -> float:
+    def since_reply_ms(self, node_id: str, now_ms: float) -> float:
         """Return how long a leader has not heard from a voter or learner."""
         progress = self._progress.get(node_id)
-        return now_ms - progress.heard_ms if progress else float("inf")
+        return now_ms - progress.last_reply_ms if progress else float("inf")
 
     @property
     def learner_ids(self) -> list[str]:
@@ -124,7 +124,7 @@
         return [
             member
             for node_id, member in self._learners.items()
-            if self._progress[node_id].match_index + LEARNER_SLACK >= self.log.last_index
+            if self._progress[node_id].match_index + LEARNER_SLACK_ENTRIES >= self.log.last_index
             and self._progress[node_id].match_index > 0
         ]
 
@@ -137,7 +137,7 @@
     def start(self, now_ms: float) -> list[Action]:
         """Begin; a voter of the initial membership may stand for election."""
         self._reset_election(now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def bootstrap(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
         """Found a cell of which this replica is the only voter.
@@ -150,9 +150,9 @@
         self._become_candidate(now_ms, transfer=False)
         self._append(membership, now_ms)
         self._advance_commit(now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
-    def refound(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
+    def found_next_epoch(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
         """Found the next epoch as the only voter that survived the last one.
 
         Entries not known to be committed are kept: the dead leader may have
@@ -172,7 +172,7 @@
             self._tick_leader(now_ms)
         elif self.is_voter and now_ms >= self._election_due_ms:
             self._become_pre_candidate(now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def receive(self, sender: str, message: Any, now_ms: float) -> list[Action]:
         """Handle a message of another replica; one of an older epoch is dropped."""
@@ -193,7 +193,7 @@
                 self._on_snapshot_request(sender, message, now_ms)
             case wire.TimeoutNow():
                 self._on_timeout_now(message, now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def _enter_epoch(self, epoch: int) -> None:
         """Leave an older epoch, log and vote included, for one that replaced it.
@@ -203,7 +203,7 @@
         """
         was_leader = self.role is Role.LEADER
         if self.epoch:
-            self._begin(ReplicatedState())
+            self._reset(ReplicatedState())
         self.epoch = epoch
         if was_leader:
             self._actions.append(RoleChanged(False, self.term))
@@ -219,7 +219,7 @@
         indices = [self._append(command, now_ms) for command in commands]
         self._replicate_all(now_ms)
         self._advance_commit(now_ms)
-        return indices, self._take_actions()
+        return indices, self._pop_actions()
 
     def propose_membership(
         self, voters: list[wire.Member], now_ms: float
@@ -238,9 +238,9 @@
         """Start replicating to a node that may become a voter."""
         if self.is_leader and member.node_id not in self._progress:
             self._learners[member.node_id] = member
-            self._progress[member.node_id] = Progress(self.log.last_index + 1, heard_ms=now_ms)
+            self._progress[member.node_id] = Progress(self.log.last_index + 1, last_reply_ms=now_ms)
             self._replicate(member.node_id, now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def drop_learner(self, node_id: str) -> None:
         """Stop replicating to a learner."""
@@ -260,7 +260,7 @@
         term = self.term
         self._step_down(self.term, now_ms)
         self._post(best, wire.TimeoutNow(term=term))
-        return self._take_actions()
+        return self._pop_actions()
 
     # ---- elections ----------------------------------------------------------
 
@@ -277,7 +277,7 @@
         self.leader_id = ""
         self._votes = {self.node_id}
         self._reset_election(now_ms)
-        self._ask_votes(self.term + 1, pre_vote=True, transfer=False)
+        self._request_votes(self.term + 1, pre_vote=True, transfer=False)
         if len(self._votes) >= self._majority():
             self._become_candidate(now_ms, transfer=False)
 
@@ -288,11 +288,11 @@
         self.leader_id = ""
         self._votes = {self.node_id}
         self._reset_election(now_ms)
-        self._ask_votes(self.term, pre_vote=False, transfer=transfer)
+        self._request_votes(self.term, pre_vote=False, transfer=transfer)
         if len(self._votes) >= self._majority():
             self._become_leader(now_ms)
 
-    def _ask_votes(self, term: int, pre_vote: bool, transfer: bool) -> None:
+    def _request_votes(self, term: int, pre_vote: bool, transfer: bool) -> None:
         for node_id in self.voters:
             if node_id == self.node_id:
                 continue
@@ -308,7 +308,7 @@
     def _on_vote_request(self, sender: str, request: wire.VoteRequest, now_ms: float) -> None:
         # A voter that still hears its leader ignores the request, term
         # included: the leader's lease rests on this promise.
-        follows_leader = now_ms - self._heard_leader_ms < self.timing.election_ms
+        follows_leader = now_ms - self._leader_contact_ms < self.timing.election_ms
         if not request.transfer and (follows_leader or self.has_lease(now_ms)):
             return
         if request.pre_vote:
@@ -357,7 +357,7 @@
         self.leader_id = self.node_id
         self._learners = {}
         self._progress = {
-            node_id: Progress(self.log.last_index + 1, heard_ms=now_ms)
+            node_id: Progress(self.log.last_index + 1, last_reply_ms=now_ms)
             for node_id in self.voters
             if node_id != self.node_id
         }
@@ -430,7 +430,7 @@
         """Check-quorum: a leader that a majority left silent resigns."""
         limit_ms = 2 * self.timing.election_ms
         heard = sum(
-            node_id == self.node_id or self.silent_for_ms(node_id, now_ms) < limit_ms
+            node_id == self.node_id or self.since_reply_ms(node_id, now_ms) < limit_ms
             for node_id in self.voters
         )
         return heard < self._majority()
@@ -443,14 +443,14 @@
         """Send what a follower lacks; one batch at a time, heartbeats always."""
         progress = self._progress[node_id]
         stalled = now_ms - progress.sent_ms > self.timing.heartbeat_ms
-        if progress.flight_last and not stalled and not heartbeat:
+        if progress.in_flight_index and not stalled and not heartbeat:
             return
         previous = progress.next_index - 1
         previous_term = self.log.term_at(previous)
         if previous_term is None:
             self._send_snapshot(node_id, progress, now_ms)
             return
-        send_entries = not progress.flight_last or stalled
+        send_entries = not progress.in_flight_index or stalled
         count = MAX_ENTRIES_PER_APPEND if send_entries else 0
         entries = self.log.slice(progress.next_index, count)
         request = wire.AppendRequest(
@@ -462,14 +462,14 @@
             entries=entries,
         )
         if entries:
-            progress.flight_last = entries[-1].index
+            progress.in_flight_index = entries[-1].index
             progress.sent_ms = now_ms
         self._post(node_id, request)
 
     def _send_snapshot(self, node_id: str, progress: Progress, now_ms: float) -> None:
-        if progress.flight_last and now_ms - progress.sent_ms < self.timing.election_ms:
+        if progress.in_flight_index and now_ms - progress.sent_ms < self.timing.election_ms:
             return
-        progress.flight_last = self.state.index
+        progress.in_flight_index = self.state.index
         progress.sent_ms = now_ms
         request = wire.SnapshotRequest(
             term=self.term, sent_ms=int(now_ms), snapshot=self.state.snapshot()
@@ -483,16 +483,16 @@
         progress = self._progress.get(sender)
         if not self.is_leader or reply.term != self.term or progress is None:
             return
-        progress.heard_ms = now_ms
+        progress.last_reply_ms = now_ms
         progress.acknowledged_ms = max(progress.acknowledged_ms, float(reply.echo_ms))
         if reply.success:
             progress.match_index = max(progress.match_index, reply.match_index)
             progress.next_index = max(progress.next_index, progress.match_index + 1)
-            if progress.match_index >= progress.flight_last:
-                progress.flight_last = 0
+            if progress.match_index >= progress.in_flight_index:
+                progress.in_flight_index = 0
             self._advance_commit(now_ms)
         else:
-            progress.flight_last = 0
+            progress.in_flight_index = 0
             progress.next_index = max(1, min(progress.next_index - 1, reply.match_index + 1))
         if self.is_leader and progress.next_index <= self.log.last_index:
             self._replicate(sender, now_ms)
@@ -530,7 +530,7 @@
         if term > self.term or self.role is not Role.FOLLOWER:
             self._step_down(term, now_ms)
         self.leader_id = sender
-        self._heard_leader_ms = now_ms
+        self._leader_contact_ms = now_ms
         self._reset_election(now_ms)
 
     def _on_append_request(self, sender: str, request: wire.AppendRequest, now_ms: float) -> None:
@@ -598,8 +598,8 @@
             result = self.state.apply(entry)
             public = public or entry.kind not in RECORD_KINDS
             self._actions.append(Applied(entry, result))
-        if self.log.last_index - self.log.base_index > COMPACT_AFTER:
-            self.log.compact(max(self.log.base_index, self.state.index - KEEP_AFTER_COMPACTION))
+        if self.log.last_index - self.log.base_index > COMPACT_AFTER_ENTRIES:
+            self.log.compact(max(self.log.base_index, self.state.index - KEPT_ENTRIES))
         return public
 
     def _post(self, recipient: str, message: Any) -> None:
@@ -607,6 +607,6 @@
         message.epoch = self.epoch
         self._actions.append(Send(recipient, message))
 
-    def _take_actions(self) -> list[Action]:
+    def _pop_actions(self) -> list[Action]:
         actions, self._actions = self._actions, []
         return actions
--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -39,7 +39,7 @@
 from ploverhatch.transport import wire
 
 VOTER_CHECK_MS = 200.0
-NODE_FRESH_MS = 3000.0
+NODE_STATUS_MAX_AGE_MS = 3000.0
 EXPIRE_CHECK_MS = 10_000.0
 FIRST_EPOCH = 1
 VOTER_TICKS = 3
@@ -56,14 +56,14 @@
 
 @dataclass(frozen=True)
 class CallBackend:
-    """Action: send a sync call; report its end with ``sync_ended``."""
+    """Action: send a sync call; report its end with ``handle_sync_result``."""
 
     leadership: OwnershipController
     call: CallServer
 
 
 @dataclass(frozen=True)
-class Committed:
+class ProposalCommitted:
     """Action: a proposal was committed and applied."""
 
     proposal: Proposal
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class Rejected:
+class ProposalRejected:
     """Action: a proposal was not taken, or lost to another entry."""
 
     proposal: Proposal
@@ -79,14 +79,14 @@
 
 
 @dataclass(frozen=True)
-class Published:
+class EntryPublished:
     """Action: an entry was applied to ``replica.state``."""
 
     entry: wire.LogEntry
 
 
 @dataclass(frozen=True)
-class Replaced:
+class StateReplaced:
     """Action: ``replica.state`` is another object now."""
 
 
@@ -108,10 +108,10 @@
 CoreAction = (
     Send
     | CallBackend
-    | Committed
-    | Rejected
-    | Published
-    | Replaced
+    | ProposalCommitted
+    | ProposalRejected
+    | EntryPublished
+    | StateReplaced
     | LeadershipChanged
     | VotersChanged
 )
@@ -148,22 +148,22 @@
 
     def start(self, now_ms: float) -> list[CoreAction]:
         """Begin."""
-        self._absorb(self.replica.start(now_ms), now_ms)
-        return self._take()
+        self._handle_replica_actions(self.replica.start(now_ms), now_ms)
+        return self._pop_actions()
 
-    def peer_message(self, sender: str, message: Any, now_ms: float) -> list[CoreAction]:
+    def handle_peer_message(self, sender: str, message: Any, now_ms: float) -> list[CoreAction]:
         """Handle a consensus message of another node."""
-        self._absorb(self.replica.receive(sender, message, now_ms), now_ms)
+        self._handle_replica_actions(self.replica.receive(sender, message, now_ms), now_ms)
         if self.controller is None or self._concerns_ownership():
             self._drive_ownership(now_ms)
-        return self._take()
+        return self._pop_actions()
 
     def propose(self, proposals: list[Proposal], now_ms: float) -> list[CoreAction]:
         """Commit commands in one append."""
         self._propose(proposals, now_ms)
-        return self._take()
+        return self._pop_actions()
 
-    def sync_ended(
+    def handle_sync_result(
         self,
         leadership: OwnershipController,
         server: str,
@@ -175,14 +175,14 @@
         if leadership is not self.controller:
             return []
         if reply is None:
-            leadership.failed(server, request, now_ms)
+            leadership.note_call_failed(server, request, now_ms)
         else:
-            leadership.replied(server, request, reply, now_ms)
+            leadership.handle_reply(server, request, reply, now_ms)
         if leadership.sessions[server].due_ms <= now_ms:
             self._drive_ownership(now_ms)
-        return self._take()
+        return self._pop_actions()
 
-    def node_status(
+    def note_node_status(
         self, status: wire.NodeStatus, loads: NodeLoads, now_ms: float
     ) -> list[CoreAction]:
         """Take over a node's report."""
@@ -191,16 +191,16 @@
         self.nodes[node_id] = (now_ms, status)
         self._forget_old_nodes(now_ms)
         if self.controller is not None:
-            self.controller.report_load(node_id, loads)
+            self.controller.note_load(node_id, loads)
         return []
 
-    def machines_leaving(self, servers: Iterable[str]) -> list[CoreAction]:
+    def note_machines_leaving(self, servers: Iterable[str]) -> list[CoreAction]:
         """Take over which back ends the platform lists as leaving."""
         if self.controller is not None:
-            self.controller.machines_leaving(servers)
+            self.controller.note_machines_leaving(servers)
         return []
 
-    def cell_recorded(self, voter_ids: frozenset[str]) -> list[CoreAction]:
+    def note_recorded_voters(self, voter_ids: frozenset[str]) -> list[CoreAction]:
         """Note which voters the platform's cell object names."""
         self._recorded = voter_ids
         return []
@@ -216,32 +216,32 @@
         if membership.epoch > FIRST_EPOCH:
             membership.refuse_claims_ms = int(self._timing.repeat_window_ms)
         if survived:
-            actions = self.replica.refound(membership, now_ms)
+            actions = self.replica.found_next_epoch(membership, now_ms)
         else:
-            self._begin_anew()
+            self._reset_replica()
             actions = self.replica.bootstrap(membership, now_ms)
         if membership.epoch > FIRST_EPOCH:
             self._founding_term = self.replica.term
-        self._absorb(actions, now_ms)
-        return self._take()
+        self._handle_replica_actions(actions, now_ms)
+        return self._pop_actions()
 
-    def epoch_lost(self) -> list[CoreAction]:
+    def leave_epoch(self) -> list[CoreAction]:
         """Leave an epoch that another has replaced."""
-        self._begin_anew()
-        return self._take()
+        self._reset_replica()
+        return self._pop_actions()
 
-    def step_aside(self, now_ms: float) -> list[CoreAction]:
+    def hand_over_leadership(self, now_ms: float) -> list[CoreAction]:
         """Hand leadership on, because the node stops."""
-        self._absorb(self.replica.transfer_leadership(now_ms), now_ms)
-        return self._take()
+        self._handle_replica_actions(self.replica.transfer_leadership(now_ms), now_ms)
+        return self._pop_actions()
 
     def tick(self, now_ms: float) -> list[CoreAction]:
         """Let time pass."""
-        self._absorb(self.replica.tick(now_ms), now_ms)
+        self._handle_replica_actions(self.replica.tick(now_ms), now_ms)
         self._drive_ownership(now_ms)
         if self.replica.is_leader:
-            self._care_for_cell(now_ms)
-        return self._take()
+            self._maintain_cell(now_ms)
+        return self._pop_actions()
 
     def next_tick_ms(self) -> float:
         """Return how soon time matters to this node: least to mere observers."""
@@ -254,7 +254,7 @@
     def _concerns_ownership(self) -> bool:
         """Tell whether entries other than on records were just applied."""
         return any(
-            isinstance(action, Published) and action.entry.kind not in RECORD_KINDS
+            isinstance(action, EntryPublished) and action.entry.kind not in RECORD_KINDS
             for action in self._out
         )
 
@@ -264,21 +264,21 @@
         try:
             indices, actions = self.replica.propose([item.command for item in proposals], now_ms)
         except NotLeaderError as error:
-            self._out += [Rejected(proposal, error.leader_id) for proposal in proposals]
+            self._out += [ProposalRejected(proposal, error.leader_id) for proposal in proposals]
             return
         for index, proposal in zip(indices, proposals, strict=True):
             self._proposals[index] = (self.replica.term, proposal)
-        self._absorb(actions, now_ms)
+        self._handle_replica_actions(actions, now_ms)
 
-    def _settle_proposal(self, entry: wire.LogEntry, result: ClaimResult | None) -> None:
+    def _resolve_proposal(self, entry: wire.LogEntry, result: ClaimResult | None) -> None:
         waiting = self._proposals.pop(entry.index, None)
         if waiting is None:
             return
         term, proposal = waiting
         if term == entry.term:
-            self._out.append(Committed(proposal, result))
+            self._out.append(ProposalCommitted(proposal, result))
         else:
-            self._out.append(Rejected(proposal, self.replica.leader_id))
+            self._out.append(ProposalRejected(proposal, self.replica.leader_id))
 
     # ---- leadership ---------------------------------------------------------------
 
@@ -314,30 +314,30 @@
         self._compiled.refresh(configuration)
         controller.configure(self._compiled.policy, self._compiled.servers, now_ms)
 
-    def _care_for_cell(self, now_ms: float) -> None:
+    def _maintain_cell(self, now_ms: float) -> None:
         if now_ms >= self._voter_check_ms:
             self._voter_check_ms = now_ms + VOTER_CHECK_MS
-            self._care_for_voters(now_ms)
+            self._maintain_voters(now_ms)
         if now_ms >= self._expire_check_ms:
             self._expire_check_ms = now_ms + EXPIRE_CHECK_MS
             self._expire_records(now_ms)
 
-    def _care_for_voters(self, now_ms: float) -> None:
+    def _maintain_voters(self, now_ms: float) -> None:
         replica = self.replica
         if not replica.membership_settled() or not replica.ready():
             return
-        fresh = self._fresh_nodes(now_ms)
+        fresh = self._reporting_nodes(now_ms)
         for node_id in replica.learner_ids:
             if node_id not in fresh:
                 replica.drop_learner(node_id)
         match choose_voters(self._voter_view(fresh, now_ms)):
             case AddLearner(member):
                 self.addresses[member.node_id] = member
-                self._absorb(replica.add_learner(member, now_ms), now_ms)
+                self._handle_replica_actions(replica.add_learner(member, now_ms), now_ms)
             case ChangeVoters(voters):
                 self._out.append(VotersChanged(tuple(item.node_id for item in voters)))
                 _, actions = replica.propose_membership(list(voters), now_ms)
-                self._absorb(actions, now_ms)
+                self._handle_replica_actions(actions, now_ms)
 
     def _voter_view(self, fresh: dict[str, Candidate], now_ms: float) -> VoterView:
         replica = self.replica
@@ -345,7 +345,7 @@
             node_id
             for node_id in replica.voters
             if node_id != self._member.node_id
-            and replica.silent_for_ms(node_id, now_ms) > self._timing.voter_loss_ms
+            and replica.since_reply_ms(node_id, now_ms) > self._timing.voter_loss_ms
         )
         return VoterView(
             leader_id=self._member.node_id,
@@ -358,18 +358,18 @@
             recorded=self._recorded,
         )
 
-    def _fresh_nodes(self, now_ms: float) -> dict[str, Candidate]:
+    def _reporting_nodes(self, now_ms: float) -> dict[str, Candidate]:
         return {
             node_id: Candidate(status.member, status.leaving)
-            for node_id, (heard_ms, status) in self.nodes.items()
-            if now_ms - heard_ms < NODE_FRESH_MS
+            for node_id, (reported_ms, status) in self.nodes.items()
+            if now_ms - reported_ms < NODE_STATUS_MAX_AGE_MS
         }
 
     def _forget_old_nodes(self, now_ms: float) -> None:
         old = [
             node_id
-            for node_id, (heard_ms, _) in self.nodes.items()
-            if now_ms - heard_ms > 2 * NODE_FRESH_MS
+            for node_id, (reported_ms, _) in self.nodes.items()
+            if now_ms - reported_ms > 2 * NODE_STATUS_MAX_AGE_MS
         ]
         for node_id in old:
             del self.nodes[node_id]
@@ -385,7 +385,7 @@
 
     # ---- actions of the replica -----------------------------------------------------
 
-    def _absorb(self, actions: list[Action], now_ms: float) -> None:
+    def _handle_replica_actions(self, actions: list[Action], now_ms: float) -> None:
         for action in actions:
             match action:
                 case Send():
@@ -393,17 +393,17 @@
                 case Applied(entry, result):
                     self._on_applied(entry, result, now_ms)
                 case Restored():
-                    self._out.append(Replaced())
+                    self._out.append(StateReplaced())
                 case RoleChanged(leading, term):
                     self._on_role_changed(leading, term, now_ms)
 
     def _on_applied(self, entry: wire.LogEntry, result: ClaimResult | None, now_ms: float) -> None:
-        self._out.append(Published(entry))
-        self._settle_proposal(entry, result)
+        self._out.append(EntryPublished(entry))
+        self._resolve_proposal(entry, result)
         if self.controller is not None and entry.kind == ASSIGNMENT_KIND:
             command = decode_command(entry)
             assert isinstance(command, wire.AssignmentChange)
-            self.controller.applied(command, entry.index, now_ms)
+            self.controller.note_committed(command, entry.index, now_ms)
 
     def _on_role_changed(self, leading: bool, term: int, now_ms: float) -> None:
         self.controller = None
@@ -415,12 +415,12 @@
         # waits for them times out and learns that the result is unknown.
         self._proposals.clear()
 
-    def _begin_anew(self) -> None:
+    def _reset_replica(self) -> None:
         """Leave the old epoch: no vote, no log, no leadership of it remains."""
         self.controller = None
         self._proposals.clear()
         self.replica = Replica(self._member.node_id, self._timing)
 
-    def _take(self) -> list[CoreAction]:
+    def _pop_actions(self) -> list[CoreAction]:
         actions, self._out = self._out, []
         return actions
--- a/ploverhatch/emulator/backend.py
+++ b/ploverhatch/emulator/backend.py
@@ -175,7 +175,7 @@
         if request_id in self._cancelled:
             return self._refuse(Refusal.CANCELLED)
         started_ms = clock_ms()
-        verdict = self.book.judge(group, key_hash, token, started_ms, not_after_ms)
+        verdict = self.book.check_start(group, key_hash, token, started_ms, not_after_ms)
         if self.behaviour.open and not token:
             verdict = Verdict.EXECUTE
         if verdict is not Verdict.EXECUTE:
--- a/ploverhatch/membership/recovery.py
+++ b/ploverhatch/membership/recovery.py
@@ -43,7 +43,7 @@
     voter_ids: tuple[str, ...]
 
 
-def quorum_is_gone(voters: Collection[str], dead: Collection[str]) -> bool:
+def quorum_is_lost(voters: Collection[str], dead: Collection[str]) -> bool:
     """Tell whether the voters that may still live are too few to decide."""
     return len(set(voters) - set(dead)) < len(voters) // 2 + 1
 
@@ -83,4 +83,4 @@
             return False
         # A survivor that knows our voters does not act under the recorded ones.
         agreed = {node_id for node_id, found in evidence.items() if found is Evidence.ALIVE_SAME}
-        return quorum_is_gone(known_voters, dead) and quorum_is_gone(recorded, dead | agreed)
+        return quorum_is_lost(known_voters, dead) and quorum_is_lost(recorded, dead | agreed)
--- a/ploverhatch/membership/voters.py
+++ b/ploverhatch/membership/voters.py
@@ -69,9 +69,9 @@
     ]
     healthy = [node_id for node_id in view.voters if node_id not in failing]
     if len(view.voters) > view.wanted:
-        return _remove(view, failing or _spare(view, healthy))
+        return _remove(view, failing or _redundant_voters(view, healthy))
     if len(healthy) < view.wanted:
-        step = _admit(view, healthy)
+        step = _add_voter(view, healthy)
         if step is not None:
             return step
     leaving = [node_id for node_id in failing if node_id not in view.lost]
@@ -80,7 +80,7 @@
     return None
 
 
-def _spare(view: VoterView, healthy: list[str]) -> list[str]:
+def _redundant_voters(view: VoterView, healthy: list[str]) -> list[str]:
     """Return a voter whose zone has another one; never the leader."""
     zones = [view.voters[node_id].zone for node_id in healthy]
     return [
@@ -90,7 +90,7 @@
     ]
 
 
-def _admit(view: VoterView, healthy: list[str]) -> VoterAction:
+def _add_voter(view: VoterView, healthy: list[str]) -> VoterAction:
     covered = {view.voters[node_id].zone for node_id in healthy}
     candidates = [
         candidate.member
--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -68,7 +68,7 @@
         record = self._read_record()
         addresses = self._candidate_addresses(record)
         for address in addresses:
-            reply = self._ask(address)
+            reply = self._request_status(address)
             if reply is not None and reply.voters and reply.leader_id:
                 return list(reply.voters)
         if record is not None:
@@ -98,7 +98,7 @@
         mine = (self._member.host, self._member.port)
         return [address for address in dict.fromkeys(addresses) if address != mine]
 
-    def _ask(self, address: Address, recipient: str = "") -> wire.StatusReply | None:
+    def _request_status(self, address: Address, recipient: str = "") -> wire.StatusReply | None:
         try:
             _, reply = self._network.request(
                 address, recipient, wire.WhoRequest(ask=True), ASK_TIMEOUT_S
@@ -156,7 +156,7 @@
         except VersionConflictError:
             return
         except ChangeUnknownError:
-            if not self._won(operation):
+            if not self._founding_was_stored(operation):
                 return
         except StoreUnavailableError:
             return
@@ -164,7 +164,7 @@
         LOG.info("Founding an epoch.", epoch=membership.epoch, survived=survived)
         self._control.post(FoundCell(membership, survived))
 
-    def _won(self, operation: str) -> bool:
+    def _founding_was_stored(self, operation: str) -> bool:
         """Resolve a lost answer by reading the object back."""
         for _ in range(20):
             try:
--- a/ploverhatch/node/control.py
+++ b/ploverhatch/node/control.py
@@ -20,14 +20,14 @@
 from ploverhatch.consensus.replica import Replica
 from ploverhatch.control.core import (
     CallBackend,
-    Committed,
     ControlCore,
     CoreAction,
+    EntryPublished,
     LeadershipChanged,
     Proposal,
-    Published,
-    Rejected,
-    Replaced,
+    ProposalCommitted,
+    ProposalRejected,
+    StateReplaced,
     VotersChanged,
 )
 from ploverhatch.node.columns import from_columns
@@ -97,12 +97,12 @@
 
 
 @dataclass(frozen=True)
-class EpochLost:
+class EpochReplaced:
     """The platform's cell object names a newer epoch than this node's."""
 
 
 @dataclass(frozen=True)
-class StepAside:
+class HandOverLeadership:
     """Hand leadership on, because the node stops."""
 
 
@@ -176,7 +176,7 @@
 
     def _run(self) -> None:
         next_tick_ms = elapsed_ms()
-        self._carry_out(self.core.start(next_tick_ms))
+        self._execute(self.core.start(next_tick_ms))
         while True:
             wait_s = max(0.0, (next_tick_ms - elapsed_ms()) / 1000)
             try:
@@ -187,7 +187,7 @@
                 self._handle_batch(event)
             if elapsed_ms() >= next_tick_ms:
                 next_tick_ms = elapsed_ms() + self.core.next_tick_ms()
-                self._carry_out(self.core.tick(elapsed_ms()))
+                self._execute(self.core.tick(elapsed_ms()))
 
     def _handle_batch(self, event: Any) -> None:
         """Handle waiting events; proposals among them share one append."""
@@ -196,50 +196,50 @@
             if isinstance(event, Proposal):
                 proposals.append(event)
             else:
-                self._carry_out(self._handle(event))
+                self._execute(self._handle(event))
             event = None if self._mailbox.empty() else self._mailbox.get_nowait()
         if proposals:
-            self._carry_out(self.core.propose(proposals, elapsed_ms()))
+            self._execute(self.core.propose(proposals, elapsed_ms()))
 
     def _handle(self, event: Any) -> list[CoreAction]:
         now_ms = elapsed_ms()
         core = self.core
         match event:
             case PeerMessage(sender, message):
-                return core.peer_message(sender, message, now_ms)
+                return core.handle_peer_message(sender, message, now_ms)
             case SyncEnded(leadership, server, request, reply):
-                return core.sync_ended(leadership, server, request, reply, now_ms)
+                return core.handle_sync_result(leadership, server, request, reply, now_ms)
             case StatusReceived(status):
-                return core.node_status(status, _loads(status, now_ms), now_ms)
+                return core.note_node_status(status, _loads(status, now_ms), now_ms)
             case MachinesLeaving(servers):
-                return core.machines_leaving(servers)
+                return core.note_machines_leaving(servers)
             case CellRecorded(voter_ids):
-                return core.cell_recorded(voter_ids)
+                return core.note_recorded_voters(voter_ids)
             case FoundCell(membership, survived):
                 LOG.info("Cell founded.", epoch=membership.epoch, survived=survived)
                 return core.found_cell(membership, survived, now_ms)
-            case EpochLost():
-                return core.epoch_lost()
-            case StepAside():
-                return core.step_aside(now_ms)
+            case EpochReplaced():
+                return core.leave_epoch()
+            case HandOverLeadership():
+                return core.hand_over_leadership(now_ms)
         raise TypeError(f"unknown event {type(event).__name__}")
 
     # ---- actions -------------------------------------------------------------------
 
-    def _carry_out(self, actions: list[CoreAction]) -> None:
+    def _execute(self, actions: list[CoreAction]) -> None:
         for action in actions:
             match action:
                 case Send(recipient, message):
                     self._send(recipient, message)
                 case CallBackend(leadership, call):
                     gevent.spawn(self._call_backend, leadership, call.server, call)
-                case Published(entry):
+                case EntryPublished(entry):
                     if self._share_state():
-                        self._view.published(entry)
-                case Replaced():
+                        self._view.note_applied(entry)
+                case StateReplaced():
                     self._share_state()
-                case Committed() | Rejected():
-                    _answer(action)
+                case ProposalCommitted() | ProposalRejected():
+                    _resolve_waiter(action)
                 case LeadershipChanged() | VotersChanged():
                     _log_change(action)
 
@@ -296,12 +296,12 @@
     return NodeLoads(now_ms, from_columns(status.slices), from_columns(status.keys))
 
 
-def _answer(action: Committed | Rejected) -> None:
+def _resolve_waiter(action: ProposalCommitted | ProposalRejected) -> None:
     """Tell the task that waits for a proposal."""
     waiter = action.proposal.reply_to
     if waiter is None:
         return
-    if isinstance(action, Committed):
+    if isinstance(action, ProposalCommitted):
         waiter.set(action.result)
     else:
         waiter.set_exception(NotLeaderError(action.leader_id))
--- a/ploverhatch/node/crash_guard.py
+++ b/ploverhatch/node/crash_guard.py
@@ -35,7 +35,7 @@
         self._fingerprint: Fingerprint | None = None
 
     @property
-    def hint(self) -> bytes:
+    def short_digest(self) -> bytes:
         """What few other requests share."""
         return short_digest(self._target, self._body)
 
@@ -45,7 +45,7 @@
         if self._fingerprint is None:
             content = (*(part.encode() for part in self._content), self._target, self._body)
             caller = [part.encode() for part in self._caller]
-            self._fingerprint = fingerprint(self.hint, content, caller)
+            self._fingerprint = fingerprint(self.short_digest, content, caller)
         return self._fingerprint
 
 
@@ -77,7 +77,7 @@
 
         :raises RefusedError: when it is held.
         """
-        if not self._ledger.may_contain(request.hint):
+        if not self._ledger.may_contain(request.short_digest):
             return True
         content, now_ms = request.fingerprint.request_digest, elapsed_ms()
         hold = self._ledger.decide(request.fingerprint)
@@ -88,19 +88,19 @@
             return True
         return self._trials.acquire(content, request, now_ms) == 0.0
 
-    def over(self, request: GuardedRequest) -> None:
+    def note_finished(self, request: GuardedRequest) -> None:
         """A request has ended, so that another copy may be sent."""
         if len(self._trials):
             self._trials.release(request.fingerprint.request_digest, request)
             self._changed.raise_()
 
-    def answered(self, request: GuardedRequest) -> None:
+    def note_answer(self, request: GuardedRequest) -> None:
         """A server has answered a request."""
-        if self._ledger.may_contain(request.hint):
+        if self._ledger.may_contain(request.short_digest):
             self._ledger.note_answer(request.fingerprint, elapsed_ms())
             self._changed.raise_()
 
-    def ended(self, request: GuardedRequest, server: str, sent_ms: float) -> None:
+    def note_crash(self, request: GuardedRequest, server: str, sent_ms: float) -> None:
         """A server's process was gone when its answer was missed."""
         now_ms = elapsed_ms()
         self._ledger.expire(now_ms)
--- a/ploverhatch/node/observer.py
+++ b/ploverhatch/node/observer.py
@@ -20,7 +20,7 @@
 
 LOG = PartLogger("observer")
 
-SILENCE_MS = 1500.0
+PARENT_TIMEOUT_MS = 1500.0
 REQUEST_TIMEOUT_S = 0.5
 RETRY_PAUSE_S = 0.1
 MAX_REDIRECTS = 8
@@ -34,21 +34,21 @@
         member: wire.Member,
         view: StateView,
         network: PeerNetwork,
-        votes: Callable[[], bool],
+        is_voter: Callable[[], bool],
     ) -> None:
         """Set up the task.
 
-        :param votes: tells whether the node is a voter, which needs no stream.
+        :param is_voter: tells whether the node is a voter, which needs no stream.
         """
-        self._votes = votes
+        self._is_voter = is_voter
         self._member = member
         self._view = view
         self._network = network
         self._random = random.Random(member.node_id)
         self._parent = ""
-        self._heard_ms = 0.0
+        self._last_update_ms = 0.0
         self._broken = Event()
-        self.known: dict[str, wire.Member] = {}
+        self.known_members: dict[str, wire.Member] = {}
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -60,26 +60,26 @@
         if self._task is not None:
             self._task.kill()
 
-    def learn(self, members: list[wire.Member]) -> None:
+    def set_known_members(self, members: list[wire.Member]) -> None:
         """Note nodes that may serve as parents."""
-        self.known = {item.node_id: item for item in members}
+        self.known_members = {item.node_id: item for item in members}
 
     def update(self, sender: str, update: wire.StreamUpdate) -> None:
         """Handle a batch of the stream."""
         if sender != self._parent:
             return
-        self._heard_ms = elapsed_ms()
+        self._last_update_ms = elapsed_ms()
         if update.has_snapshot:
-            accepted = self._view.take_snapshot(update.snapshot)
+            accepted = self._view.apply_snapshot(update.snapshot)
         else:
-            accepted = self._view.take_update(update)
+            accepted = self._view.apply_update(update)
         if not accepted:
             self._broken.set()
 
     def _run(self) -> None:
         while True:
-            if self._votes():
-                gevent.sleep(SILENCE_MS / 1000)
+            if self._is_voter():
+                gevent.sleep(PARENT_TIMEOUT_MS / 1000)
                 continue
             if not self._subscribe():
                 gevent.sleep(RETRY_PAUSE_S)
@@ -88,15 +88,17 @@
 
     def _follow_parent(self) -> None:
         self._broken.clear()
-        while elapsed_ms() - self._heard_ms < SILENCE_MS:
-            if self._broken.wait(SILENCE_MS / 3000):
+        while elapsed_ms() - self._last_update_ms < PARENT_TIMEOUT_MS:
+            if self._broken.wait(PARENT_TIMEOUT_MS / 3000):
                 return
-            if self._votes():
+            if self._is_voter():
                 return
 
     def _subscribe(self) -> bool:
         """Find a parent: voters of the own zone first, then any voter."""
-        candidates = [item for item in self.known.values() if item.node_id != self._member.node_id]
+        candidates = [
+            item for item in self.known_members.values() if item.node_id != self._member.node_id
+        ]
         self._random.shuffle(candidates)
         candidates.sort(key=lambda item: item.zone != self._member.zone)
         return any(self._subscribe_to(candidate) for candidate in candidates)
@@ -117,7 +119,7 @@
         state = self._view.state
         request = wire.Subscribe(from_index=state.index, epoch=state.epoch, member=self._member)
         self._parent = parent.node_id
-        self._heard_ms = elapsed_ms()
+        self._last_update_ms = elapsed_ms()
         try:
             address = (parent.host, parent.port)
             _, answer = self._network.request(address, parent.node_id, request, REQUEST_TIMEOUT_S)
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -12,7 +12,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.consensus.actions import NotLeaderError
-from ploverhatch.node.control import CellRecorded, ControlTask, EpochLost, MachinesLeaving
+from ploverhatch.node.control import CellRecorded, ControlTask, EpochReplaced, MachinesLeaving
 from ploverhatch.node.view import StateView
 from ploverhatch.store.interface import (
     HistoryCompactedError,
@@ -146,7 +146,7 @@
         current = self._store.get(KIND_CELL, self._cell)
         if current is not None and int(current.body.get("epoch", 0)) > membership.epoch:
             LOG.error("A newer epoch exists.", epoch=current.body.get("epoch"))
-            self._control.post(EpochLost())
+            self._control.post(EpochReplaced())
             gevent.sleep(PAUSE_S)
             return
         wanted = cell_body(membership)
--- a/ploverhatch/node/process.py
+++ b/ploverhatch/node/process.py
@@ -19,7 +19,7 @@
 from ploverhatch.common.timing import ControlTiming
 from ploverhatch.node.bootstrap import LEADERLESS_MS, PAUSE_S, BootstrapTask
 from ploverhatch.node.columns import to_columns
-from ploverhatch.node.control import ControlTask, PeerMessage, StatusReceived, StepAside
+from ploverhatch.node.control import ControlTask, HandOverLeadership, PeerMessage, StatusReceived
 from ploverhatch.node.metrics import NodeMetrics
 from ploverhatch.node.observer import ObserverTask
 from ploverhatch.node.platform_sync import PlatformSync
@@ -41,9 +41,9 @@
 
 STATUS_TIMEOUT_S = 0.5
 FEED_HEARTBEAT_S = 0.4
-HAND_OVER_S = 3.0
-SETTLE_LIMIT_S = 3.0
-LAST_ANSWERS_S = 0.3  # for the answers of requests that outlast the drain to leave
+HAND_OVER_LIMIT_S = 3.0
+BACKGROUND_COMMITS_LIMIT_S = 3.0
+FINAL_ANSWERS_LIMIT_S = 0.3  # for the answers of requests that outlast the drain to leave
 ADMIN_LIMIT_S = 3.0  # for operators' requests that are under way at the end
 CONSENSUS_MESSAGES = (
     wire.VoteRequest,
@@ -179,8 +179,8 @@
         # What outlasts the drain is answered all the same: whether it ran is unknown, and its
         # caller would have to guess even that from a connection that is cut.
         given_up = self.router.end_under_way()
-        answered = self.http.await_answers(LAST_ANSWERS_S)
-        settled = self.router.finish_settling(SETTLE_LIMIT_S)
+        answered = self.http.await_answers(FINAL_ANSWERS_LIMIT_S)
+        settled = self.router.await_background_commits(BACKGROUND_COMMITS_LIMIT_S)
         # Last: operators see until then how the stop goes.
         clean = self.admin_http.drain(ADMIN_LIMIT_S, 0.0) and clean
         self.stop()
@@ -189,7 +189,7 @@
 
     def _hand_over(self) -> None:
         """Leave the voters and the leadership, for a bounded time."""
-        end_ms = elapsed_ms() + HAND_OVER_S * 1000
+        end_ms = elapsed_ms() + HAND_OVER_LIMIT_S * 1000
         while elapsed_ms() < end_ms:
             voters = self.view.state.membership.voters
             others = [item for item in voters if item.node_id != self.node_id]
@@ -197,7 +197,7 @@
                 return
             self._report_status()
             if self.control.leads:
-                self.control.post(StepAside())
+                self.control.post(HandOverLeadership())
             gevent.sleep(0.05)
 
     # ---- messages ----------------------------------------------------------------
@@ -268,7 +268,7 @@
     def _leader(self) -> wire.Member | None:
         leader_id = self._known_leader()
         voters = {item.node_id: item for item in self.view.state.membership.voters}
-        voters.update(self.observer.known)
+        voters.update(self.observer.known_members)
         return voters.get(leader_id)
 
     # ---- loops ------------------------------------------------------------------------
@@ -280,24 +280,24 @@
                 leader_seen_ms = elapsed_ms()
                 gevent.sleep(self.settings.timing.status_ms / 1000)
                 continue
-            self._look_for_cell()
+            self._find_cell()
             if elapsed_ms() - leader_seen_ms > LEADERLESS_MS and self.control.replica.is_voter:
                 self.bootstrap.recover_leaderless()
             gevent.sleep(PAUSE_S)
 
-    def _look_for_cell(self) -> None:
+    def _find_cell(self) -> None:
         voters = self.bootstrap.find_cell() if not self.control.replica.is_voter else []
         if voters:
-            self.observer.learn(voters)
+            self.observer.set_known_members(voters)
 
     def _report_status(self) -> bool:
         """Report to the leader; false when no leader took the report."""
         status = self._status()
         if self.control.leads:
             self.control.post(StatusReceived(status))
-            self.observer.learn(list(self.view.state.membership.voters))
+            self.observer.set_known_members(list(self.view.state.membership.voters))
             return True
-        candidates = [self._leader(), *self.observer.known.values()]
+        candidates = [self._leader(), *self.observer.known_members.values()]
         for candidate in candidates:
             if candidate is not None and self._report_to(candidate, status):
                 return True
@@ -315,7 +315,7 @@
         if not isinstance(reply, wire.StatusReply):
             return False
         if reply.voters and reply.epoch >= self.view.state.epoch:
-            self.observer.learn(list(reply.voters))
+            self.observer.set_known_members(list(reply.voters))
             self._leader_id = reply.leader_id
         return bool(reply.accepted)
 
--- a/ploverhatch/node/report.py
+++ b/ploverhatch/node/report.py
@@ -17,9 +17,9 @@
             zone=status.member.zone,
             generation=status.generation,
             applied_index=status.applied_index,
-            age_ms=int(now_ms - heard_ms),
+            age_ms=int(now_ms - reported_ms),
         )
-        for heard_ms, status in control.core.nodes.values()
+        for reported_ms, status in control.core.nodes.values()
     ]
     servers = []
     controller = control.core.controller
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -65,12 +65,12 @@
 
 DEADLINE_HEADER = "request-deadline-ms"
 IDEMPOTENCY_HEADER = "idempotency-key"
-MAX_IDEMPOTENCY_KEY = 200
+MAX_IDEMPOTENCY_KEY_CHARS = 200
 RETRY_AFTER_S = 1.0
 CANCEL_TIMEOUT_S = 0.5
 RELEASE_WAIT_MS = 300.0
-SETTLE_WAIT_MS = 10_000.0
-OWNER_WAIT_SLICE_S = 0.05
+BACKGROUND_COMMIT_MS = 10_000.0
+OWNER_POLL_S = 0.05
 _DROPPED_HEADERS = frozenset(
     {
         "host",
@@ -127,8 +127,8 @@
         self._metrics = metrics
         self._upstreams = UpstreamPool(view, limits.queue_per_server, open_backend)
         self._budget = RetryBudget(limits.retry_budget_percent)
-        self._crashes = CrashGuard()
-        self._settling: set[gevent.Greenlet] = set()
+        self._crash_guard = CrashGuard()
+        self._background_commits: set[gevent.Greenlet] = set()
         self._under_way = RequestsUnderWay()
         self.meter = LoadMeter(elapsed_ms())
 
@@ -177,7 +177,7 @@
         if not key:
             raise RefusedError(results.KEY_MISSING, f"{route.key_source} {route.key_name}")
         idempotency_key = headers.get(IDEMPOTENCY_HEADER, "")
-        if route.once and not 0 < len(idempotency_key) <= MAX_IDEMPOTENCY_KEY:
+        if route.once and not 0 < len(idempotency_key) <= MAX_IDEMPOTENCY_KEY_CHARS:
             raise RefusedError(results.IDEMPOTENCY_KEY_MISSING)
         deadline_ms = now_ms + self._deadline(headers, route)
         target = f"{path}?{query}" if query else path
@@ -229,7 +229,7 @@
         try:
             outcome, record = self._records.submit(claim, call.give_up_ms)
         except RecordsUnavailableError as error:
-            self._settle(wire.RecordRelease(claim.record_id, claim.claim_id))
+            self._commit_in_background(wire.RecordRelease(claim.record_id, claim.claim_id))
             raise RefusedError(results.CONTROL_UNAVAILABLE) from error
         if outcome is not ClaimResult.CLAIMED:
             return self._repeat(outcome, record)
@@ -239,7 +239,7 @@
             if error.result.outcome is results.Outcome.NOT_RUN:
                 self._release(claim)
             raise
-        self._settle(self._completion(claim, reply))
+        self._commit_in_background(self._completion(claim, reply))
         return self._answer(reply), results.OK
 
     def _completion(self, claim: wire.RecordClaim, reply: BackendReply) -> wire.RecordComplete:
@@ -279,13 +279,13 @@
         try:
             self._records.submit(release, elapsed_ms() + RELEASE_WAIT_MS)
         except RecordsUnavailableError:
-            self._settle(release)
+            self._commit_in_background(release)
 
-    def _settle(self, command: wire.RecordComplete | wire.RecordRelease) -> None:
+    def _commit_in_background(self, command: wire.RecordComplete | wire.RecordRelease) -> None:
         """Commit in the background, for a bounded time."""
-        task = gevent.spawn(self._settle_task, command)
-        self._settling.add(task)
-        task.link(self._settling.discard)
+        task = gevent.spawn(self._commit_task, command)
+        self._background_commits.add(task)
+        task.link(self._background_commits.discard)
 
     def end_under_way(self) -> int:
         """Have the requests under way answered now, since the process ends.
@@ -294,14 +294,14 @@
         """
         return self._under_way.end_all(ProcessEndsError)
 
-    def finish_settling(self, limit_s: float) -> bool:
+    def await_background_commits(self, limit_s: float) -> bool:
         """Wait until background commits have ended, before a planned stop."""
-        gevent.joinall(list(self._settling), timeout=limit_s)
-        return not self._settling
+        gevent.joinall(list(self._background_commits), timeout=limit_s)
+        return not self._background_commits
 
-    def _settle_task(self, command: wire.RecordComplete | wire.RecordRelease) -> None:
+    def _commit_task(self, command: wire.RecordComplete | wire.RecordRelease) -> None:
         try:
-            self._records.submit(command, elapsed_ms() + SETTLE_WAIT_MS)
+            self._records.submit(command, elapsed_ms() + BACKGROUND_COMMIT_MS)
         except RecordsUnavailableError:
             self._metrics.unsettled.inc()
 
@@ -311,7 +311,7 @@
         try:
             return self._attempts(call)
         finally:
-            self._crashes.over(call.guarded)
+            self._crash_guard.note_finished(call.guarded)
 
     def _attempts(self, call: Call) -> BackendReply:
         state = RequestState(
@@ -322,26 +322,26 @@
         )
         self._budget.earn()
         while True:
-            self._crashes.check(call.guarded, state.may_have_run)
+            self._crash_guard.check(call.guarded, state.may_have_run)
             owner = self._await_owner(call, state)
             upstream = self._upstreams.get(owner.server)
             if upstream is None:
                 lost = state.may_have_run
                 raise RefusedError(results.ANSWER_LOST if lost else results.NO_OWNER)
-            end, reply = self._attempt_honestly(call, owner, upstream, state)
+            end, reply = self._attempt_or_answer_lost(call, owner, upstream, state)
             if end is None:
                 assert reply is not None
-                self._crashes.answered(call.guarded)
+                self._crash_guard.note_answer(call.guarded)
                 return reply
             refusal = reply.refusal if reply else Refusal.NONE
             self._metrics.attempts.labels(end.value, refusal.value).inc()
             decision = self._decide(state, end, refusal)
             if isinstance(decision, GiveUp):
-                raise RefusedError(decision.result, refusal.value, upstream.comeback_s())
+                raise RefusedError(decision.result, refusal.value, upstream.retry_after_s())
             state = decision.state
             self._pause(decision)
 
-    def _attempt_honestly(
+    def _attempt_or_answer_lost(
         self, call: Call, owner: Slice, upstream: Upstream, state: RequestState
     ) -> tuple[AttemptEnd | None, BackendReply | None]:
         """Run one attempt; a "not-run" is not answered after one that may have run."""
@@ -378,16 +378,16 @@
             if now_ms >= call.give_up_ms:
                 result = results.ANSWER_LOST if state.may_have_run else results.NO_OWNER
                 raise RefusedError(result)
-            self._view.wait_change(min(OWNER_WAIT_SLICE_S, (call.give_up_ms - now_ms) / 1000))
+            self._view.wait_change(min(OWNER_POLL_S, (call.give_up_ms - now_ms) / 1000))
 
     def _attempt(
         self, call: Call, owner: Slice, upstream: Upstream, may_have_run: bool
     ) -> tuple[AttemptEnd | None, BackendReply | None]:
         """Run one attempt; the first value is ``None`` when it was answered."""
         self.meter.count(call.route.group, owner.range.first, call.key_hash)
-        ticket = self._upstreams.enter(upstream, call.route.group, call.give_up_ms)
+        ticket = self._upstreams.acquire_slot(upstream, call.route.group, call.give_up_ms)
         if ticket is None:
-            retry_after_s = upstream.comeback_s()
+            retry_after_s = upstream.retry_after_s()
             full = elapsed_ms() < call.give_up_ms
             raise RefusedError(
                 results.QUEUE_FULL if full else results.QUEUE_TIMEOUT, "", retry_after_s
@@ -399,7 +399,7 @@
             current = self._view.state.assignments.find(call.route.group, call.key_hash)
             if current is None or current.token != owner.token:
                 return AttemptEnd.NOT_SENT, None
-            if not self._crashes.allows(call.guarded, may_have_run):
+            if not self._crash_guard.allows(call.guarded, may_have_run):
                 return AttemptEnd.NOT_SENT, None  # a copy of it ended its server meanwhile
             if elapsed_ms() >= call.deadline_ms:
                 raise RefusedError(results.DEADLINE_PASSED)
@@ -407,7 +407,7 @@
             shed = reply is not None and reply.refusal is Refusal.BUSY
             return end, reply
         finally:
-            upstream.leave(ticket, elapsed_ms() - started_ms, shed)
+            upstream.release_slot(ticket, elapsed_ms() - started_ms, shed)
 
     def _send(
         self, call: Call, owner: Slice, upstream: Upstream
@@ -464,7 +464,7 @@
             # How the call failed doesn't tell: it may have gone over a kept connection that
             # broke with the process, a moment after the request's.
             if upstream.client.has_ended(CANCEL_TIMEOUT_S):
-                self._crashes.ended(call.guarded, upstream.spec.name, sent_ms)
+                self._crash_guard.note_crash(call.guarded, upstream.spec.name, sent_ms)
         if cancelled:
             return AttemptEnd.CANCELLED
         return AttemptEnd.TIMED_OUT if error.timed_out else AttemptEnd.LOST
--- a/ploverhatch/node/upstreams.py
+++ b/ploverhatch/node/upstreams.py
@@ -15,7 +15,7 @@
 from ploverhatch.state.configuration import ServerSpec
 
 LOWEST_PRIORITY = 9
-SMALLEST_SHARE = 0.01
+MIN_SHARE = 0.01
 
 
 @dataclass
@@ -38,21 +38,21 @@
         """Return the server clock value ``budget_ms`` from now, or earlier."""
         return self.clock_ms + (now_ms - self.clock_read_ms) + budget_ms
 
-    def comeback_s(self) -> float:
+    def retry_after_s(self) -> float:
         """Return when a refused caller should come back."""
         return self.queue.expected_wait_ms() / 1000
 
-    def wake(self) -> None:
+    def grant_free_slots(self) -> None:
         """Give free slots to the requests whose turn it is."""
         while (ticket := self.queue.start_next()) is not None:
             waiter = self.waiters.get(id(ticket))
             if waiter is not None:
                 waiter.set(True)
 
-    def leave(self, ticket: Ticket, took_ms: float, shed: bool) -> None:
+    def release_slot(self, ticket: Ticket, took_ms: float, shed: bool) -> None:
         """Free a slot."""
         self.queue.finish(ticket, took_ms, shed)
-        self.wake()
+        self.grant_free_slots()
 
 
 class UpstreamPool:
@@ -85,7 +85,7 @@
         self._upstreams[server] = upstream
         return upstream
 
-    def enter(self, upstream: Upstream, group: str, give_up_ms: float) -> Ticket | None:
+    def acquire_slot(self, upstream: Upstream, group: str, give_up_ms: float) -> Ticket | None:
         """Wait for a slot.
 
         :returns: the ticket that holds the slot; ``None`` at once when the
@@ -98,7 +98,7 @@
             return None
         waiter = AsyncResult()
         upstream.waiters[id(ticket)] = waiter
-        upstream.wake()
+        upstream.grant_free_slots()
         try:
             if not ticket.started:
                 waiter.get(timeout=max(give_up_ms - now_ms, 1.0) / 1000)
@@ -114,11 +114,11 @@
         """Return priority and share of a group on a server."""
         policy = self._view.policy
         if policy is None or group not in policy.groups:
-            return LOWEST_PRIORITY, SMALLEST_SHARE
+            return LOWEST_PRIORITY, MIN_SHARE
         found = policy.groups[group]
         labels = spec.selector_labels
         shares = [draw.share for draw in found.draws if matches(draw.servers, labels)]
-        return found.priority, max(shares, default=SMALLEST_SHARE)
+        return found.priority, max(shares, default=MIN_SHARE)
 
     def queues(self) -> dict[str, dict[str, Any]]:
         """Return queue figures by server."""
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -71,7 +71,7 @@
         for connection in list(self.feeds):
             self._send_snapshot(connection)
 
-    def take_snapshot(self, snapshot: wire.Snapshot) -> bool:
+    def apply_snapshot(self, snapshot: wire.Snapshot) -> bool:
         """Take over a snapshot from the stream unless it is older."""
         mine = (self.state.epoch, self.state.index)
         theirs = (snapshot.membership.epoch, snapshot.index)
@@ -80,7 +80,7 @@
         self.adopt(restore(snapshot))
         return True
 
-    def take_update(self, update: wire.StreamUpdate) -> bool:
+    def apply_update(self, update: wire.StreamUpdate) -> bool:
         """Apply a batch from the stream.
 
         :returns: false when there is a gap, so a new subscription is needed.
@@ -90,11 +90,11 @@
         for entry in update.entries:
             if entry.index > self.state.index:
                 self.state.apply(entry)
-                self.published(entry)
+                self.note_applied(entry)
         self.state.index = max(self.state.index, update.through_index)
         return True
 
-    def published(self, entry: wire.LogEntry) -> None:
+    def note_applied(self, entry: wire.LogEntry) -> None:
         """Note that an entry was applied to the state; feed it on."""
         if entry.kind in RECORD_KINDS:
             return
@@ -149,7 +149,7 @@
         """Encode once and queue for every observer."""
         update = wire.StreamUpdate(
             epoch=self.state.epoch,
-            previous_index=self._last_public(before=len(entries)),
+            previous_index=self._previous_public_index(before=len(entries)),
             through_index=through,
             entries=entries,
         )
@@ -158,7 +158,7 @@
             if not connection.send(payload):
                 self.feeds.pop(connection, None)
 
-    def _last_public(self, before: int) -> int:
+    def _previous_public_index(self, before: int) -> int:
         """Return the index of the newest public entry but ``before`` ones.
 
         Record entries are not fed on, so for observers an entry follows the
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -25,8 +25,8 @@
     PlacementLimits,
     PlacementView,
     Target,
+    overlaps_any,
     plan,
-    touches,
 )
 from ploverhatch.ownership.sessions import (
     Move,
@@ -45,7 +45,7 @@
 CALL_TIMEOUT_MS = 400.0
 REBALANCE_MS = 1000.0
 MOVES_PER_SERVER = 4
-LOAD_FRESH_MS = 5000.0
+LOAD_REPORT_MAX_AGE_MS = 5000.0
 
 
 @dataclass(frozen=True)
@@ -112,15 +112,17 @@
         for name in sorted(set(specs) | owners):
             self.sessions.setdefault(name, ServerSession(self._lease_floor_ms, due_ms=now_ms))
 
-    def machines_leaving(self, servers: Iterable[str]) -> None:
+    def note_machines_leaving(self, servers: Iterable[str]) -> None:
         """Note servers that the platform's machine list shows as leaving."""
         self._leaving = frozenset(servers)
 
-    def report_load(self, node_id: str, loads: NodeLoads) -> None:
+    def note_load(self, node_id: str, loads: NodeLoads) -> None:
         """Take over a router's measured load."""
         self._loads[node_id] = loads
 
-    def replied(self, server: str, request: SyncRequest, reply: SyncReply, now_ms: float) -> None:
+    def handle_reply(
+        self, server: str, request: SyncRequest, reply: SyncReply, now_ms: float
+    ) -> None:
         """Handle a server's answer to ``request``."""
         session = self.sessions.get(server)
         if session is None or session.call is not request:
@@ -132,7 +134,7 @@
         session.clock_ms = reply.clock_ms
         session.clock_read_ms = now_ms
         if reply.boot_id != session.boot_id:
-            self._greet(server, session, reply.boot_id, now_ms)
+            self._note_new_process(server, session, reply.boot_id, now_ms)
             return
         if not reply.accepted:
             session.needs_full = True
@@ -140,7 +142,7 @@
             return
         self._confirm(server, session, request, reply, now_ms)
 
-    def failed(self, server: str, request: SyncRequest, now_ms: float) -> None:
+    def note_call_failed(self, server: str, request: SyncRequest, now_ms: float) -> None:
         """Note that a call got no answer; it may or may not have arrived."""
         session = self.sessions.get(server)
         if session is None or session.call is not request:
@@ -149,7 +151,7 @@
         session.failures += 1
         session.due_ms = now_ms + self._timing.renew_ms / 2
 
-    def applied(self, change: wire.AssignmentChange, index: int, now_ms: float) -> None:
+    def note_committed(self, change: wire.AssignmentChange, index: int, now_ms: float) -> None:
         """Hand out the grants of a committed assignment."""
         token = make_token(self._state.epoch, index)
         self._owners = None
@@ -187,14 +189,14 @@
         session = self.sessions.get(server)
         if session is None:
             return Condition.LOST
-        if self._silent(session, now_ms):
-            lapsed = now_ms >= session.alive_until_ms and session.failures > 0
+        if self._is_unresponsive(session, now_ms):
+            lapsed = now_ms >= session.lease_until_ms and session.failures > 0
             return Condition.LOST if lapsed else Condition.UNCERTAIN
         spec = self._specs.get(server)
         leaving = spec is None or spec.drain or server in self._leaving
         return Condition.DRAINING if leaving or session.draining else Condition.UP
 
-    def _silent(self, session: ServerSession, now_ms: float) -> bool:
+    def _is_unresponsive(self, session: ServerSession, now_ms: float) -> bool:
         return not session.boot_id or now_ms - session.replied_ms >= self._timing.lease_ms
 
     # ---- planning -----------------------------------------------------------
@@ -209,7 +211,7 @@
             for owner in self._current_owners()
         )
         unplaced = any(not self._state.assignments.group(name) for name in self._policy.groups)
-        if unplaced and self._awaits_greetings():
+        if unplaced and self._awaits_first_replies():
             return
         if not (rebalance or urgent or unplaced):
             return
@@ -219,7 +221,7 @@
         for target in plan(self._view(conditions, now_ms), self._limits, now_ms):
             self._start_move(target, now_ms)
 
-    def _awaits_greetings(self) -> bool:
+    def _awaits_first_replies(self) -> bool:
         """Tell whether a server was neither met nor found silent yet.
 
         Placing a new group on the first servers that answer would pile its
@@ -231,7 +233,7 @@
         )
 
     def _forget_old_moves(self, now_ms: float) -> None:
-        oldest_ms = now_ms - self._limits.hold_ms
+        oldest_ms = now_ms - self._limits.move_interval_ms
         self._moved_ms = {
             span: moved_ms for span, moved_ms in self._moved_ms.items() if moved_ms > oldest_ms
         }
@@ -246,7 +248,7 @@
         loads: dict[tuple[str, int], float] = {}
         keys: dict[tuple[str, int], float] = {}
         for report in self._loads.values():
-            if now_ms - report.reported_ms > LOAD_FRESH_MS:
+            if now_ms - report.reported_ms > LOAD_REPORT_MAX_AGE_MS:
                 continue
             for slice_identity, rate in report.slices.items():
                 loads[slice_identity] = loads.get(slice_identity, 0.0) + rate
@@ -270,7 +272,7 @@
             item.server for item in self._state.assignments.overlapping(target.range) if item.server
         }
         # Overlapping moves would take a range from an owner that was never asked.
-        if len(owners) > 1 or touches(target.range, self.moves):
+        if len(owners) > 1 or overlaps_any(target.range, self.moves):
             return
         source = next(iter(owners), "")
         source_lost = not source or self.condition(source, now_ms) is Condition.LOST
@@ -288,7 +290,7 @@
         """Return assignments whose old owner can not execute any more."""
         items = []
         for span, move in self.moves.items():
-            if move.proposed or not self._source_gone(span, move, now_ms):
+            if move.proposed or not self._source_released(span, move, now_ms):
                 continue
             move.proposed = True
             if self.condition(move.source, now_ms) is Condition.LOST:
@@ -327,7 +329,7 @@
         self._founding = False
         for session in self.sessions.values():
             session.needs_full = True
-            session.full_above = self._sequence
+            session.full_above_sequence = self._sequence
 
     def _forget_grants_of(self, server: str, span: SliceRange) -> None:
         """Have the next call replace all grants of a server that loses a slice.
@@ -341,10 +343,10 @@
             session.needs_full = True
             # A call on its way may still list the lost slice, or renew without
             # replacing: its answer does not fulfil the need.
-            session.full_above = self._sequence
+            session.full_above_sequence = self._sequence
             drop_pending(session, span)
 
-    def _source_gone(self, span: SliceRange, move: Move, now_ms: float) -> bool:
+    def _source_released(self, span: SliceRange, move: Move, now_ms: float) -> bool:
         if not move.source or self.condition(move.source, now_ms) is Condition.LOST:
             return True
         return span not in self.sessions[move.source].revokes
@@ -369,7 +371,7 @@
         if session.boot_id:
             # The call may extend the lease even when its answer is lost.
             bound = session.clock_read_ms + self._timing.lease_bound_ms
-            session.alive_until_ms = max(session.alive_until_ms, bound)
+            session.lease_until_ms = max(session.lease_until_ms, bound)
         return CallServer(server, request, CALL_TIMEOUT_MS)
 
     def _all_grants(self, server: str) -> dict[SliceRange, int]:
@@ -394,7 +396,9 @@
         session.grants[span] = token
         session.due_ms = now_ms
 
-    def _greet(self, server: str, session: ServerSession, boot_id: str, now_ms: float) -> None:
+    def _note_new_process(
+        self, server: str, session: ServerSession, boot_id: str, now_ms: float
+    ) -> None:
         """A server process was met for the first time; it holds no grants of ours.
 
         A new boot proves that the previous process is gone, and with it every
@@ -415,7 +419,7 @@
         reply: SyncReply,
         now_ms: float,
     ) -> None:
-        if request.full and request.sequence > session.full_above:
+        if request.full and request.sequence > session.full_above_sequence:
             session.needs_full = False
         for grant in request.grants:
             if session.grants.get(grant.range) == grant.token:
--- a/ploverhatch/ownership/grant_book.py
+++ b/ploverhatch/ownership/grant_book.py
@@ -11,7 +11,7 @@
 from ploverhatch.ownership.messages import SyncReply, SyncRequest
 from ploverhatch.state.assignment import AssignmentTable, Slice
 
-HELD = "self"
+THIS_SERVER = "self"
 
 
 class Verdict(Enum):
@@ -48,7 +48,7 @@
         for span in request.revokes:
             self._held.put(Slice(span, "", 0))
         for grant in request.grants:
-            self._held.put(Slice(grant.range, HELD, grant.token))
+            self._held.put(Slice(grant.range, THIS_SERVER, grant.token))
         busy = tuple(span for span in request.revokes if self._is_busy(span))
         return self._reply(True, now_ms, busy)
 
@@ -68,7 +68,7 @@
             group == span.group and span.contains(key_hash) for group, key_hash in self._executing
         )
 
-    def judge(
+    def check_start(
         self, group: str, key_hash: int, token: int, now_ms: float, not_after_ms: float
     ) -> Verdict:
         """Decide, at the moment execution would start.
@@ -80,7 +80,7 @@
         if now_ms > not_after_ms:
             return Verdict.TOO_LATE
         held = self._held.find(group, key_hash)
-        if held is None or held.server != HELD:
+        if held is None or held.server != THIS_SERVER:
             return Verdict.NOT_OWNER
         return Verdict.EXECUTE if held.token == token else Verdict.STALE_TOKEN
 
--- a/ploverhatch/ownership/placement.py
+++ b/ploverhatch/ownership/placement.py
@@ -18,7 +18,7 @@
 from ploverhatch.state.assignment import AssignmentTable, Slice
 from ploverhatch.state.configuration import ServerSpec
 
-SOURCES_TRIED = 4
+MAX_SOURCES_TRIED = 4
 PIECE_FRACTION = 0.06  # of a server's mean load
 MAX_PIECES = 8
 MAX_SLICES_PER_SERVER = 16
@@ -38,9 +38,9 @@
     """Bounds that keep churn low."""
 
     moves_per_round: int = 8
-    hold_ms: float = 10_000.0
+    move_interval_ms: float = 10_000.0
     imbalance_target: float = 1.08
-    gain_floor: float = 0.02  # least cut of the busiest server, of the mean
+    min_gain_fraction: float = 0.02  # least cut of the busiest server, of the mean
     noise_deviations: float = 3.5  # a lesser excess may be chance
     smoothing_ms: float = 8000.0  # time constant of the measured rates
     hot_key_fraction: float = 0.25  # of a server's mean load
@@ -104,7 +104,7 @@
     def utilization(self, server: str, extra: float = 0.0) -> float:
         return (self.load[server] + extra) / self.capacity[server]
 
-    def least(self, extra: float, among: dict[str, float] | None = None) -> str | None:
+    def least_utilized(self, extra: float, among: dict[str, float] | None = None) -> str | None:
         candidates = among if among is not None else self.capacity
         if not candidates:
             return None
@@ -113,11 +113,11 @@
             key=lambda name: ((self.load[name] + extra) / candidates[name], name),
         )
 
-    def mean(self) -> float:
+    def mean_utilization(self) -> float:
         total = sum(self.load[name] for name in self.capacity)
         return total / max(sum(self.capacity.values()), 1e-9)
 
-    def shift(self, amount: float, source: str, target: str) -> None:
+    def move_load(self, amount: float, source: str, target: str) -> None:
         if source:
             self.load[source] -= amount
         self.load[target] += amount
@@ -135,7 +135,7 @@
     if not plan_.slices:
         return _first_placement(plan_)
     urgent = _replace_lost(plan_)
-    urgent += _leave_drained(plan_)
+    urgent += _move_from_drained(plan_)
     urgent += _labelled_keys(plan_)
     if urgent:
         return urgent
@@ -145,10 +145,10 @@
 def _first_placement(plan_: _GroupPlan) -> list[Target]:
     targets = []
     for span in even_ranges(plan_.group.name, plan_.group.slices):
-        server = plan_.least(plan_.base)
+        server = plan_.least_utilized(plan_.base)
         if server is None:
             return []
-        plan_.shift(plan_.base, "", server)
+        plan_.move_load(plan_.base, "", server)
         targets.append(Target(span, server, "first placement"))
     return targets
 
@@ -191,19 +191,19 @@
     amount = plan_.slice_load(item.range) / len(pieces)
     targets = []
     for piece in pieces:
-        server = plan_.least(amount)
+        server = plan_.least_utilized(amount)
         if server is not None:
-            plan_.shift(amount, item.server, server)
+            plan_.move_load(amount, item.server, server)
             targets.append(Target(piece, server, reason))
     return targets
 
 
 def _replace(plan_: _GroupPlan, item: Slice, reason: str) -> Target | None:
     amount = plan_.slice_load(item.range)
-    server = plan_.least(amount, _eligible(plan_, item.range))
+    server = plan_.least_utilized(amount, _eligible(plan_, item.range))
     if server is None or server == item.server:
         return None
-    plan_.shift(amount, item.server, server)
+    plan_.move_load(amount, item.server, server)
     return Target(item.range, server, reason)
 
 
@@ -216,7 +216,7 @@
     conditions = plan_.view.conditions
     found: list[Target] = []
     for item in _largest_first(plan_):
-        if touches(item.range, plan_.view.moving):
+        if overlaps_any(item.range, plan_.view.moving):
             continue
         orphan = not item.server or conditions.get(item.server) is Condition.LOST
         if orphan:
@@ -224,7 +224,7 @@
     return found
 
 
-def _leave_drained(plan_: _GroupPlan) -> list[Target]:
+def _move_from_drained(plan_: _GroupPlan) -> list[Target]:
     conditions = plan_.view.conditions
     found = []
     for item in _largest_first(plan_):
@@ -260,9 +260,9 @@
             continue
         if any(moving.contains(key_hash) for moving in plan_.view.moving):
             continue
-        server = plan_.least(plan_.base, among)
+        server = plan_.least_utilized(plan_.base, among)
         if server is not None:
-            plan_.shift(plan_.base, owner.server, server)
+            plan_.move_load(plan_.base, owner.server, server)
             targets.append(Target(span, server, "key label selects other servers"))
     return targets
 
@@ -287,13 +287,13 @@
     A server that is busy with a single hot key can not be relieved, so the
     next busiest ones are looked at as well.
     """
-    mean = plan_.mean()
+    mean = plan_.mean_utilization()
     if mean <= 0:
         return None
     threshold = max(limits.imbalance_target, 1 + limits.noise_deviations * _noise(plan_, limits))
     idlest = min(plan_.capacity, key=lambda name: (plan_.utilization(name), name))
     by_load = sorted(plan_.capacity, key=lambda name: (-plan_.utilization(name), name))
-    for source in by_load[:SOURCES_TRIED]:
+    for source in by_load[:MAX_SOURCES_TRIED]:
         if plan_.utilization(source) < threshold * mean:
             return None
         target = _relieve(plan_, limits, source, idlest, now_ms, taken)
@@ -328,10 +328,10 @@
         gain = high - after
         if best is None or gain > best[0]:
             best = (gain, span, amount, reason)
-    if best is None or best[0] < limits.gain_floor * plan_.mean():
+    if best is None or best[0] < limits.min_gain_fraction * plan_.mean_utilization():
         return None
     _, span, amount, reason = best
-    plan_.shift(amount, source, idlest)
+    plan_.move_load(amount, source, idlest)
     return Target(span, idlest, reason)
 
 
@@ -348,8 +348,8 @@
     found: list[tuple[SliceRange, float, str]] = []
     for item in plan_.slices:
         span = item.range
-        held = now_ms - view.moved_ms.get(span, float("-inf")) < limits.hold_ms
-        if item.server != server or held or touches(span, taken):
+        moved_recently = now_ms - view.moved_ms.get(span, float("-inf")) < limits.move_interval_ms
+        if item.server != server or moved_recently or overlaps_any(span, taken):
             continue
         amount = plan_.slice_load(span)
         found.append((span, amount, "balance"))
@@ -364,7 +364,7 @@
     return found
 
 
-def touches(span: SliceRange, taken: Iterable[SliceRange]) -> bool:
+def overlaps_any(span: SliceRange, taken: Iterable[SliceRange]) -> bool:
     """Tell whether a range overlaps one of others."""
     return any(
         other.group == span.group and other.first <= span.last and span.first <= other.last
--- a/ploverhatch/ownership/sessions.py
+++ b/ploverhatch/ownership/sessions.py
@@ -11,7 +11,7 @@
 class ServerSession:
     """What the leader knows of one server since it was elected."""
 
-    alive_until_ms: float
+    lease_until_ms: float
     boot_id: str = ""
     clock_ms: float = 0.0
     clock_read_ms: float = float("-inf")
@@ -19,7 +19,7 @@
     due_ms: float = float("-inf")
     failures: int = 0
     needs_full: bool = True
-    full_above: int = 0  # only a full call with a higher sequence will do
+    full_above_sequence: int = 0  # only a full call with a higher sequence will do
     draining: bool = False
     call: SyncRequest | None = None
     grants: dict[SliceRange, int] = field(default_factory=dict)
--- a/ploverhatch/simulation/cluster.py
+++ b/ploverhatch/simulation/cluster.py
@@ -80,7 +80,7 @@
         self.checker = Checker()
         self.platform = SimulatedPlatform()
         self.timing = ControlTiming(repeat_window_ms=REPEAT_WINDOW_MS)
-        self.limits = PlacementLimits(hold_ms=2000.0)
+        self.limits = PlacementLimits(move_interval_ms=2000.0)
         self.nodes: dict[str, SimulatedNode] = {}
         self.routers: dict[str, SimulatedRouter] = {}
         self.servers: dict[str, SimulatedServer] = {}
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -6,13 +6,13 @@
 from ploverhatch.consensus.actions import Send
 from ploverhatch.control.core import (
     CallBackend,
-    Committed,
     ControlCore,
     CoreAction,
+    EntryPublished,
     LeadershipChanged,
     Proposal,
-    Published,
-    Rejected,
+    ProposalCommitted,
+    ProposalRejected,
 )
 from ploverhatch.membership.recovery import CellRecord, Evidence, RecoveryWatch
 from ploverhatch.ownership.messages import SyncReply
@@ -76,7 +76,7 @@
     def take_status(self, status: wire.NodeStatus) -> None:
         """Handle another node's report."""
         now_ms = self.clock.read()
-        self.core.node_status(status, NodeLoads(now_ms, {}, {}), now_ms)
+        self.core.note_node_status(status, NodeLoads(now_ms, {}, {}), now_ms)
 
     def _platform(self) -> None:
         self.later(PLATFORM_MS, self._platform)
@@ -103,11 +103,11 @@
     def _record_voters(self) -> None:
         platform, membership = self.cluster.platform, self.core.replica.state.membership
         if platform.epoch > membership.epoch:
-            self.act(self.core.epoch_lost())
+            self.act(self.core.leave_epoch())
             return
         voter_ids = tuple(item.node_id for item in membership.voters)
         if platform.record(membership.epoch, voter_ids):
-            self.core.cell_recorded(frozenset(voter_ids))
+            self.core.note_recorded_voters(frozenset(voter_ids))
 
     # ---- founding --------------------------------------------------------------------
 
@@ -155,7 +155,7 @@
 
     def take(self, sender: str, message: Any) -> None:
         """Handle a consensus message."""
-        self.act(self.core.peer_message(sender, message, self.clock.read()))
+        self.act(self.core.handle_peer_message(sender, message, self.clock.read()))
 
     def submit(self, proposal: Proposal) -> None:
         """Commit a command for a router."""
@@ -169,11 +169,11 @@
                     self._send(recipient, message)
                 case CallBackend():
                     self._call_backend(action)
-                case Published(entry):
+                case EntryPublished(entry):
                     self._published(entry)
-                case Committed(proposal, result):
+                case ProposalCommitted(proposal, result):
                     _answer(proposal, result)
-                case Rejected(proposal, _):
+                case ProposalRejected(proposal, _):
                     _answer(proposal, None)
                 case LeadershipChanged(True, term):
                     epoch = self.core.replica.state.epoch
@@ -200,7 +200,7 @@
         def end(reply: SyncReply | None) -> None:
             if open_call:
                 open_call.clear()
-                actions = self.core.sync_ended(
+                actions = self.core.handle_sync_result(
                     action.leadership, call.server, call.request, reply, self.clock.read()
                 )
                 self.act(actions)
--- a/ploverhatch/simulation/server.py
+++ b/ploverhatch/simulation/server.py
@@ -64,7 +64,7 @@
         if request_id in self._cancelled:
             reply(Refusal.CANCELLED, now_ms)
             return
-        verdict = self.book.judge(key[0], key[1], token, now_ms, not_after_ms)
+        verdict = self.book.check_start(key[0], key[1], token, now_ms, not_after_ms)
         if verdict is not Verdict.EXECUTE:
             reply(Refusal(verdict.value), now_ms)
             return
--- a/tests/functional/test_crash_guard.py
+++ b/tests/functional/test_crash_guard.py
@@ -19,8 +19,8 @@
     made = CrashGuard()
     request = copy()
     made.check(request, False)
-    made.ended(request, "s1", elapsed_ms() - 10)
-    made.over(request)
+    made.note_crash(request, "s1", elapsed_ms() - 10)
+    made.note_finished(request)
     return made
 
 
@@ -37,7 +37,7 @@
     gevent.sleep(0.02)
     assert not any(task.ready() for task in waiting)
     guard.check(copy(target="/another"), False)
-    guard.answered(first)
+    guard.note_answer(first)
     gevent.joinall(waiting, timeout=0.1, raise_error=True)
     assert all(task.ready() for task in waiting)
 
@@ -47,10 +47,10 @@
     guard.check(first, False)
     waiting = [gevent.spawn(guard.check, other, False) for other in (second, third)]
     gevent.sleep(0.01)
-    guard.over(first)  # its caller left: nothing was learned
+    guard.note_finished(first)  # its caller left: nothing was learned
     gevent.sleep(0.01)
     assert [task.ready() for task in waiting] == [True, False]
-    guard.over(second)
+    guard.note_finished(second)
     assert waiting[1].get(timeout=0.1) is None
 
 
@@ -70,7 +70,7 @@
     first, queued = copy("b"), copy("c")
     assert guard.allows(first, False)
     assert not guard.allows(queued, False)
-    guard.over(first)
+    guard.note_finished(first)
     assert guard.allows(queued, False)
 
 
@@ -79,8 +79,8 @@
         request = copy(caller)
         guard.check(request, False)
         gevent.sleep(0.002)
-        guard.ended(request, f"s{number + 2}", elapsed_ms() - 1)
-        guard.over(request)
+        guard.note_crash(request, f"s{number + 2}", elapsed_ms() - 1)
+        guard.note_finished(request)
     with pytest.raises(RefusedError) as caught:
         guard.check(copy("z"), False)
     assert caught.value.result is results.QUARANTINED
--- a/tests/unit/mutations.py
+++ b/tests/unit/mutations.py
@@ -6,23 +6,23 @@
 from ploverhatch.common.timing import ControlTiming
 from ploverhatch.consensus.replica import Replica
 from ploverhatch.ownership.controller import OwnershipController
-from ploverhatch.ownership.grant_book import HELD, GrantBook, Verdict
+from ploverhatch.ownership.grant_book import THIS_SERVER, GrantBook, Verdict
 from ploverhatch.routing import attempts
 from ploverhatch.state.records import ClaimResult, RecordTable
 
 
-def judge_without_token(book, group, key_hash, token, now_ms, not_after_ms):
+def check_start_without_token(book, group, key_hash, token, now_ms, not_after_ms):
     held = book._held.find(group, key_hash)
     if now_ms >= book.expires_ms:
         return Verdict.LAPSED
-    return Verdict.EXECUTE if held and held.server == HELD else Verdict.NOT_OWNER
+    return Verdict.EXECUTE if held and held.server == THIS_SERVER else Verdict.NOT_OWNER
 
 
-real_judge = GrantBook.judge
+real_check_start = GrantBook.check_start
 
 
-def judge_without_expiry(book, group, key_hash, token, now_ms, not_after_ms):
-    return real_judge(book, group, key_hash, token, book.expires_ms - 1, not_after_ms)
+def check_start_without_expiry(book, group, key_hash, token, now_ms, not_after_ms):
+    return real_check_start(book, group, key_hash, token, book.expires_ms - 1, not_after_ms)
 
 
 def silent_soon(_, session, now_ms):
@@ -30,17 +30,17 @@
 
 
 MUTATIONS = {
-    "token not judged": [(GrantBook, "judge", judge_without_token)],
-    "lease never lapses": [(GrantBook, "judge", judge_without_expiry)],
+    "token not judged": [(GrantBook, "check_start", check_start_without_token)],
+    "lease never lapses": [(GrantBook, "check_start", check_start_without_expiry)],
     "lapse not waited out": [
         (ControlTiming, "lease_bound_ms", property(lambda _: 100.0)),
-        (OwnershipController, "_silent", silent_soon),
+        (OwnershipController, "_is_unresponsive", silent_soon),
     ],
     "old grants not replaced": [
         (OwnershipController, "_forget_grants_of", lambda *_: None),
     ],
     "earlier leaders not fenced": [(GrantBook, "_admits", lambda *_: True)],
-    "revoke not awaited": [(OwnershipController, "_source_gone", lambda *_: True)],
+    "revoke not awaited": [(OwnershipController, "_source_released", lambda *_: True)],
     "claims not recorded": [(RecordTable, "claim", lambda *_: ClaimResult.CLAIMED)],
     "lost answers counted as not run": [(attempts, "_MAY_HAVE_RUN", frozenset())],
     "leader acts without a quorum": [
--- a/tests/unit/test_found_faults.py
+++ b/tests/unit/test_found_faults.py
@@ -51,11 +51,11 @@
             span = SliceRange(item.group, item.first, item.last)
             token = make_token(2, self.index)
             self.state.assignments.put(Slice(span, item.server, token))
-        self.controller.applied(change, self.index, self.now_ms)
+        self.controller.note_committed(change, self.index, self.now_ms)
 
     def answer(self, server, request):
         reply = SyncReply(True, f"boot-{server}", self.now_ms)
-        self.controller.replied(server, request, reply, self.now_ms)
+        self.controller.handle_reply(server, request, reply, self.now_ms)
 
     def answer_all(self, step_ms=1.0):
         for server, request in self.tick(step_ms).items():
@@ -66,7 +66,7 @@
         while self.state.assignments.owned_by(server):
             for name, request in self.tick(100.0).items():
                 if name == server:
-                    self.controller.failed(name, request, self.now_ms)
+                    self.controller.note_call_failed(name, request, self.now_ms)
                 else:
                     self.answer(name, request)
 
--- a/tests/unit/test_grant_book.py
+++ b/tests/unit/test_grant_book.py
@@ -52,7 +52,7 @@
     ],
 )
 def test_request_is_judged(key_hash, token, now_ms, not_after_ms, verdict):
-    assert granted().judge("g", key_hash, token, now_ms, not_after_ms) is verdict
+    assert granted().check_start("g", key_hash, token, now_ms, not_after_ms) is verdict
 
 
 def test_revoked_range_is_busy_until_its_request_ends():
@@ -61,8 +61,8 @@
     hole = SliceRange("g", 5, 5)
     revoke = {"full": False, "grants": (), "revokes": (hole,)}
     assert book.sync(request(sequence=6, **revoke), 0).busy == (hole,)
-    assert book.judge("g", 5, 7, 0, 99) is Verdict.NOT_OWNER
-    assert book.judge("g", 6, 7, 0, 99) is Verdict.EXECUTE
+    assert book.check_start("g", 5, 7, 0, 99) is Verdict.NOT_OWNER
+    assert book.check_start("g", 6, 7, 0, 99) is Verdict.EXECUTE
     book.end("g", 5)
     assert book.sync(request(sequence=7, **revoke), 0).busy == ()
 
--- a/tests/unit/test_replica.py
+++ b/tests/unit/test_replica.py
@@ -30,7 +30,7 @@
             replica = Replica(member.node_id, TIMING)
             membership = wire.MembershipChange(epoch=1, voters=members)
             replica.state.membership = membership
-            replica._begin(replica.state)
+            replica._reset(replica.state)
             self.replicas[member.node_id] = replica
             self.handle(member.node_id, replica.start(0.0))
 
