--- a/ploverhatch/consensus/actions.py
+++ b/ploverhatch/consensus/actions.py
@@ -1,4 +1,4 @@
-"""Roles, actions and errors of a replica, and what a leader knows of others."""
+"""Roles, actions and errors of a replica, and a leader's state of its followers."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class Role(Enum):
-    """Part that a replica plays in the current term."""
+    """Role of a replica in the current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Action: send a message to a node; it may be lost."""
+    """Action: send a message to a node; delivery is not guaranteed."""
 
     recipient: str
     message: Any
@@ -52,7 +52,10 @@
 
 
 class NotLeaderError(Exception):
-    """Only the leader takes proposals; ``leader_id`` may name it."""
+    """A replica that does not lead cannot accept a proposal.
+
+    ``leader_id`` names the leader, or is empty when it is unknown.
+    """
 
     def __init__(self, leader_id: str) -> None:
         super().__init__(leader_id)
@@ -60,16 +63,19 @@
 
 
 class MembershipPendingError(Exception):
-    """An earlier change of the voters is not committed yet."""
+    """A change of the voters is refused, since an earlier entry is not committed yet.
+
+    That entry is either an earlier change of the voters or the first of this term.
+    """
 
 
 @dataclass
 class Progress:
-    """What a leader knows of one follower or learner."""
+    """Replication state of one follower or learner, kept by the leader."""
 
     next_index: int
     match_index: int = 0
-    acknowledged_ms: float = float("-inf")  # newest heartbeat sent and answered
+    acknowledged_ms: float = float("-inf")  # send time of the newest acknowledged message
     last_reply_ms: float = float("-inf")
-    in_flight_index: int = 0  # last index of the batch on its way, zero when none
+    in_flight_index: int = 0  # last index of the batch in flight; zero when there is none
     sent_ms: float = float("-inf")
--- a/ploverhatch/consensus/log.py
+++ b/ploverhatch/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a compacted prefix."""
+"""The in-memory log: the entries after a compacted prefix."""
 
 from collections.abc import Sequence
 
@@ -7,7 +7,7 @@
 
 
 class MemoryLog:
-    """Entries with index above ``base_index``; earlier ones are compacted."""
+    """Log entries with an index above ``base_index``; earlier ones are compacted."""
 
     def __init__(self, base_index: int = 0, base_term: int = 0) -> None:
         self.base_index = base_index
@@ -25,7 +25,7 @@
         return self._entries[-1].term if self._entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, ``None`` when compacted or absent."""
+        """Return the term of an entry, or ``None`` when it is compacted or absent."""
         if index == self.base_index:
             return self.base_term
         if index < self.base_index or index > self.last_index:
@@ -38,11 +38,11 @@
         return self._entries[start : start + count]
 
     def append(self, entry: wire.LogEntry) -> None:
-        """Add the entry that follows the newest one."""
+        """Append the entry that follows the newest one."""
         self._entries.append(entry)
 
     def merge(self, entries: Sequence[wire.LogEntry]) -> bool:
-        """Store entries of a leader, dropping those that conflict.
+        """Store entries of a leader and drop own entries that conflict with them.
 
         :returns: whether entries were dropped.
         """
@@ -60,7 +60,7 @@
         return dropped
 
     def compact(self, through: int) -> None:
-        """Forget entries up to and including ``through``."""
+        """Drop entries up to and including index ``through``."""
         term = self.term_at(through)
         if term is None or through <= self.base_index:
             return
@@ -69,7 +69,7 @@
         self.base_term = term
 
     def newest_membership(self) -> tuple[int, wire.MembershipChange] | None:
-        """Return the newest membership entry and its index."""
+        """Return the index and command of the newest membership entry, if there is one."""
         for entry in reversed(self._entries):
             if entry.kind == MEMBERSHIP_KIND:
                 command = decode_command(entry)
--- a/ploverhatch/consensus/replica.py
+++ b/ploverhatch/consensus/replica.py
@@ -1,16 +1,18 @@
-"""Replica of the log: elections, replication, membership, snapshots.
+"""Replica of the log: elections, replication, membership and snapshots.
 
 The algorithm is Raft's (Ongaro 2014) with pre-vote, check-quorum, leadership
-transfer and one-voter-at-a-time changes, fitted to processes without disks:
-
-* term, vote and log live in memory only. A restarted process has a new
-  ``node_id`` and joins as a learner, so a forgotten vote can not be repeated;
-* a leader may act on its leadership only while :meth:`Replica.has_lease`
-  holds: a majority answered a heartbeat sent within the election timeout, and
-  every voter refuses to elect another leader for as long.
-
-The class does no input or output and reads no clock: events come with
-``now_ms`` (elapsed milliseconds) and actions are returned.
+transfer and membership changes of one voter at a time. It is adapted to processes
+without disks:
+
+* Term, vote and log are kept in memory only. A restarted process has a new
+  ``node_id`` and joins as a learner, so a node never votes twice in one term.
+* A leader may act on its leadership only while :meth:`Replica.has_lease` is true: a
+  majority answered a heartbeat that was sent within the leader lease, which is
+  shorter than the election timeout, and each voter refuses to elect another leader
+  for an election timeout after it heard from its leader.
+
+This module does no I/O and reads no clock: events carry ``now_ms`` (elapsed
+milliseconds), and actions are returned.
 """
 
 from collections.abc import Iterable
@@ -44,7 +46,7 @@
 
 @dataclass
 class Replica:
-    """One replica. ``state`` is the applied state, ``log`` the entries."""
+    """A replica; ``state`` is the applied state and ``log`` holds the entries."""
 
     node_id: str
     timing: ControlTiming
@@ -54,7 +56,7 @@
         self._reset(self.state)
 
     def _reset(self, state: ReplicatedState) -> None:
-        """Set all volatile state to that of a new process with ``state``."""
+        """Reset to the state of a new process whose applied state is ``state``."""
         self.state = state
         self.epoch = state.epoch
         self.log = MemoryLog(state.index, state.term)
@@ -84,12 +86,12 @@
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this replica votes."""
+        """Whether this replica is a voter."""
         return self.node_id in self.voters
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads its term (see also ``has_lease``)."""
+        """Whether this replica leads its term (see also ``has_lease``)."""
         return self.role is Role.LEADER
 
     def has_lease(self, now_ms: float) -> bool:
@@ -110,17 +112,17 @@
         return self.is_leader and self.state.index >= self._first_index_of_term
 
     def since_reply_ms(self, node_id: str, now_ms: float) -> float:
-        """Return how long a leader has not heard from a voter or learner."""
+        """Return the milliseconds since a voter or learner last replied to this leader."""
         progress = self._progress.get(node_id)
         return now_ms - progress.last_reply_ms if progress else float("inf")
 
     @property
     def learner_ids(self) -> list[str]:
-        """Nodes that are replicated to and do not vote."""
+        """Ids of the nodes that receive the log and do not vote."""
         return list(self._learners)
 
     def caught_up_learners(self) -> list[wire.Member]:
-        """Return learners whose log nearly equals the leader's."""
+        """Return the learners that lack at most ``LEARNER_SLACK_ENTRIES`` entries."""
         return [
             member
             for node_id, member in self._learners.items()
@@ -135,14 +137,14 @@
     # ---- events -------------------------------------------------------------
 
     def start(self, now_ms: float) -> list[Action]:
-        """Begin; a voter of the initial membership may stand for election."""
+        """Start the election timer; only a voter of the initial membership can use it."""
         self._reset_election(now_ms)
         return self._pop_actions()
 
     def bootstrap(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
-        """Found a cell of which this replica is the only voter.
+        """Found a cell whose only voter is this replica.
 
-        The caller has won the epoch by compare-and-set on the platform.
+        The caller must have won the epoch by compare-and-set on the platform.
         """
         self.epoch = membership.epoch
         self._membership = membership
@@ -153,11 +155,11 @@
         return self._pop_actions()
 
     def found_next_epoch(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
-        """Found the next epoch as the only voter that survived the last one.
+        """Found the next epoch as a surviving voter of the last one.
 
-        Entries not known to be committed are kept: the dead leader may have
-        acknowledged them after this replica's answer. They count as entries of
-        the new epoch, and joining nodes get them by snapshot, so that every
+        Entries that are not known to be committed are kept, since the dead leader may
+        have acknowledged them after the reply of this replica. They count as entries
+        of the new epoch, and joining nodes receive them by snapshot, so that every
         replica computes the same tokens.
         """
         self.state.membership = membership
@@ -167,7 +169,7 @@
         return self.bootstrap(membership, now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Let time pass."""
+        """Run the actions that are due at ``now_ms``: elections, heartbeats, resignation."""
         if self.role is Role.LEADER:
             self._tick_leader(now_ms)
         elif self.is_voter and now_ms >= self._election_due_ms:
@@ -175,7 +177,7 @@
         return self._pop_actions()
 
     def receive(self, sender: str, message: Any, now_ms: float) -> list[Action]:
-        """Handle a message of another replica; one of an older epoch is dropped."""
+        """Handle a message of another replica; messages of older epochs are dropped."""
         if message.epoch < self.epoch:
             return []
         if message.epoch > self.epoch:
@@ -196,10 +198,10 @@
         return self._pop_actions()
 
     def _enter_epoch(self, epoch: int) -> None:
-        """Leave an older epoch, log and vote included, for one that replaced it.
+        """Move to a newer epoch and discard the log and vote of the old one.
 
-        The new epoch was founded because the old one lost its quorum, so
-        nothing that only this replica remembers can be missed.
+        The new epoch was founded because the old one lost its quorum, so nothing that
+        only this replica stores is needed any more.
         """
         was_leader = self.role is Role.LEADER
         if self.epoch:
@@ -211,8 +213,8 @@
     def propose(self, commands: Iterable[Command], now_ms: float) -> tuple[list[int], list[Action]]:
         """Append commands to the log.
 
-        :returns: their indices, and actions.
-        :raises NotLeaderError: when this replica does not lead.
+        :returns: the indices of the entries, and actions.
+        :raises NotLeaderError: this replica does not lead.
         """
         if not self.is_leader:
             raise NotLeaderError(self.leader_id)
@@ -224,10 +226,12 @@
     def propose_membership(
         self, voters: list[wire.Member], now_ms: float
     ) -> tuple[list[int], list[Action]]:
-        """Change the voters by at most one member.
+        """Propose a change of the voters by at most one member.
 
-        :raises MembershipPendingError: while an earlier change is open, or
-            before an entry of this term is committed.
+        :returns: the indices of the entries, and actions.
+        :raises MembershipPendingError: an earlier change is not committed, or no entry of
+            this term is committed yet.
+        :raises NotLeaderError: this replica does not lead.
         """
         if not self.membership_settled() or self.commit_index < self._first_index_of_term:
             raise MembershipPendingError
@@ -248,10 +252,10 @@
             self._progress.pop(node_id, None)
 
     def transfer_leadership(self, now_ms: float) -> list[Action]:
-        """Hand leadership to the voter with the longest log, and step down.
+        """Transfer leadership to the voter with the longest log, and step down.
 
-        Stepping down before the message leaves keeps the lease rule: this
-        replica no longer acts as leader when the other is elected.
+        This replica steps down before the message is sent, so that it no longer acts
+        as leader when the other voter is elected.
         """
         others = [node_id for node_id in self.voters if node_id != self.node_id]
         if not self.is_leader or not others:
@@ -265,7 +269,7 @@
     # ---- elections ----------------------------------------------------------
 
     def _jitter(self) -> float:
-        """Return a fraction in [0, 1) that differs by node and term."""
+        """Return a number in [0, 1) that depends on the node, the term and the votes."""
         digest = xxhash.xxh3_64_intdigest(f"{self.node_id}/{self.term}/{len(self._votes)}".encode())
         return float((digest % 1000) / 1000)
 
@@ -306,8 +310,8 @@
             self._post(node_id, request)
 
     def _on_vote_request(self, sender: str, request: wire.VoteRequest, now_ms: float) -> None:
-        # A voter that still hears its leader ignores the request, term
-        # included: the leader's lease rests on this promise.
+        # A voter that recently heard from its leader ignores the request and its term:
+        # the lease of the leader depends on this.
         follows_leader = now_ms - self._leader_contact_ms < self.timing.election_ms
         if not request.transfer and (follows_leader or self.has_lease(now_ms)):
             return
@@ -369,7 +373,7 @@
         self._advance_commit(now_ms)
 
     def _newest_clock(self) -> float:
-        """Return the newest replicated clock value in the log or state."""
+        """Return the newest replicated clock value, in the log or the state."""
         newest = self.log.slice(self.log.last_index, 1)
         return float(max(self.state.clock_ms, newest[0].clock_ms if newest else 0))
 
@@ -427,20 +431,23 @@
             self._step_down(self.term, now_ms)
 
     def _lost_quorum(self, now_ms: float) -> bool:
-        """Check-quorum: a leader that a majority left silent resigns."""
+        """Tell whether less than a majority of the voters replied recently (check-quorum)."""
         limit_ms = 2 * self.timing.election_ms
-        heard = sum(
+        replied = sum(
             node_id == self.node_id or self.since_reply_ms(node_id, now_ms) < limit_ms
             for node_id in self.voters
         )
-        return heard < self._majority()
+        return replied < self._majority()
 
     def _replicate_all(self, now_ms: float) -> None:
         for node_id in list(self._progress):
             self._replicate(node_id, now_ms)
 
     def _replicate(self, node_id: str, now_ms: float, heartbeat: bool = False) -> None:
-        """Send what a follower lacks; one batch at a time, heartbeats always."""
+        """Send missing entries to a follower.
+
+        Only one batch is in flight at a time; heartbeats are always sent.
+        """
         progress = self._progress[node_id]
         stalled = now_ms - progress.sent_ms > self.timing.heartbeat_ms
         if progress.in_flight_index and not stalled and not heartbeat:
@@ -508,7 +515,7 @@
             reverse=True,
         )
         candidate = matches[self._majority() - 1]
-        # Only entries of the own term are committed by counting replicas.
+        # Counting replicas commits only entries of the current term (Raft, section 5.4.2).
         if candidate <= self.commit_index or self.log.term_at(candidate) != self.term:
             return
         self.commit_index = candidate
@@ -520,7 +527,7 @@
             self._actions.append(RoleChanged(False, self.term))
 
     def _announce_commit(self, now_ms: float) -> None:
-        """Tell followers at once, since observers take entries from them."""
+        """Send the new commit index at once, since followers feed entries to observers."""
         for node_id in list(self._progress):
             self._replicate(node_id, now_ms, heartbeat=True)
 
@@ -590,7 +597,7 @@
     def _apply_committed(self) -> bool:
         """Apply entries up to the commit index.
 
-        :returns: whether one of them concerns observers.
+        :returns: whether one of them must be sent to observers.
         """
         public = False
         pending = self.commit_index - self.state.index
@@ -603,7 +610,7 @@
         return public
 
     def _post(self, recipient: str, message: Any) -> None:
-        """Queue a message, marked with this replica's epoch."""
+        """Queue a message, stamped with the epoch of this replica."""
         message.epoch = self.epoch
         self._actions.append(Send(recipient, message))
 
--- a/ploverhatch/control/__init__.py
+++ b/ploverhatch/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control role: consensus, leases, placement and voters, as one pure core."""
+"""The control role: consensus, leases, placement and voters in one core without I/O."""
--- a/ploverhatch/control/compiled.py
+++ b/ploverhatch/control/compiled.py
@@ -1,4 +1,4 @@
-"""The configuration in force, compiled once per generation."""
+"""The current configuration, compiled once per generation."""
 
 from ploverhatch.policy.compiler import compile_policy
 from ploverhatch.policy.diagnostics import PolicyError
@@ -7,10 +7,10 @@
 
 
 class CompiledConfiguration:
-    """Policy table and servers of the newest generation seen.
+    """Policy table and servers of the newest known generation.
 
-    Changes are checked before they are stored; should a bad policy come
-    through all the same, the last good one stays and ``faults`` counts it.
+    Changes are checked before they are stored. If a policy that does not compile is
+    stored nevertheless, the last valid one stays in force and ``faults`` is incremented.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._source = ""
 
     def refresh(self, configuration: ConfigurationState) -> bool:
-        """Compile a newer generation; false when there is none."""
+        """Compile the configuration unless its generation is known; tell whether it did."""
         if configuration.generation == self._generation:
             return False
         self._generation = configuration.generation
--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -1,7 +1,8 @@
-"""Pure core of the control task: events in, actions out.
+"""Core of the control task: it receives events and returns actions.
 
-It joins the replica, the ownership decisions while the replica leads, and the
-care for the voters. The live task and the simulation drive the same class.
+The core combines the replica, the ownership decisions while the replica leads, and the
+choice of voters. The control task of a node and the simulation run the same class. This
+module does no I/O and reads no clock.
 """
 
 from collections.abc import Iterable
@@ -48,7 +49,11 @@
 
 @dataclass(frozen=True)
 class Proposal:
-    """A command to commit; identity tells proposals apart."""
+    """A command to commit.
+
+    ``reply_to`` is returned unchanged with the result, so that the caller can find the
+    task that waits for it.
+    """
 
     command: Command
     reply_to: Any = field(default=None, compare=False)
@@ -56,7 +61,7 @@
 
 @dataclass(frozen=True)
 class CallBackend:
-    """Action: send a sync call; report its end with ``handle_sync_result``."""
+    """Action: send a sync call; pass the result to ``handle_sync_result``."""
 
     leadership: OwnershipController
     call: CallServer
@@ -72,7 +77,7 @@
 
 @dataclass(frozen=True)
 class ProposalRejected:
-    """Action: a proposal was not taken, or lost to another entry."""
+    """Action: a proposal was not accepted, or another entry took its index."""
 
     proposal: Proposal
     leader_id: str
@@ -87,12 +92,12 @@
 
 @dataclass(frozen=True)
 class StateReplaced:
-    """Action: ``replica.state`` is another object now."""
+    """Action: ``replica.state`` was replaced by another object."""
 
 
 @dataclass(frozen=True)
 class LeadershipChanged:
-    """Action: this node began or ceased to lead ``term``."""
+    """Action: this node began or stopped leading in ``term``."""
 
     leading: bool
     term: int
@@ -118,7 +123,7 @@
 
 
 class ControlCore:
-    """Control decisions of one node. Times are elapsed milliseconds."""
+    """Makes the control decisions of one node. Times are elapsed milliseconds."""
 
     def __init__(
         self,
@@ -147,7 +152,7 @@
     # ---- events -----------------------------------------------------------------
 
     def start(self, now_ms: float) -> list[CoreAction]:
-        """Begin."""
+        """Start the replica."""
         self._handle_replica_actions(self.replica.start(now_ms), now_ms)
         return self._pop_actions()
 
@@ -159,7 +164,11 @@
         return self._pop_actions()
 
     def propose(self, proposals: list[Proposal], now_ms: float) -> list[CoreAction]:
-        """Commit commands in one append."""
+        """Append commands to the log together.
+
+        Each proposal is answered by ``ProposalCommitted`` or ``ProposalRejected``, or not
+        at all when this node loses the leadership meanwhile.
+        """
         self._propose(proposals, now_ms)
         return self._pop_actions()
 
@@ -171,7 +180,7 @@
         reply: SyncReply | None,
         now_ms: float,
     ) -> list[CoreAction]:
-        """Take over the end of a back end call; no reply: it failed."""
+        """Handle the result of a call to a back end; ``reply`` is ``None`` if it failed."""
         if leadership is not self.controller:
             return []
         if reply is None:
@@ -185,7 +194,7 @@
     def note_node_status(
         self, status: wire.NodeStatus, loads: NodeLoads, now_ms: float
     ) -> list[CoreAction]:
-        """Take over a node's report."""
+        """Store the status report and the loads of a node."""
         node_id = status.member.node_id
         self.addresses[node_id] = status.member
         self.nodes[node_id] = (now_ms, status)
@@ -195,22 +204,22 @@
         return []
 
     def note_machines_leaving(self, servers: Iterable[str]) -> list[CoreAction]:
-        """Take over which back ends the platform lists as leaving."""
+        """Note which back ends the machine list of the platform shows as leaving."""
         if self.controller is not None:
             self.controller.note_machines_leaving(servers)
         return []
 
     def note_recorded_voters(self, voter_ids: frozenset[str]) -> list[CoreAction]:
-        """Note which voters the platform's cell object names."""
+        """Note which voters the cell object of the platform names."""
         self._recorded = voter_ids
         return []
 
     def found_cell(
         self, membership: wire.MembershipChange, survived: bool, now_ms: float
     ) -> list[CoreAction]:
-        """Found an epoch that this node won.
+        """Found the epoch that this node won by compare-and-set on the platform.
 
-        :param survived: it voted in the last epoch and keeps that log.
+        :param survived: whether this node voted in the last epoch and keeps its log.
         """
         self._recorded = frozenset(item.node_id for item in membership.voters)
         if membership.epoch > FIRST_EPOCH:
@@ -226,17 +235,17 @@
         return self._pop_actions()
 
     def leave_epoch(self) -> list[CoreAction]:
-        """Leave an epoch that another has replaced."""
+        """Leave an epoch that a newer one has replaced."""
         self._reset_replica()
         return self._pop_actions()
 
     def hand_over_leadership(self, now_ms: float) -> list[CoreAction]:
-        """Hand leadership on, because the node stops."""
+        """Transfer the leadership to another voter, because this node stops."""
         self._handle_replica_actions(self.replica.transfer_leadership(now_ms), now_ms)
         return self._pop_actions()
 
     def tick(self, now_ms: float) -> list[CoreAction]:
-        """Let time pass."""
+        """Run everything that is due at ``now_ms``."""
         self._handle_replica_actions(self.replica.tick(now_ms), now_ms)
         self._drive_ownership(now_ms)
         if self.replica.is_leader:
@@ -244,7 +253,7 @@
         return self._pop_actions()
 
     def next_tick_ms(self) -> float:
-        """Return how soon time matters to this node: least to mere observers."""
+        """Return the milliseconds until the next tick; it grows from leader to observer."""
         if self.replica.is_leader:
             return self._timing.tick_ms
         if self.replica.is_voter:
@@ -252,7 +261,7 @@
         return self._timing.tick_ms * OBSERVER_TICKS
 
     def _concerns_ownership(self) -> bool:
-        """Tell whether entries other than on records were just applied."""
+        """Tell whether entries other than record entries were just applied."""
         return any(
             isinstance(action, EntryPublished) and action.entry.kind not in RECORD_KINDS
             for action in self._out
@@ -411,12 +420,12 @@
         if leading:
             self._voter_check_ms = now_ms + VOTER_CHECK_MS
             return
-        # Open proposals may still be committed by the next leader: whoever
-        # waits for them times out and learns that the result is unknown.
+        # The next leader may still commit open proposals, so they get no result: the tasks
+        # that wait for them time out and report the result as unknown.
         self._proposals.clear()
 
     def _reset_replica(self) -> None:
-        """Leave the old epoch: no vote, no log, no leadership of it remains."""
+        """Discard the vote, the log and the leadership of the old epoch."""
         self.controller = None
         self._proposals.clear()
         self.replica = Replica(self._member.node_id, self._timing)
--- a/ploverhatch/membership/__init__.py
+++ b/ploverhatch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes belong to a cell and which of them vote."""
+"""Membership of a cell: its voters, and the founding of a new epoch."""
--- a/ploverhatch/membership/recovery.py
+++ b/ploverhatch/membership/recovery.py
@@ -1,14 +1,16 @@
-"""When a new epoch of a cell may be founded. Pure.
+"""Decides when a new epoch of a cell may be founded.
 
-A cell lives in memory only, so its quorum may be lost for good. A node founds
-a new epoch by compare-and-set on the platform's cell object, but only when
-the old epoch can never act again:
+The state of a cell is kept in memory only, so its quorum may be lost for good. A node
+founds a new epoch by compare-and-set on the cell object of the platform, but only when
+the old epoch can never commit again:
 
-* a voter of the old epoch may found when so many other voters are *proven*
-  dead that no quorum is left, and no survivor has a longer log;
-* any other node may found when every recorded voter is proven dead.
+* a voter of the old epoch may found one when so many other voters are *proven* dead
+  that no quorum is left, and no surviving voter has a longer log;
+* any other node may found one when every recorded voter is proven dead.
 
-Silence proves nothing: a voter that is cut off or frozen may return.
+A missing reply proves nothing: a voter that is cut off or frozen may return.
+
+This module does no I/O and reads no clock.
 """
 
 from collections.abc import Collection
@@ -19,24 +21,24 @@
 
 
 class Evidence(Enum):
-    """What asking a voter's address showed."""
+    """Result of a request to the address of a voter."""
 
     ALIVE = "alive"
-    ALIVE_AHEAD = "alive-ahead"  # and its log is longer than ours
-    ALIVE_SAME = "alive-same"  # and it knows the same voters as we do
-    REFUSED = "refused"  # nothing listens: the process that did is gone
-    REPLACED = "replaced"  # another process lifetime answers there
+    ALIVE_AHEAD = "alive-ahead"  # its log is newer than the one of this node
+    ALIVE_SAME = "alive-same"  # it knows the same voters as this node
+    REFUSED = "refused"  # nothing listens there, so the process is gone
+    REPLACED = "replaced"  # another process answers there
     SILENT = "silent"
 
     @property
     def proves_death(self) -> bool:
-        """Tell whether the asked process lifetime has surely ended."""
+        """Whether the process of the voter is certain to have ended."""
         return self in {Evidence.REFUSED, Evidence.REPLACED}
 
 
 @dataclass(frozen=True)
 class CellRecord:
-    """The platform's cell object; version 0: there is none."""
+    """The cell object of the platform; version 0 means that there is none."""
 
     version: int
     epoch: int
@@ -44,13 +46,13 @@
 
 
 def quorum_is_lost(voters: Collection[str], dead: Collection[str]) -> bool:
-    """Tell whether the voters that may still live are too few to decide."""
+    """Tell whether fewer than a majority of the voters may still be alive."""
     return len(set(voters) - set(dead)) < len(voters) // 2 + 1
 
 
 @dataclass
 class RecoveryWatch:
-    """Collects evidence over time for one cell record."""
+    """Collects evidence over time for one version of the cell record."""
 
     node_id: str
     record: CellRecord
@@ -59,11 +61,13 @@
     def observe(
         self, evidence: dict[str, Evidence], known_voters: Collection[str], now_ms: float
     ) -> bool:
-        """Take over one round of evidence.
+        """Add one round of evidence.
 
-        :param known_voters: the voters by this node's own log, if it votes;
-            they may be newer than the record.
-        :returns: whether a new epoch may be founded on this record.
+        :param evidence: the evidence by node id of the voters.
+        :param known_voters: the voters in the log of this node, if it is a voter; they may
+            be newer than the record.
+        :returns: whether a new epoch may replace the one of the record. The evidence must
+            have allowed it for ``PROOF_SPAN_MS`` without interruption.
         """
         if self.record.version == 0:
             return True
@@ -81,6 +85,7 @@
             return dead >= set(recorded)
         if Evidence.ALIVE_AHEAD in evidence.values():
             return False
-        # A survivor that knows our voters does not act under the recorded ones.
+        # A surviving voter that knows the same voters as this node does not decide by a
+        # quorum of the recorded ones.
         agreed = {node_id for node_id, found in evidence.items() if found is Evidence.ALIVE_SAME}
         return quorum_is_lost(known_voters, dead) and quorum_is_lost(recorded, dead | agreed)
--- a/ploverhatch/membership/voters.py
+++ b/ploverhatch/membership/voters.py
@@ -1,4 +1,7 @@
-"""Which nodes vote: one per zone, healed as machines are replaced. Pure."""
+"""Chooses the voters: one per zone, replaced as machines come and go.
+
+This module does no I/O and reads no clock.
+"""
 
 from collections.abc import Collection
 from dataclasses import dataclass
@@ -8,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A node that reports to the leader."""
+    """A node that reports its status to the leader."""
 
     member: wire.Member
     leaving: bool
@@ -16,11 +19,12 @@
 
 @dataclass(frozen=True)
 class VoterView:
-    """What the leader knows when it looks after the voters.
+    """Input of the choice of voters, as known to the leader.
 
-    ``lost`` are voters that were silent too long, ``caught_up`` learners whose
-    log is complete, ``recorded`` the voters that the platform's cell object
-    names.
+    ``wanted`` is the number of voters to have, ``nodes`` the nodes that reported recently,
+    ``lost`` the voters that did not reply for too long, ``caught_up`` the learners whose
+    log is nearly complete, and ``recorded`` the voters that the cell object of the
+    platform names.
     """
 
     leader_id: str
@@ -35,14 +39,14 @@
 
 @dataclass(frozen=True)
 class AddLearner:
-    """Start replicating to a node."""
+    """Step: start replicating to a node."""
 
     member: wire.Member
 
 
 @dataclass(frozen=True)
 class ChangeVoters:
-    """Commit a new set of voters, different in one member."""
+    """Step: commit a set of voters that differs in one member."""
 
     voters: tuple[wire.Member, ...]
 
@@ -51,17 +55,17 @@
 
 
 def recovery_stays_safe(voters: Collection[str], recorded: Collection[str]) -> bool:
-    """Tell whether all recorded voters being dead means the quorum is lost.
+    """Tell whether the quorum is certain to be lost once all recorded voters are dead.
 
-    A new epoch may be founded when every voter that the platform records is
-    proven dead, so voters the platform does not know must be a minority.
+    A new epoch may be founded when every voter that the platform records is proven dead,
+    so voters that the platform does not know must be a minority.
     """
     unknown = set(voters) - set(recorded)
     return len(unknown) < len(voters) // 2 + 1
 
 
 def choose_voters(view: VoterView) -> VoterAction:
-    """Return the next step towards healthy voters, or ``None``."""
+    """Return the next step towards the wanted number of healthy voters, or ``None``."""
     failing = [
         node_id
         for node_id in view.voters
@@ -81,7 +85,7 @@
 
 
 def _redundant_voters(view: VoterView, healthy: list[str]) -> list[str]:
-    """Return a voter whose zone has another one; never the leader."""
+    """Return the voters, except the leader, whose zone has another healthy voter."""
     zones = [view.voters[node_id].zone for node_id in healthy]
     return [
         node_id
--- a/ploverhatch/ownership/__init__.py
+++ b/ploverhatch/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Which server owns which slice: state, placement and leases."""
+"""Ownership of slices by servers: placement, grants and leases."""
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -1,17 +1,18 @@
-"""The control leader's decisions about leases, grants and moves.
+"""Decisions of the control leader about leases, grants and moves.
 
-One lease per server covers all its grants, so renewals cost one call per
-server and not per slice. The rules that keep ownership exclusive:
+One lease per server covers all grants of that server, so a renewal takes one call
+per server and not one per slice. These rules keep ownership exclusive:
 
-* a slice gets a new owner only after the old owner acknowledged its revoke
-  (and has no request of the slice executing), or after the old owner's lease
-  has surely lapsed: ``lease_bound_ms`` after the clock reading on which the
+* a slice gets a new owner only after the old owner acknowledged the revoke
+  (and executes no request of the slice), or after the lease of the old owner
+  has certainly expired: ``lease_bound_ms`` after the clock reading on which the
   newest renewal was based;
-* a new leader does not know its predecessor's renewals, so it counts every
-  server's lease as renewed at the moment it was elected;
-* calls leave only while the replica has its leader lease.
+* a new leader does not know the renewals of its predecessor, so it treats the
+  lease of every server as renewed at the moment of the election;
+* calls are sent only while the replica holds its leader lease.
 
-Pure: events carry ``now_ms``; calls and proposals are returned as actions.
+This module does no I/O and reads no clock: events carry ``now_ms``, and calls and
+proposals are returned as actions.
 """
 
 from collections.abc import Iterable
@@ -44,13 +45,16 @@
 BUSY_POLL_MS = 10.0
 CALL_TIMEOUT_MS = 400.0
 REBALANCE_MS = 1000.0
-MOVES_PER_SERVER = 4
+MAX_MOVES_PER_SERVER = 4
 LOAD_REPORT_MAX_AGE_MS = 5000.0
 
 
 @dataclass(frozen=True)
 class CallServer:
-    """Action: send a sync call to a back end."""
+    """Action: send a sync call to a back end.
+
+    The result is passed to ``handle_reply`` or ``note_call_failed``.
+    """
 
     server: str
     request: SyncRequest
@@ -59,13 +63,16 @@
 
 @dataclass(frozen=True)
 class ProposeAssignment:
-    """Action: commit a change of ownership to the log."""
+    """Action: commit a change of slice owners to the log."""
 
     change: wire.AssignmentChange
 
 
 class OwnershipController:
-    """Decisions of one leadership; a new one is made at each election."""
+    """Decides about ownership during one leadership.
+
+    A new controller is created at each election.
+    """
 
     def __init__(
         self,
@@ -78,9 +85,10 @@
     ) -> None:
         """Begin a leadership.
 
-        :param founding: it founds an epoch after another was lost. Its log may
-            lack that epoch's last assignments, so it grants nothing until every
-            lease has lapsed, and then gives all slices tokens of its epoch.
+        :param founding: whether this leadership founds an epoch after an earlier one
+            was lost. The log may lack the last assignments of the lost epoch, so the
+            leader grants nothing until every lease has expired, and then assigns all
+            slices again with tokens of the new epoch.
         """
         self._founding = founding
         self._renewal_proposed = False
@@ -105,7 +113,10 @@
     def configure(
         self, policy: PolicyTable | None, specs: dict[str, ServerSpec], now_ms: float
     ) -> None:
-        """Take over a configuration."""
+        """Apply a configuration.
+
+        :param specs: the configured servers by name.
+        """
         self._policy = policy
         self._specs = specs
         owners = {item.server for item in self._state.assignments if item.server}
@@ -113,17 +124,17 @@
             self.sessions.setdefault(name, ServerSession(self._lease_floor_ms, due_ms=now_ms))
 
     def note_machines_leaving(self, servers: Iterable[str]) -> None:
-        """Note servers that the platform's machine list shows as leaving."""
+        """Note which servers the machine list of the platform shows as leaving."""
         self._leaving = frozenset(servers)
 
     def note_load(self, node_id: str, loads: NodeLoads) -> None:
-        """Take over a router's measured load."""
+        """Replace the load report of a node."""
         self._loads[node_id] = loads
 
     def handle_reply(
         self, server: str, request: SyncRequest, reply: SyncReply, now_ms: float
     ) -> None:
-        """Handle a server's answer to ``request``."""
+        """Handle the reply of a server to ``request``; an outdated reply is ignored."""
         session = self.sessions.get(server)
         if session is None or session.call is not request:
             return
@@ -143,7 +154,7 @@
         self._confirm(server, session, request, reply, now_ms)
 
     def note_call_failed(self, server: str, request: SyncRequest, now_ms: float) -> None:
-        """Note that a call got no answer; it may or may not have arrived."""
+        """Note that a call got no reply; the server may or may not have received it."""
         session = self.sessions.get(server)
         if session is None or session.call is not request:
             return
@@ -152,7 +163,7 @@
         session.due_ms = now_ms + self._timing.renew_ms / 2
 
     def note_committed(self, change: wire.AssignmentChange, index: int, now_ms: float) -> None:
-        """Hand out the grants of a committed assignment."""
+        """Queue the grants of a committed assignment for delivery to the servers."""
         token = make_token(self._state.epoch, index)
         self._owners = None
         if self._founding:
@@ -166,7 +177,7 @@
                 self._queue_grant(item.server, span, token, now_ms)
 
     def tick(self, now_ms: float, has_lease: bool) -> list[CallServer | ProposeAssignment]:
-        """Plan and emit calls and proposals; nothing without the leader lease."""
+        """Return the calls and proposals that are due; none without the leader lease."""
         if not has_lease:
             return []
         actions: list[CallServer | ProposeAssignment] = []
@@ -185,13 +196,13 @@
     # ---- views --------------------------------------------------------------
 
     def condition(self, server: str, now_ms: float) -> Condition:
-        """Return what is known of a server at ``now_ms``."""
+        """Return the condition of a server at ``now_ms``."""
         session = self.sessions.get(server)
         if session is None:
             return Condition.LOST
         if self._is_unresponsive(session, now_ms):
-            lapsed = now_ms >= session.lease_until_ms and session.failures > 0
-            return Condition.LOST if lapsed else Condition.UNCERTAIN
+            expired = now_ms >= session.lease_until_ms and session.failures > 0
+            return Condition.LOST if expired else Condition.UNCERTAIN
         spec = self._specs.get(server)
         leaving = spec is None or spec.drain or server in self._leaving
         return Condition.DRAINING if leaving or session.draining else Condition.UP
@@ -222,10 +233,10 @@
             self._start_move(target, now_ms)
 
     def _awaits_first_replies(self) -> bool:
-        """Tell whether a server was neither met nor found silent yet.
+        """Tell whether a configured server has neither replied nor failed a call yet.
 
-        Placing a new group on the first servers that answer would pile its
-        slices on them.
+        A new group placed before that would have all its slices on the few servers
+        that replied first.
         """
         return any(
             not self.sessions[name].boot_id and not self.sessions[name].failures
@@ -271,14 +282,14 @@
         owners = {
             item.server for item in self._state.assignments.overlapping(target.range) if item.server
         }
-        # Overlapping moves would take a range from an owner that was never asked.
+        # With overlapping moves, an owner could lose a range that it was never told to release.
         if len(owners) > 1 or overlaps_any(target.range, self.moves):
             return
         source = next(iter(owners), "")
         source_lost = not source or self.condition(source, now_ms) is Condition.LOST
         if not source_lost:
             started = sum(move.source == source for move in self.moves.values())
-            if started >= MOVES_PER_SERVER:
+            if started >= MAX_MOVES_PER_SERVER:
                 return
             session = self.sessions[source]
             session.revokes.add(target.range)
@@ -287,7 +298,7 @@
         self.moves[target.range] = Move(target.server, source, target.reason)
 
     def _ready_assignments(self, now_ms: float) -> wire.AssignmentChange:
-        """Return assignments whose old owner can not execute any more."""
+        """Return the moves whose old owner can no longer execute, as assignments."""
         items = []
         for span, move in self.moves.items():
             if move.proposed or not self._source_released(span, move, now_ms):
@@ -307,7 +318,7 @@
         return wire.AssignmentChange(slices=items)
 
     def _renew_tokens(self, now_ms: float) -> wire.AssignmentChange:
-        """Return all slices once, to be committed again under the new epoch."""
+        """Return all slices once, to be committed again with tokens of the new epoch."""
         change = wire.AssignmentChange()
         if now_ms < self._lease_floor_ms or self._renewal_proposed:
             return change
@@ -325,24 +336,24 @@
         return change
 
     def _end_founding(self) -> None:
-        """Grant as usual from now on; the first calls replace all grants."""
+        """Resume normal grants; the next call to each server replaces all its grants."""
         self._founding = False
         for session in self.sessions.values():
             session.needs_full = True
             session.full_above_sequence = self._sequence
 
     def _forget_grants_of(self, server: str, span: SliceRange) -> None:
-        """Have the next call replace all grants of a server that loses a slice.
+        """Make the next call replace all grants of a server that loses a slice.
 
-        A frozen server that returns still holds its old grants; renewing its
-        lease without replacing them would make it a second owner. A grant of
-        the slice that was never delivered must not follow either.
+        A server that was frozen still holds its old grants when it resumes; if its
+        lease were renewed without replacing them, it would be a second owner. An
+        undelivered grant of the slice must not be delivered later either.
         """
         session = self.sessions.get(server)
         if session is not None:
             session.needs_full = True
-            # A call on its way may still list the lost slice, or renew without
-            # replacing: its answer does not fulfil the need.
+            # A call in flight may still list the lost slice or renew the lease without
+            # replacing grants, so its reply must not clear ``needs_full``.
             session.full_above_sequence = self._sequence
             drop_pending(session, span)
 
@@ -369,16 +380,16 @@
         )
         session.call = request
         if session.boot_id:
-            # The call may extend the lease even when its answer is lost.
+            # The call may extend the lease even when its reply is lost.
             bound = session.clock_read_ms + self._timing.lease_bound_ms
             session.lease_until_ms = max(session.lease_until_ms, bound)
         return CallServer(server, request, CALL_TIMEOUT_MS)
 
     def _all_grants(self, server: str) -> dict[SliceRange, int]:
-        """Return grants by the log, less ranges whose revoke has begun.
+        """Return the grants recorded in the log, without ranges that are being moved away.
 
-        Revokes travel in the same call and are applied before grants, so a
-        slice that a running move carves is sent in pieces.
+        Revokes are sent in the same call and are applied before grants, so a slice
+        that a running move splits is sent as its remaining parts.
         """
         if self._founding:
             return {}
@@ -399,10 +410,10 @@
     def _note_new_process(
         self, server: str, session: ServerSession, boot_id: str, now_ms: float
     ) -> None:
-        """A server process was met for the first time; it holds no grants of ours.
+        """Handle the first reply of a server process; it holds no grants of this leader.
 
-        A new boot proves that the previous process is gone, and with it every
-        grant it held, so its pending revokes are fulfilled.
+        A new boot id proves that the previous process and all grants it held are
+        gone, so its pending revokes are complete.
         """
         restarted = bool(session.boot_id)
         session.boot_id = boot_id
--- a/ploverhatch/ownership/grant_book.py
+++ b/ploverhatch/ownership/grant_book.py
@@ -1,6 +1,7 @@
-"""The back end's side of grants: what it may execute, judged at execution.
+"""Grants as a back end holds them, checked when a request starts to execute.
 
-Pure: the back end passes readings of its own elapsed clock.
+This module does no I/O and reads no clock: the back end passes readings of its own
+elapsed clock in milliseconds.
 """
 
 from collections import Counter
@@ -15,7 +16,7 @@
 
 
 class Verdict(Enum):
-    """Whether a request may start to execute."""
+    """Whether a request may start to execute, or why not."""
 
     EXECUTE = "execute"
     LAPSED = "lapsed"
@@ -26,7 +27,10 @@
 
 @dataclass
 class GrantBook:
-    """Grants of one server process lifetime (``boot_id``)."""
+    """Grants and lease of one server process, named by its ``boot_id``.
+
+    ``expires_ms`` is the end of the lease on the clock of the server.
+    """
 
     boot_id: str
     draining: bool = False
@@ -37,7 +41,7 @@
     _executing: Counter[tuple[str, int]] = field(default_factory=Counter)
 
     def sync(self, request: SyncRequest, now_ms: float) -> SyncReply:
-        """Apply a leader's call."""
+        """Apply a call of the control leader and return the reply."""
         if not self._admits(request):
             return self._reply(False, now_ms)
         self._leader = (request.epoch, request.term)
@@ -71,9 +75,9 @@
     def check_start(
         self, group: str, key_hash: int, token: int, now_ms: float, not_after_ms: float
     ) -> Verdict:
-        """Decide, at the moment execution would start.
+        """Decide whether a request may start to execute now.
 
-        :param not_after_ms: latest start on this server's clock.
+        :param not_after_ms: latest start on the clock of this server.
         """
         if now_ms >= self.expires_ms:
             return Verdict.LAPSED
@@ -85,11 +89,11 @@
         return Verdict.EXECUTE if held.token == token else Verdict.STALE_TOKEN
 
     def begin(self, group: str, key_hash: int) -> None:
-        """Note that a request of a key began to execute."""
+        """Note that a request for a key began to execute."""
         self._executing[(group, key_hash)] += 1
 
     def end(self, group: str, key_hash: int) -> None:
-        """Note that a request of a key ended."""
+        """Note that a request for a key finished."""
         identity = (group, key_hash)
         self._executing[identity] -= 1
         if self._executing[identity] <= 0:
--- a/ploverhatch/ownership/messages.py
+++ b/ploverhatch/ownership/messages.py
@@ -1,8 +1,8 @@
-"""Messages between the control leader and a back end, free of any wire form.
+"""Messages between the control leader and a back end, independent of their encoding.
 
-Lease rule: a lease ends at ``expires_clock_ms`` on the *server's own* elapsed
-clock. The leader computes it from a reading that the server sent in its last
-reply, so a delayed or repeated message can never lengthen a lease.
+A lease ends at ``expires_clock_ms`` on the *server's own* elapsed clock. The leader
+computes this time from the clock reading in the last reply of the server, so a
+delayed or repeated message can never lengthen a lease.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """Permission to execute requests of one slice under one token."""
+    """Permission to execute requests for one slice under one fencing token."""
 
     range: SliceRange
     token: int
@@ -20,10 +20,11 @@
 
 @dataclass(frozen=True)
 class SyncRequest:
-    """Renew the lease and change grants, in one call per server.
+    """Renews the lease of a server and changes its grants, in one call.
 
-    ``epoch`` and ``term`` fence out earlier leaders, ``sequence`` out-of-order
-    calls of one leader. ``full`` replaces all grants.
+    ``epoch`` and ``term`` fence off earlier leaders, and ``sequence`` fences off
+    out-of-order calls of one leader. If ``full`` is set, ``grants`` replaces all grants
+    of the server.
     """
 
     epoch: int
@@ -38,10 +39,10 @@
 
 @dataclass(frozen=True)
 class SyncReply:
-    """A server's answer.
+    """Reply of a server to a ``SyncRequest``.
 
-    ``accepted`` is false when the call was fenced out or named another boot;
-    then nothing changed. ``busy`` lists revoked ranges that still execute.
+    ``accepted`` is false if the call was fenced off or named another ``boot_id``; then
+    nothing changed. ``busy`` lists the revoked ranges in which requests still execute.
     """
 
     accepted: bool
--- a/ploverhatch/ownership/placement.py
+++ b/ploverhatch/ownership/placement.py
@@ -1,9 +1,10 @@
-"""Placement: which server should own each slice.
+"""Placement: decides which server should own each slice.
 
-A pure function of servers, slices with measured load and the compiled
-policy. Loads are requests per second; utilization is load over the slots a
-group may use on a server. A move must gain more than it costs, moves of one
-slice are apart by a hold time, and their number per round is bounded.
+The result depends only on the servers, the slices with their measured load and the
+compiled policy; this module does no I/O and reads no clock. Loads are in requests per
+second; utilization is load divided by the slots that a group may use on a server. A
+move must reduce the highest utilization by a minimum, moves of one slice are separated
+by a minimum interval, and the number of moves per round is bounded.
 """
 
 import math
@@ -19,36 +20,40 @@
 from ploverhatch.state.configuration import ServerSpec
 
 MAX_SOURCES_TRIED = 4
-PIECE_FRACTION = 0.06  # of a server's mean load
+PIECE_FRACTION = 0.06  # of the mean load per server
 MAX_PIECES = 8
 MAX_SLICES_PER_SERVER = 16
 
 
 class Condition(Enum):
-    """What the control leader knows of a server."""
+    """Condition of a server as the control leader knows it."""
 
     UP = "up"
     DRAINING = "draining"
-    UNCERTAIN = "uncertain"  # silent, its lease may still run
-    LOST = "lost"  # silent, its lease has lapsed
+    UNCERTAIN = "uncertain"  # unresponsive, and its lease may still be valid
+    LOST = "lost"  # unresponsive, and its lease has expired
 
 
 @dataclass(frozen=True)
 class PlacementLimits:
-    """Bounds that keep churn low."""
+    """Bounds on the number and frequency of moves."""
 
     moves_per_round: int = 8
     move_interval_ms: float = 10_000.0
     imbalance_target: float = 1.08
-    min_gain_fraction: float = 0.02  # least cut of the busiest server, of the mean
-    noise_deviations: float = 3.5  # a lesser excess may be chance
+    min_gain_fraction: float = 0.02  # cut of the highest utilization, of the mean
+    noise_deviations: float = 3.5  # a smaller excess may be random
     smoothing_ms: float = 8000.0  # time constant of the measured rates
-    hot_key_fraction: float = 0.25  # of a server's mean load
+    hot_key_fraction: float = 0.25  # of the mean load per server
 
 
 @dataclass(frozen=True)
 class PlacementView:
-    """Everything placement looks at."""
+    """Input of a placement round.
+
+    ``moved_ms`` holds the time of the last move of each range, and ``moving`` the ranges
+    whose move is not complete.
+    """
 
     policy: PolicyTable
     servers: dict[str, ServerSpec]
@@ -63,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Wanted: ``range`` owned by ``server``. ``reason`` is for operators."""
+    """A planned assignment of ``range`` to ``server``; ``reason`` is shown to operators."""
 
     range: SliceRange
     server: str
@@ -71,7 +76,7 @@
 
 
 class _GroupPlan:
-    """Loads and candidates of one group while a round is planned."""
+    """Loads and capacities of one group while a round is planned."""
 
     def __init__(self, view: PlacementView, group: Group) -> None:
         self.view = view
@@ -79,7 +84,7 @@
         self.general = tuple(draw for draw in group.draws if draw.keys is None)
         self.slices = view.assignments.group(group.name)
         known = sum(view.loads.get((group.name, item.range.first), 0.0) for item in self.slices)
-        # Slices without measured load count a little, so that they spread.
+        # A slice without measured load gets a small load, so that such slices are spread.
         self.base = max(known, 1.0) * 0.02 / max(len(self.slices), group.slices, 1)
         self.capacity = self.capacities(self.general)
         self.load: dict[str, float] = defaultdict(float)
@@ -124,7 +129,11 @@
 
 
 def plan(view: PlacementView, limits: PlacementLimits, now_ms: float) -> list[Target]:
-    """Return the wanted changes of ownership, most urgent first."""
+    """Return the planned changes of ownership.
+
+    While a group has urgent changes (a lost or draining owner, a labelled key on the
+    wrong server), it is not rebalanced.
+    """
     targets: list[Target] = []
     for group in view.policy.groups.values():
         targets += _plan_group(_GroupPlan(view, group), limits, now_ms)
@@ -154,7 +163,7 @@
 
 
 def _eligible(plan_: _GroupPlan, span: SliceRange) -> dict[str, float]:
-    """Return capacities of servers that may own a slice, by its key's labels."""
+    """Return the capacities of the servers that the labels of a slice's key allow."""
     if span.first != span.last:
         return plan_.capacity
     for draws, key_hash in _special_keys(plan_):
@@ -164,10 +173,10 @@
 
 
 def _pieces(plan_: _GroupPlan, item: Slice) -> list[SliceRange]:
-    """Split a slice that moves anyway, so that it can be spread evenly.
+    """Split a slice that has to move, so that its load can be spread evenly.
 
-    Whole slices of a lost server would overload a few others, and balancing
-    them out again would move keys a second time.
+    Moving the slices of a lost server whole would overload a few other servers, and
+    rebalancing these would move the keys a second time.
     """
     span, servers = item.range, len(plan_.capacity)
     crowded = len(plan_.slices) >= MAX_SLICES_PER_SERVER * max(servers, 1)
@@ -183,7 +192,7 @@
 
 
 def _replace_pieces(plan_: _GroupPlan, item: Slice, reason: str) -> list[Target]:
-    """Give the pieces of a slice to the servers with most room."""
+    """Assign the pieces of a slice to the least utilized servers."""
     pieces = _pieces(plan_, item)
     if len(pieces) == 1:
         target = _replace(plan_, item, reason)
@@ -208,7 +217,7 @@
 
 
 def _largest_first(plan_: _GroupPlan) -> list[Slice]:
-    """Return slices by load: small ones placed last even the servers out."""
+    """Return the slices by falling load; placing small ones last evens out the load."""
     return sorted(plan_.slices, key=lambda item: -plan_.slice_load(item.range))
 
 
@@ -282,10 +291,10 @@
 def _best_move(
     plan_: _GroupPlan, limits: PlacementLimits, now_ms: float, taken: set[SliceRange]
 ) -> Target | None:
-    """Return the most useful move from the busiest server that has one.
+    """Return the best move away from one of the busiest servers, or ``None``.
 
-    A server that is busy with a single hot key can not be relieved, so the
-    next busiest ones are looked at as well.
+    A server whose load comes from a single hot key cannot be relieved by a move, so
+    the next busiest servers are tried as well.
     """
     mean = plan_.mean_utilization()
     if mean <= 0:
@@ -303,10 +312,10 @@
 
 
 def _noise(plan_: _GroupPlan, limits: PlacementLimits) -> float:
-    """Return the relative deviation of a server's measured load by chance.
+    """Return the relative standard deviation of the measured load of a server.
 
-    Counts of independent requests vary with their square root; smoothing with
-    time constant T averages over about 2 T.
+    The standard deviation of a count of independent requests is its square root;
+    smoothing with time constant T averages over about 2 T.
     """
     mean_rate = sum(plan_.load[name] for name in plan_.capacity) / len(plan_.capacity)
     counted = mean_rate * 2 * limits.smoothing_ms / 1000
@@ -342,7 +351,10 @@
     now_ms: float,
     taken: set[SliceRange],
 ) -> list[tuple[SliceRange, float, str]]:
-    """Return ranges that may leave a server: whole slices, halves, hot keys."""
+    """Return the ranges that may move: whole slices, halves of slices and hot keys.
+
+    Each range comes with its load in requests per second and the reason of the move.
+    """
     view = plan_.view
     hot = _hot_keys(plan_, limits)
     found: list[tuple[SliceRange, float, str]] = []
@@ -365,7 +377,7 @@
 
 
 def overlaps_any(span: SliceRange, taken: Iterable[SliceRange]) -> bool:
-    """Tell whether a range overlaps one of others."""
+    """Tell whether a range overlaps one of the ranges in ``taken``."""
     return any(
         other.group == span.group and other.first <= span.last and span.first <= other.last
         for other in taken
--- a/ploverhatch/ownership/sessions.py
+++ b/ploverhatch/ownership/sessions.py
@@ -1,4 +1,4 @@
-"""What a control leader knows of servers, moves and load since it was elected."""
+"""State that a control leader keeps about servers, moves and load since its election."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -9,7 +9,12 @@
 
 @dataclass
 class ServerSession:
-    """What the leader knows of one server since it was elected."""
+    """State of one server since the election of the leader.
+
+    ``lease_until_ms`` is the latest time at which the lease of the server may still be
+    valid. ``grants`` and ``revokes`` are those not yet acknowledged, and ``call`` is the
+    call in flight. ``needs_full`` requires a call that replaces all grants.
+    """
 
     lease_until_ms: float
     boot_id: str = ""
@@ -19,7 +24,7 @@
     due_ms: float = float("-inf")
     failures: int = 0
     needs_full: bool = True
-    full_above_sequence: int = 0  # only a full call with a higher sequence will do
+    full_above_sequence: int = 0  # only a full call with a higher sequence clears ``needs_full``
     draining: bool = False
     call: SyncRequest | None = None
     grants: dict[SliceRange, int] = field(default_factory=dict)
@@ -28,7 +33,7 @@
 
 @dataclass
 class Move:
-    """A planned change of one range's owner."""
+    """A change of the owner of one range that is not complete."""
 
     target: str
     source: str
@@ -38,7 +43,10 @@
 
 @dataclass
 class NodeLoads:
-    """Load report of one router."""
+    """Load report of one node, in requests per second.
+
+    Slices are keyed by (group, first hash) and keys by (group, hash).
+    """
 
     reported_ms: float
     slices: dict[tuple[str, int], float]
@@ -46,7 +54,7 @@
 
 
 def drop_pending(session: ServerSession, span: SliceRange) -> None:
-    """Take a range out of the grants that wait to be delivered."""
+    """Remove a range from the grants of a session that are not delivered yet."""
     kept: dict[SliceRange, int] = {}
     for pending, token in session.grants.items():
         for part in subtract(pending, [span]):
@@ -55,7 +63,7 @@
 
 
 def subtract(span: SliceRange, holes: Iterable[SliceRange]) -> list[SliceRange]:
-    """Return the parts of a range outside all holes."""
+    """Return the parts of a range that lie outside all holes."""
     parts = [span]
     for hole in holes:
         if hole.group != span.group:
--- a/tests/unit/mutations.py
+++ b/tests/unit/mutations.py
@@ -1,4 +1,4 @@
-"""Mechanisms that tests switch off to see their proof fail."""
+"""Mutations of safety mechanisms; the simulation must detect each of them."""
 
 from contextlib import contextmanager
 from unittest import mock
@@ -25,7 +25,7 @@
     return real_check_start(book, group, key_hash, token, book.expires_ms - 1, not_after_ms)
 
 
-def silent_soon(_, session, now_ms):
+def unresponsive_soon(_, session, now_ms):
     return not session.boot_id or now_ms - session.replied_ms >= 500
 
 
@@ -34,7 +34,7 @@
     "lease never lapses": [(GrantBook, "check_start", check_start_without_expiry)],
     "lapse not waited out": [
         (ControlTiming, "lease_bound_ms", property(lambda _: 100.0)),
-        (OwnershipController, "_is_unresponsive", silent_soon),
+        (OwnershipController, "_is_unresponsive", unresponsive_soon),
     ],
     "old grants not replaced": [
         (OwnershipController, "_forget_grants_of", lambda *_: None),
--- a/tests/unit/test_found_faults.py
+++ b/tests/unit/test_found_faults.py
@@ -1,7 +1,7 @@
-"""Faults that the simulation found, each as a directed test.
+"""Regression tests for faults that the simulation found.
 
-The seeds that first showed them depend on the list of faults, which has grown
-since; these tests do not.
+The schedule of a simulation seed depends on the list of simulated faults, which grows;
+these tests do not depend on it.
 """
 
 from ploverhatch.common.keyspace import MAX_HASH, SliceRange
@@ -22,7 +22,7 @@
 
 
 class Leader:
-    """A controller with two servers; replies and commits are made by hand."""
+    """A controller with two servers; the test supplies replies and commits."""
 
     def __init__(self, owner="a", founding=False):
         self.now_ms = 0.0
@@ -35,7 +35,7 @@
         self.controller.configure(POLICY, specs, 0.0)
 
     def tick(self, step_ms=1.0):
-        """Return calls by server; proposals are committed at once."""
+        """Return the calls by server; proposals are committed immediately."""
         self.now_ms += step_ms
         calls = {}
         for action in self.controller.tick(self.now_ms, True):
@@ -62,7 +62,7 @@
             self.answer(server, request)
 
     def lose(self, server):
-        """Leave a server's calls without answer until its slices are given away."""
+        """Fail all calls to a server until its slices have other owners."""
         while self.state.assignments.owned_by(server):
             for name, request in self.tick(100.0).items():
                 if name == server:
@@ -79,7 +79,7 @@
     leader = Leader()
     for _ in range(3):
         leader.answer_all()
-    leader.controller.sessions["a"].grants[WHOLE] = make_token(2, 1)  # never delivered
+    leader.controller.sessions["a"].grants[WHOLE] = make_token(2, 1)  # an undelivered grant
     leader.lose("a")
     for _ in range(8):
         for name, request in leader.tick(100.0).items():
--- a/tests/unit/test_grant_book.py
+++ b/tests/unit/test_grant_book.py
@@ -1,4 +1,4 @@
-"""Grants at the back end: a table of what must be refused."""
+"""Tests of the grants of a back end: which calls and requests it must refuse."""
 
 import pytest
 
@@ -28,12 +28,12 @@
     [
         ({"sequence": 6}, True),
         ({"sequence": 5}, False),  # repeated
-        ({"sequence": 4}, False),  # overtaken
+        ({"sequence": 4}, False),  # older than the last one
         ({"term": 2, "sequence": 9}, False),  # earlier leader
         ({"epoch": 0, "term": 9, "sequence": 9}, False),  # earlier epoch
-        ({"boot_id": "other", "sequence": 6}, False),  # meant for another process
+        ({"boot_id": "other", "sequence": 6}, False),  # for another process
         ({"term": 4, "sequence": 1}, True),
-        ({"term": 4, "sequence": 1, "full": False}, False),  # new leader, partial
+        ({"term": 4, "sequence": 1, "full": False}, False),  # new leader without all grants
     ],
 )
 def test_call_is_admitted(changes, accepted):
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Choice of voters and founding of epochs, as tables."""
+"""Tests of the choice of voters and of the founding of epochs."""
 
 import pytest
 
@@ -39,11 +39,11 @@
     (view("abc", "abdef", lost="c"), "learn f"),
     (view("abc", "abdef", lost="c", learners="f", caught_up="f"), "abcf"),
     (view("abcf", "abdef", lost="c"), "abf"),
-    (view("abc", "ab", lost="c"), None),  # nobody to replace it: keep the quorum rule
+    (view("abc", "ab", lost="c"), None),  # no replacement, so c stays a voter
     (view("abc", "abc", leaving="c"), "ab"),
     (view("abc", "abcd", leaving="a"), "learn d"),
     (view("abcf", "abcf", leaving="a"), "bcf"),
-    # The store has not recorded f: removing c would leave two unknown of three.
+    # The store has recorded neither f nor e: without b, two of three voters would be unknown.
     (view("abf", "abef", lost="b", recorded="ab", learners="e", caught_up="e"), "abfe"),
     (view("aef", "aef", recorded="abc", leaving="e", caught_up="b"), "af"),
 ]
@@ -68,7 +68,7 @@
 
 DEAD, ALIVE, SILENT = Evidence.REFUSED, Evidence.ALIVE, Evidence.SILENT
 FOUNDING = [
-    # asking node, evidence by voter of abc, own voters, may found
+    # node that asks, evidence by voter, voters in its log, whether it may found an epoch
     ("x", {"a": DEAD, "b": DEAD, "c": DEAD}, "", True),
     ("x", {"a": DEAD, "b": Evidence.REPLACED, "c": DEAD}, "", True),
     ("x", {"a": DEAD, "b": DEAD, "c": SILENT}, "", False),
@@ -76,9 +76,10 @@
     ("a", {"b": DEAD, "c": DEAD}, "abc", True),
     ("a", {"b": DEAD, "c": SILENT}, "abc", False),
     ("a", {"b": DEAD, "c": ALIVE}, "abc", False),
-    ("a", {"b": DEAD, "c": DEAD, "d": ALIVE}, "abd", False),  # own log is newer
+    ("a", {"b": DEAD, "c": DEAD, "d": ALIVE}, "abd", False),  # the own log is newer
     ("a", {"b": Evidence.ALIVE_SAME, "c": DEAD, "d": DEAD}, "abcd", True),
-    ("a", {"b": ALIVE, "c": DEAD, "d": DEAD}, "abcd", False),  # b may act as one of abc
+    # b may still decide with the voters abc.
+    ("a", {"b": ALIVE, "c": DEAD, "d": DEAD}, "abcd", False),
     ("a", {"b": DEAD, "c": DEAD, "d": Evidence.ALIVE_AHEAD}, "abcd", False),
 ]
 
--- a/tests/unit/test_replica.py
+++ b/tests/unit/test_replica.py
@@ -1,4 +1,4 @@
-"""Consensus as a hypothesis state machine: any delivery order, loss, pauses."""
+"""Tests of consensus by a hypothesis state machine with reordering, loss and pauses."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -11,18 +11,18 @@
 
 TIMING = ControlTiming()
 VOTERS = 3
-BAG_LIMIT = 60
+MAX_IN_FLIGHT = 60
 
 
 class ConsensusMachine(RuleBasedStateMachine):
-    """Three voters; messages are delivered in any order, twice, or never."""
+    """Three voters whose messages are delivered in any order, more than once or never."""
 
     @initialize()
     def start(self):
         members = [wire.Member(node_id=f"r{n}", zone=f"z{n}") for n in range(VOTERS)]
         self.now_ms = {member.node_id: 0.0 for member in members}
         self.replicas = {}
-        self.bag = []
+        self.in_flight = []
         self.committed = {}
         self.leaders = {}
         self.acknowledged = {}
@@ -36,8 +36,8 @@
 
     def handle(self, node_id, actions):
         for action in actions:
-            if isinstance(action, Send) and len(self.bag) < BAG_LIMIT:
-                self.bag.append((node_id, action.recipient, action.message))
+            if isinstance(action, Send) and len(self.in_flight) < MAX_IN_FLIGHT:
+                self.in_flight.append((node_id, action.recipient, action.message))
             elif isinstance(action, Applied):
                 self.note_committed(action.entry)
         replica = self.replicas[node_id]
@@ -49,13 +49,13 @@
         value = (entry.term, entry.kind, entry.payload)
         assert self.committed.setdefault(entry.index, value) == value, "committed entries differ"
 
-    @rule(pick=st.integers(0, BAG_LIMIT), twice=st.booleans())
+    @rule(pick=st.integers(0, MAX_IN_FLIGHT), twice=st.booleans())
     def deliver(self, pick, twice):
-        if not self.bag:
+        if not self.in_flight:
             return
-        sender, recipient, message = self.bag[pick % len(self.bag)]
+        sender, recipient, message = self.in_flight[pick % len(self.in_flight)]
         if not twice:
-            del self.bag[pick % len(self.bag)]
+            del self.in_flight[pick % len(self.in_flight)]
         replica = self.replicas[recipient]
         self.handle(recipient, replica.receive(sender, message, self.now_ms[recipient]))
 
@@ -66,7 +66,7 @@
 
     @rule()
     def lose_all(self):
-        self.bag.clear()
+        self.in_flight.clear()
 
     @rule(node=st.integers(0, VOTERS - 1), step_ms=st.sampled_from([20, 120, 600, 1100]))
     def let_time_pass(self, node, step_ms):
