--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -1,8 +1,8 @@
 """Bootstrap task: finds the cell, or founds an epoch of it.
 
-A node asks the seeds, the voters that the platform records and the machine
-list for a living cell. It founds an epoch only by compare-and-set on the
-platform's cell object, under the rules of ``membership.recovery``.
+A node asks the seeds and the voters that the platform records whether they belong to a
+running cell. It founds an epoch only by compare-and-set on the cell object of the
+platform, under the rules of ``membership.recovery``.
 """
 
 import gevent
@@ -33,13 +33,16 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``."""
+    """Parse ``host:port``.
+
+    :raises ValueError: the port is not a number.
+    """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class BootstrapTask:
-    """Runs until the node belongs to a cell, and again when it has no leader."""
+    """Finds or founds the cell; the node calls it while it knows no leader."""
 
     def __init__(
         self,
@@ -61,9 +64,10 @@
         self._watch: RecoveryWatch | None = None
 
     def find_cell(self) -> list[wire.Member]:
-        """Return voters of the living cell, or nothing after one round.
+        """Ask all known addresses once and return the voters of the running cell.
 
-        A round without a cell may found one; then this node is its voter.
+        The list is empty if no cell was found. In that case this node may found an epoch,
+        of which it is the only voter.
         """
         record = self._read_record()
         addresses = self._candidate_addresses(record)
@@ -76,15 +80,15 @@
         return []
 
     def recover_leaderless(self) -> None:
-        """Found an epoch as the surviving voter, if all others are dead."""
+        """Found an epoch as a surviving voter, if the rules allow it."""
         record = self._read_record()
         if record is not None:
             self._consider_founding(record)
 
-    # ---- looking around --------------------------------------------------------
+    # ---- finding the cell ------------------------------------------------------
 
     def _read_record(self) -> StoredObject | None:
-        """Return the cell object (version 0: absent), ``None`` if unreadable."""
+        """Return the cell object, with version 0 if absent; ``None`` if it cannot be read."""
         try:
             found = self._store.get(KIND_CELL, self._cell)
         except StoreUnavailableError:
@@ -165,7 +169,7 @@
         self._control.post(FoundCell(membership, survived))
 
     def _founding_was_stored(self, operation: str) -> bool:
-        """Resolve a lost answer by reading the object back."""
+        """Tell, by reading the object back, whether a write without a reply was stored."""
         for _ in range(20):
             try:
                 current = self._store.get(KIND_CELL, self._cell)
--- a/ploverhatch/node/columns.py
+++ b/ploverhatch/node/columns.py
@@ -1,11 +1,11 @@
-"""Load reports to and from their columns on the wire."""
+"""Conversion between load reports and their columns on the wire."""
 
 from ploverhatch.routing.load_meter import Rates
 from ploverhatch.transport import wire
 
 
 def to_columns(rates: Rates) -> wire.LoadColumns:
-    """Encode rates by (group, hash)."""
+    """Encode rates in requests per second, keyed by (group, hash)."""
     groups = sorted({group for group, _ in rates})
     positions = {group: position for position, group in enumerate(groups)}
     return wire.LoadColumns(
@@ -17,6 +17,6 @@
 
 
 def from_columns(columns: wire.LoadColumns) -> Rates:
-    """Decode rates by (group, hash)."""
+    """Decode rates in requests per second, keyed by (group, hash)."""
     rows = zip(columns.group, columns.hash, columns.rate, strict=True)
     return {(columns.groups[group], key_hash): rate for group, key_hash, rate in rows}
--- a/ploverhatch/node/control.py
+++ b/ploverhatch/node/control.py
@@ -1,7 +1,7 @@
-"""Control task: owns the control core and carries its actions out.
+"""Control task: owns the control core and executes its actions.
 
-Other tasks put typed events into its mailbox. Calls to back ends run in tasks
-of their own and report back by event.
+Other tasks put typed events into its mailbox. Each call to a back end runs in a task of
+its own, which reports the result by an event.
 """
 
 from collections.abc import Callable
@@ -66,30 +66,30 @@
 
 @dataclass(frozen=True)
 class StatusReceived:
-    """A node reported itself."""
+    """A status report of a node."""
 
     status: wire.NodeStatus
 
 
 @dataclass(frozen=True)
 class MachinesLeaving:
-    """Back ends that the platform's machine list shows as leaving."""
+    """The back ends that the machine list of the platform shows as leaving."""
 
     servers: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class CellRecorded:
-    """The platform's cell object names these voters."""
+    """The voters that the cell object of the platform names."""
 
     voter_ids: frozenset[str]
 
 
 @dataclass(frozen=True)
 class FoundCell:
-    """This node won an epoch; it is the only voter.
+    """This node won an epoch, of which it is the only voter.
 
-    ``survived``: it voted in the last epoch and keeps that epoch's log.
+    ``survived`` tells whether it voted in the last epoch and keeps the log of that epoch.
     """
 
     membership: wire.MembershipChange
@@ -98,16 +98,16 @@
 
 @dataclass(frozen=True)
 class EpochReplaced:
-    """The platform's cell object names a newer epoch than this node's."""
+    """The cell object of the platform names a newer epoch than that of this node."""
 
 
 @dataclass(frozen=True)
 class HandOverLeadership:
-    """Hand leadership on, because the node stops."""
+    """Request to transfer the leadership, because the node stops."""
 
 
 class ControlTask:
-    """The control core's mailbox, clock and sockets."""
+    """Runs the control core with a mailbox, a clock and sockets."""
 
     def __init__(
         self,
@@ -140,7 +140,7 @@
             backend.close()
 
     def post(self, event: Any) -> bool:
-        """Put an event into the mailbox; false when it is full."""
+        """Put an event into the mailbox; return false if it is full."""
         try:
             self._mailbox.put_nowait(event)
         except queue.Full:
@@ -154,14 +154,14 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether this node is the cell's leader and may act."""
+        """Whether this node leads the cell and holds the leader lease."""
         return self.replica.is_leader and self.replica.has_lease(elapsed_ms())
 
     def commit(self, command: Command, timeout_s: float) -> ClaimResult | None:
         """Commit a command and return its result.
 
         :raises NotLeaderError: this node does not lead.
-        :raises TimeoutError: it is unknown whether the command is committed.
+        :raises TimeoutError: no result came within ``timeout_s``; the command may be committed.
         """
         waiter = AsyncResult()
         if not self.post(Proposal(command, waiter)):
@@ -190,7 +190,7 @@
                 self._execute(self.core.tick(elapsed_ms()))
 
     def _handle_batch(self, event: Any) -> None:
-        """Handle waiting events; proposals among them share one append."""
+        """Handle all waiting events; proposals among them are appended together."""
         proposals: list[Proposal] = []
         while event is not None:
             if isinstance(event, Proposal):
@@ -249,7 +249,10 @@
             self._network.send((member.host, member.port), recipient, message)
 
     def _find_member(self, node_id: str) -> wire.Member | None:
-        """Find a node's address; a new learner knows voters from its view only."""
+        """Return a node's member entry.
+
+        A new learner has no voters in its log yet, so the view is searched as well.
+        """
         known = self.replica.voters.get(node_id) or self.core.addresses.get(node_id)
         if known is not None:
             return known
@@ -257,9 +260,9 @@
         return next((item for item in voters if item.node_id == node_id), None)
 
     def _share_state(self) -> bool:
-        """Let the view use the replica's state, once it is as new.
+        """Make the view use the state of the replica, once that state is as new.
 
-        A learner that catches up is behind the view, which must not go back.
+        The log of a learner may be behind the view, whose state must never become older.
         """
         mine, shown = self.replica.state, self._view.state
         if shown is mine:
@@ -297,7 +300,7 @@
 
 
 def _resolve_waiter(action: ProposalCommitted | ProposalRejected) -> None:
-    """Tell the task that waits for a proposal."""
+    """Pass the result of a proposal to the task that waits for it."""
     waiter = action.proposal.reply_to
     if waiter is None:
         return
@@ -309,6 +312,9 @@
 
 def _log_change(action: LeadershipChanged | VotersChanged) -> None:
     if isinstance(action, VotersChanged):
-        LOG.info("Voters change.", voters=",".join(action.voters))
+        LOG.info("Change of the voters proposed.", voters=",".join(action.voters))
     else:
-        LOG.info("Leading." if action.leading else "Not leading any more.", term=action.term)
+        LOG.info(
+            "Node leads the cell." if action.leading else "Node no longer leads the cell.",
+            term=action.term,
+        )
--- a/ploverhatch/node/crash_guard.py
+++ b/ploverhatch/node/crash_guard.py
@@ -1,7 +1,7 @@
-"""Keeps requests away from servers that ended under them, as far as this node saw it.
+"""Quarantines requests that crash back ends, by the crashes that this node observed.
 
-The same decision as in gateways (:mod:`ploverhatch.quarantine`). Nodes of a cell don't
-tell each other, so each one learns for itself.
+The decision is the same as in gateways (:mod:`ploverhatch.quarantine`). Nodes of a cell do
+not exchange their observations, so each node decides by its own.
 """
 
 from collections.abc import Iterable
@@ -18,12 +18,12 @@
 
 LOG = PartLogger("quarantine")
 
-TRIAL_WAIT_MS = 250.0  # a request waits so long for the trial of another copy of it
-TRIAL_AFTER_S = 0.25  # its caller may come back after so long
+TRIAL_WAIT_MS = 250.0  # how long a request waits for the trial of another copy
+TRIAL_RETRY_AFTER_S = 0.25  # retry time for the caller of a request refused because of a trial
 
 
 class GuardedRequest:
-    """What the guard needs to know of a request; its digests are made when they are needed."""
+    """A request as the guard sees it; its digests are computed on demand."""
 
     def __init__(
         self, target: str, body: bytes, content: Iterable[str], caller: Iterable[str]
@@ -36,12 +36,12 @@
 
     @property
     def short_digest(self) -> bytes:
-        """What few other requests share."""
+        """The short digest, which few other requests share."""
         return short_digest(self._target, self._body)
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """What tells the same request apart."""
+        """The fingerprint, which is equal for copies of the same request."""
         if self._fingerprint is None:
             content = (*(part.encode() for part in self._content), self._target, self._body)
             caller = [part.encode() for part in self._caller]
@@ -50,7 +50,7 @@
 
 
 class CrashGuard:
-    """What one node saw of servers that ended under requests."""
+    """Records the crashes of back ends that this node observed, and decides by them."""
 
     def __init__(self) -> None:
         self._ledger = CrashLedger()
@@ -58,62 +58,66 @@
         self._changed = Signal()
 
     def check(self, request: GuardedRequest, may_have_run: bool) -> None:
-        """Let a request be sent; wait for a while where another copy of it is on trial.
+        """Return when a request may be sent, after the trial of another copy if there is one.
 
-        One copy at a time, once a server has ended under it and until it is answered: else
-        all that callers ask meanwhile goes to the next owner at once, and after it to a third.
+        Once a back end has crashed while it ran a request, only one copy at a time is sent
+        until one is answered: otherwise all waiting copies would go to the next owner
+        together, and after its crash to a third.
 
-        :raises RefusedError: when it is held, or the trial takes too long.
+        :raises RefusedError: the request is quarantined, or the trial of another copy
+            takes longer than ``TRIAL_WAIT_MS``.
         """
         until_ms = elapsed_ms() + TRIAL_WAIT_MS
         while not self.allows(request, may_have_run):
-            left_ms = until_ms - elapsed_ms()
-            if left_ms <= 0:
-                raise _refusal(results.ON_TRIAL, may_have_run, TRIAL_AFTER_S)
-            self._changed.wait(left_ms / 1000)
+            remaining_ms = until_ms - elapsed_ms()
+            if remaining_ms <= 0:
+                raise _refusal(results.ON_TRIAL, may_have_run, TRIAL_RETRY_AFTER_S)
+            self._changed.wait(remaining_ms / 1000)
 
     def allows(self, request: GuardedRequest, may_have_run: bool) -> bool:
-        """Whether a request may be sent now; false while another copy is on trial.
+        """Tell whether a request may be sent now; false while another copy is on trial.
 
-        :raises RefusedError: when it is held.
+        :raises RefusedError: the request is quarantined.
         """
         if not self._ledger.may_contain(request.short_digest):
             return True
-        content, now_ms = request.fingerprint.request_digest, elapsed_ms()
-        hold = self._ledger.decide(request.fingerprint)
-        left_s = (hold.until_ms - now_ms) / 1000 if hold else 0.0
-        if left_s > 0:
-            raise _refusal(results.QUARANTINED, may_have_run, left_s)
-        if hold is None and not self._ledger.is_suspect(content):
+        digest, now_ms = request.fingerprint.request_digest, elapsed_ms()
+        decision = self._ledger.decide(request.fingerprint)
+        remaining_s = (decision.until_ms - now_ms) / 1000 if decision else 0.0
+        if remaining_s > 0:
+            raise _refusal(results.QUARANTINED, may_have_run, remaining_s)
+        if decision is None and not self._ledger.is_suspect(digest):
             return True
-        return self._trials.acquire(content, request, now_ms) == 0.0
+        return self._trials.acquire(digest, request, now_ms) == 0.0
 
     def note_finished(self, request: GuardedRequest) -> None:
-        """A request has ended, so that another copy may be sent."""
+        """Note that a request has finished, so that another copy may be sent."""
         if len(self._trials):
             self._trials.release(request.fingerprint.request_digest, request)
             self._changed.raise_()
 
     def note_answer(self, request: GuardedRequest) -> None:
-        """A server has answered a request."""
+        """Note that a back end has answered a request."""
         if self._ledger.may_contain(request.short_digest):
             self._ledger.note_answer(request.fingerprint, elapsed_ms())
             self._changed.raise_()
 
     def note_crash(self, request: GuardedRequest, server: str, sent_ms: float) -> None:
-        """A server's process was gone when its answer was missed."""
+        """Note that the process of a back end had ended when its answer was missing."""
         now_ms = elapsed_ms()
         self._ledger.expire(now_ms)
-        LOG.warning("Server ended under a request.", content=request.fingerprint, server=server)
-        # Servers keep their names over lives; the time tells these apart.
-        end = CrashEvent(
+        LOG.warning(
+            "Server crashed while it ran a request.", content=request.fingerprint, server=server
+        )
+        # Back ends keep their names when they restart; the time distinguishes incarnations.
+        crash = CrashEvent(
             f"{server}@{now_ms:.0f}", request.fingerprint.caller_digest, "", sent_ms, now_ms
         )
-        self._ledger.note_crash(request.fingerprint.request_digest, end)
+        self._ledger.note_crash(request.fingerprint.request_digest, crash)
         self._changed.raise_()
 
 
-def _refusal(result: Result, may_have_run: bool, after_s: float) -> RefusedError:
+def _refusal(result: Result, may_have_run: bool, retry_after_s: float) -> RefusedError:
     if may_have_run:
         result = results.ANSWER_LOST
-    return RefusedError(result, "servers ended under it", after_s)
+    return RefusedError(result, "servers ended under it", retry_after_s)
--- a/ploverhatch/node/metrics.py
+++ b/ploverhatch/node/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a node, in a registry of its own."""
+"""Prometheus metrics of a node, in a registry of their own."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
--- a/ploverhatch/node/observer.py
+++ b/ploverhatch/node/observer.py
@@ -1,8 +1,8 @@
-"""Observer task: keeps the view current from a parent node's stream.
+"""Observer task: keeps the view up to date from the stream of a parent node.
 
-Parents form a tree: a node that feeds its limit of observers redirects a new
-one to them, so no node feeds more than a bounded number and the leader hears
-nothing of the tree's lower levels.
+Parents and observers form a tree: a node that already feeds its maximum number of
+observers redirects a new one to them. So each node feeds a bounded number of observers,
+and lower levels of the tree cause no work at the leader.
 """
 
 import random
@@ -27,7 +27,7 @@
 
 
 class ObserverTask:
-    """Subscribes to one parent at a time while the node is no replica."""
+    """Subscribes to one parent at a time while the node is not a voter."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
     ) -> None:
         """Set up the task.
 
-        :param is_voter: tells whether the node is a voter, which needs no stream.
+        :param is_voter: returns whether the node is a voter; a voter needs no stream.
         """
         self._is_voter = is_voter
         self._member = member
@@ -61,11 +61,11 @@
             self._task.kill()
 
     def set_known_members(self, members: list[wire.Member]) -> None:
-        """Note nodes that may serve as parents."""
+        """Replace the set of nodes that may serve as parents."""
         self.known_members = {item.node_id: item for item in members}
 
     def update(self, sender: str, update: wire.StreamUpdate) -> None:
-        """Handle a batch of the stream."""
+        """Apply a message of the stream; messages of earlier parents are ignored."""
         if sender != self._parent:
             return
         self._last_update_ms = elapsed_ms()
@@ -95,7 +95,7 @@
                 return
 
     def _subscribe(self) -> bool:
-        """Find a parent: voters of the own zone first, then any voter."""
+        """Subscribe to a parent, trying nodes of the own zone first."""
         candidates = [
             item for item in self.known_members.values() if item.node_id != self._member.node_id
         ]
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -1,8 +1,7 @@
-"""Platform task: takes configuration over from the store while leading.
+"""Platform task: applies the configuration of the store while this node leads.
 
-Only the cell's leader watches the store. It also records the voters there,
-for new nodes to find the cell and to fence a new epoch, and a snapshot of the
-assignments for the case that all voters are lost.
+Only the leader of the cell watches the store. It also records the voters there, so that
+new nodes find the cell and a new epoch can be fenced off.
 """
 
 import json
@@ -32,7 +31,7 @@
 
 
 def to_change(item: StoredObject) -> wire.ObjectChange:
-    """Translate a stored object to a log command's part."""
+    """Convert a stored object to its form in a log command."""
     return wire.ObjectChange(
         kind=item.kind,
         name=item.name,
@@ -54,13 +53,13 @@
 
 
 def cell_body(membership: wire.MembershipChange) -> dict[str, object]:
-    """Return the cell object's body."""
+    """Return the body of the cell object."""
     voters = [member_to_json(item) for item in membership.voters]
     return {"epoch": membership.epoch, "voters": voters}
 
 
 class PlatformSync:
-    """Three loops that act only while this node leads."""
+    """Three loops that act only while this node leads: configuration, cell, machines."""
 
     def __init__(
         self,
@@ -121,9 +120,9 @@
             self._take_over(changes, replace=False)
 
     def _take_over(self, listed: ObjectList, replace: bool) -> None:
-        """Commit the objects of a list or a watch at its revision.
+        """Commit the objects of a list or watch result at its revision.
 
-        The cell's own object is left out: it is written by the cell itself.
+        The cell object is left out, since the cell itself writes it.
         """
         generation = self._view.state.configuration.generation
         if listed.revision <= generation:
@@ -141,11 +140,11 @@
     # ---- cell object ----------------------------------------------------------
 
     def _cell_loop(self) -> None:
-        """Record the voters whenever the store's object differs."""
+        """Write the voters to the cell object when it differs from them."""
         membership = self._view.state.membership
         current = self._store.get(KIND_CELL, self._cell)
         if current is not None and int(current.body.get("epoch", 0)) > membership.epoch:
-            LOG.error("A newer epoch exists.", epoch=current.body.get("epoch"))
+            LOG.error("Cell object names a newer epoch.", epoch=current.body.get("epoch"))
             self._control.post(EpochReplaced())
             gevent.sleep(PAUSE_S)
             return
--- a/ploverhatch/node/process.py
+++ b/ploverhatch/node/process.py
@@ -1,7 +1,7 @@
-"""One node: all roles, wired together.
+"""A node with all its roles.
 
-A node routes requests, observes the replicated state, may be chosen as a
-voter of its cell, and serves the administration API.
+A node routes requests, observes the replicated state, may become a voter of its cell,
+and serves the administration API.
 """
 
 import secrets
@@ -43,8 +43,8 @@
 FEED_HEARTBEAT_S = 0.4
 HAND_OVER_LIMIT_S = 3.0
 BACKGROUND_COMMITS_LIMIT_S = 3.0
-FINAL_ANSWERS_LIMIT_S = 0.3  # for the answers of requests that outlast the drain to leave
-ADMIN_LIMIT_S = 3.0  # for operators' requests that are under way at the end
+FINAL_ANSWERS_LIMIT_S = 0.3  # to send the answers of requests that outlast the drain
+ADMIN_LIMIT_S = 3.0  # for requests of operators that are in flight at the end
 CONSENSUS_MESSAGES = (
     wire.VoteRequest,
     wire.VoteReply,
@@ -56,12 +56,12 @@
 
 
 def open_http_backend(spec: ServerSpec) -> BackendClient:
-    """Open a client of a back end by the HTTP adapter."""
+    """Return a client of a back end that uses the HTTP adapter."""
     return HttpBackend(spec.host, spec.port, spec.connections)
 
 
 def control_timing(settings: Settings) -> ControlTiming:
-    """Return the control protocols' intervals from settings."""
+    """Return the intervals of the control protocols from the settings."""
     timing = settings.timing
     return ControlTiming(
         heartbeat_ms=timing.heartbeat_ms,
@@ -74,7 +74,7 @@
 
 
 class Node:
-    """A running node; ``start`` returns when all ports are open."""
+    """A node process. Its ports are open once ``start`` has returned."""
 
     def __init__(
         self,
@@ -103,9 +103,9 @@
             port=self.network.port,
             http_port=self.http.port,
         )
-        self._wire_roles(open_backend)
+        self._create_roles(open_backend)
 
-    def _wire_roles(self, open_backend: Callable[[ServerSpec], BackendClient]) -> None:
+    def _create_roles(self, open_backend: Callable[[ServerSpec], BackendClient]) -> None:
         settings = self.settings
         self.control = ControlTask(
             self.member,
@@ -143,10 +143,10 @@
         admin_address = (settings.node.host, settings.node.admin_port)
         self.admin_http = HttpServer(admin_address, as_application(self.admin.handle))
 
-    # ---- life ------------------------------------------------------------------
+    # ---- start and stop --------------------------------------------------------
 
     def start(self) -> None:
-        """Start all tasks."""
+        """Open the administration port and start all tasks."""
         self.admin_http.start()
         self.control.start()
         self.observer.start()
@@ -156,7 +156,7 @@
         LOG.info("Started.", node=self.node_id, zone=self.member.zone)
 
     def stop(self) -> None:
-        """Stop at once, as a crash would."""
+        """Stop immediately, without finishing requests."""
         gevent.killall(self._tasks, block=False)
         self.platform_sync.stop()
         self.observer.stop()
@@ -167,28 +167,28 @@
         self.admin_http.abort()
 
     def drain(self) -> bool:
-        """Stop as planned: hand duties on, finish requests, then stop.
+        """Shut down gracefully: hand over the cell duties, finish requests, then stop.
 
-        :returns: whether every request in flight was answered.
+        :returns: whether all requests in flight finished within their time limits.
         """
-        LOG.info("Draining.", node=self.node_id)
+        LOG.info("Node is draining.", node=self.node_id)
         self.leaving = True
         self._hand_over()
         timing = self.settings.timing
         clean = self.http.drain(timing.drain_limit_ms / 1000, timing.drain_linger_ms / 1000)
-        # What outlasts the drain is answered all the same: whether it ran is unknown, and its
-        # caller would have to guess even that from a connection that is cut.
+        # Requests that outlast the drain are answered with an unknown outcome: a caller whose
+        # connection was just closed would not learn even that.
         given_up = self.router.end_under_way()
         answered = self.http.await_answers(FINAL_ANSWERS_LIMIT_S)
         settled = self.router.await_background_commits(BACKGROUND_COMMITS_LIMIT_S)
-        # Last: operators see until then how the stop goes.
+        # This server stops last, so that operators can follow the shutdown until then.
         clean = self.admin_http.drain(ADMIN_LIMIT_S, 0.0) and clean
         self.stop()
         LOG.info("Stopped.", clean=clean, settled=settled, given_up=given_up, answered=answered)
         return clean
 
     def _hand_over(self) -> None:
-        """Leave the voters and the leadership, for a bounded time."""
+        """Try to give up the leadership and the vote, for at most ``HAND_OVER_LIMIT_S``."""
         end_ms = elapsed_ms() + HAND_OVER_LIMIT_S * 1000
         while elapsed_ms() < end_ms:
             voters = self.view.state.membership.voters
@@ -237,7 +237,7 @@
         )
 
     def _known_voters(self) -> list[wire.Member]:
-        """Return the voters by the own log, or as the view shows them."""
+        """Return the voters by the log of this node if it votes, else by the view."""
         replica = self.control.replica
         if replica.is_voter:
             return list(replica.voters.values())
@@ -291,7 +291,7 @@
             self.observer.set_known_members(voters)
 
     def _report_status(self) -> bool:
-        """Report to the leader; false when no leader took the report."""
+        """Send a status report to the leader; return false if no leader accepted it."""
         status = self._status()
         if self.control.leads:
             self.control.post(StatusReceived(status))
@@ -341,11 +341,11 @@
         return self.router.handle(environ)
 
     def report(self) -> wire.ClusterReport:
-        """Return what this node knows of its cell."""
+        """Return the report of this node on its cell."""
         return cluster_report(self.control, self.view, self._known_leader(), self.node_id)
 
     def update_gauges(self) -> None:
-        """Refresh gauges before they are read."""
+        """Update the gauges; called before they are rendered."""
         self.metrics.generation.set(self.view.state.configuration.generation)
         self.metrics.index.set(self.view.state.index)
         self.metrics.leading.set(1 if self.control.leads else 0)
--- a/ploverhatch/node/records_client.py
+++ b/ploverhatch/node/records_client.py
@@ -1,4 +1,4 @@
-"""Commits record commands at the cell's leader, from any node."""
+"""Client that commits record commands at the leader of the cell, from any node."""
 
 from collections.abc import Callable
 
@@ -17,14 +17,14 @@
 
 
 class RecordsUnavailableError(ConnectionError):
-    """No leader answered in time; the command may have been committed."""
+    """No leader replied in time; the command may have been committed."""
 
 
 class RecordsClient:
-    """Finds the leader and repeats a command until it is answered.
+    """Finds the leader and repeats a command until it gets a result.
 
-    Repeating is safe: every command names its claim, and a claim that is
-    already the caller's succeeds again.
+    Repeating is safe: each command names its claim, and claiming a record again with the
+    same claim succeeds.
     """
 
     def __init__(
@@ -40,9 +40,10 @@
     def submit(
         self, command: RecordCommand, deadline_ms: float
     ) -> tuple[ClaimResult, wire.RecordState]:
-        """Commit a command.
+        """Commit a command and return the result and the record.
 
-        :raises RecordsUnavailableError: without an answer by the deadline.
+        :param deadline_ms: elapsed time at which the attempts end.
+        :raises RecordsUnavailableError: no leader replied by the deadline.
         """
         while True:
             left_s = (deadline_ms - elapsed_ms()) / 1000
@@ -78,7 +79,7 @@
         return reply if isinstance(reply, wire.RecordReply) else None
 
     def serve(self, command: RecordCommand, timeout_s: float) -> wire.RecordReply | None:
-        """Commit a command at this node; ``None`` when the result is unknown."""
+        """Commit a command at this node; return ``None`` if the result is unknown."""
         try:
             result = self._control.commit(command, timeout_s)
         except NotLeaderError as error:
--- a/ploverhatch/node/report.py
+++ b/ploverhatch/node/report.py
@@ -1,4 +1,4 @@
-"""What a node knows of its cell, for operators."""
+"""Report of a node on its cell, for operators."""
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.node.control import ControlTask
@@ -9,7 +9,7 @@
 def cluster_report(
     control: ControlTask, view: StateView, leader_id: str, node_id: str
 ) -> wire.ClusterReport:
-    """Build a report; nodes and servers are listed by the leader only."""
+    """Build a report; only the leader lists nodes and servers."""
     now_ms = elapsed_ms()
     nodes = [
         wire.NodeProgress(
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -1,7 +1,7 @@
-"""Router task: serves callers' requests.
+"""Router: serves the requests of callers.
 
-Each request runs in its own greenlet. Decisions come from ``routing`` (pure);
-this module owns the connections to back ends and the waiting.
+Each request runs in a greenlet of its own. The decisions are made in ``routing``, which
+does no I/O; this module owns the connections to back ends and does the waiting.
 """
 
 import secrets
@@ -96,7 +96,10 @@
 
 @dataclass(frozen=True)
 class Call:
-    """A caller's request after matching."""
+    """A request of a caller, matched to a route.
+
+    ``deadline_ms`` ends the request, and ``give_up_ms`` the waiting before it is sent.
+    """
 
     route: Route
     key: str
@@ -111,7 +114,7 @@
 
 
 class Router:
-    """The callers' interface of one node."""
+    """Serves the requests of callers at one node."""
 
     def __init__(
         self,
@@ -135,7 +138,7 @@
     # ---- entry ------------------------------------------------------------------
 
     def handle(self, environ: Environ) -> HttpReply:
-        """Serve one request."""
+        """Serve one request; every failure is answered by a problem document."""
         started_ms = elapsed_ms()
         group = "-"
         try:
@@ -152,7 +155,7 @@
         except BodyTooLargeError:
             result = results.BODY_TOO_LARGE
             reply = problem_reply(result)
-        except Exception as error:  # a fault of ours must still be answered honestly
+        except Exception as error:  # an internal error must be answered as an unknown outcome
             LOG.error("Request failed.", cause=type(error).__name__, group=group)
             result = results.INTERNAL_ERROR
             reply = problem_reply(result)
@@ -255,7 +258,7 @@
         )
 
     def _repeat(self, outcome: ClaimResult, record: wire.RecordState) -> tuple[HttpReply, Result]:
-        """Answer a repeat of a request that was claimed before."""
+        """Answer a repeat of a request whose key is already claimed."""
         if outcome is ClaimResult.MISMATCH:
             raise RefusedError(results.KEY_REUSED)
         if outcome is ClaimResult.LOST:
@@ -274,7 +277,7 @@
         return HttpReply(record.status, headers, record.body), result
 
     def _release(self, claim: wire.RecordClaim) -> None:
-        """Give a claim back before the caller learns "not-run" and repeats."""
+        """Release a claim before the caller is told "not-run" and repeats the request."""
         release = wire.RecordRelease(record_id=claim.record_id, claim_id=claim.claim_id)
         try:
             self._records.submit(release, elapsed_ms() + RELEASE_WAIT_MS)
@@ -282,20 +285,20 @@
             self._commit_in_background(release)
 
     def _commit_in_background(self, command: wire.RecordComplete | wire.RecordRelease) -> None:
-        """Commit in the background, for a bounded time."""
+        """Commit a command in the background, within ``BACKGROUND_COMMIT_MS``."""
         task = gevent.spawn(self._commit_task, command)
         self._background_commits.add(task)
         task.link(self._background_commits.discard)
 
     def end_under_way(self) -> int:
-        """Have the requests under way answered now, since the process ends.
+        """Answer all requests in flight now, since the process ends.
 
-        :returns: how many they are.
+        :returns: the number of these requests.
         """
         return self._under_way.end_all(ProcessEndsError)
 
     def await_background_commits(self, limit_s: float) -> bool:
-        """Wait until background commits have ended, before a planned stop."""
+        """Wait for the background commits; return whether all ended within ``limit_s``."""
         gevent.joinall(list(self._background_commits), timeout=limit_s)
         return not self._background_commits
 
@@ -344,7 +347,7 @@
     def _attempt_or_answer_lost(
         self, call: Call, owner: Slice, upstream: Upstream, state: RequestState
     ) -> tuple[AttemptEnd | None, BackendReply | None]:
-        """Run one attempt; a "not-run" is not answered after one that may have run."""
+        """Run one attempt; if an earlier one may have run, refusals become ANSWER_LOST."""
         try:
             return self._attempt(call, owner, upstream, state.may_have_run)
         except RefusedError as error:
@@ -353,7 +356,7 @@
             raise RefusedError(results.ANSWER_LOST, error.result.name) from error
 
     def _decide(self, state: RequestState, end: AttemptEnd, refusal: Refusal) -> Retry | GiveUp:
-        # Waiting for ownership to settle costs no back end any work.
+        # A retry that only waits for a change of ownership puts no load on a back end.
         costs = refusal is Refusal.BUSY or end in {AttemptEnd.LOST, AttemptEnd.CANCELLED}
         budget_left = self._budget.spend() if costs else True
         return after_attempt(state, end, refusal, elapsed_ms(), budget_left)
@@ -365,10 +368,12 @@
             gevent.sleep(max(decision.pause_ms, 0) / 1000)
 
     def _await_owner(self, call: Call, state: RequestState) -> Slice:
-        """Return the key's owner; wait while there is none.
+        """Return the owner of the key; wait while there is none.
+
+        An owner that refused the token is returned again as well, since its lease may have
+        been renewed meanwhile.
 
-        An owner that refused the token is asked again as well: its lease may
-        have been renewed meanwhile.
+        :raises RefusedError: there was no owner until ``call.give_up_ms``.
         """
         while True:
             owner = self._view.state.assignments.find(call.route.group, call.key_hash)
@@ -383,7 +388,10 @@
     def _attempt(
         self, call: Call, owner: Slice, upstream: Upstream, may_have_run: bool
     ) -> tuple[AttemptEnd | None, BackendReply | None]:
-        """Run one attempt; the first value is ``None`` when it was answered."""
+        """Run one attempt; the first result is ``None`` if a back end answered.
+
+        :raises RefusedError: no slot was free in time, or the deadline has passed.
+        """
         self.meter.count(call.route.group, owner.range.first, call.key_hash)
         ticket = self._upstreams.acquire_slot(upstream, call.route.group, call.give_up_ms)
         if ticket is None:
@@ -395,12 +403,12 @@
         started_ms = elapsed_ms()
         shed = False
         try:
-            # The wait for a slot may have been long, or this process paused.
+            # The wait for a slot may have been long, or this process may have been suspended.
             current = self._view.state.assignments.find(call.route.group, call.key_hash)
             if current is None or current.token != owner.token:
                 return AttemptEnd.NOT_SENT, None
             if not self._crash_guard.allows(call.guarded, may_have_run):
-                return AttemptEnd.NOT_SENT, None  # a copy of it ended its server meanwhile
+                return AttemptEnd.NOT_SENT, None  # a copy crashed its back end meanwhile
             if elapsed_ms() >= call.deadline_ms:
                 raise RefusedError(results.DEADLINE_PASSED)
             end, reply = self._send(call, owner, upstream)
@@ -440,7 +448,7 @@
         return None, reply
 
     def _read_clock(self, upstream: Upstream) -> bool:
-        """Learn the server's clock before the first request that needs it."""
+        """Read the clock of a back end before the first request that needs it."""
         try:
             probe = upstream.client.probe(CANCEL_TIMEOUT_S)
         except (ConnectionError, ValueError, KeyError):
@@ -456,13 +464,13 @@
         error: BackendAnswerLostError,
         sent_ms: float,
     ) -> AttemptEnd:
-        """Ask the server whether the request can still be kept from running."""
+        """Try to cancel a request whose answer was lost; return how the attempt ended."""
         try:
             cancelled = upstream.client.cancel(request.request_id, CANCEL_TIMEOUT_S)
         except (ConnectionError, ValueError, KeyError):
             cancelled = False
-            # How the call failed doesn't tell: it may have gone over a kept connection that
-            # broke with the process, a moment after the request's.
+            # The error of the cancel call is no evidence of a crash: the call may have used a
+            # kept connection that broke with the process just after that of the request.
             if upstream.client.has_ended(CANCEL_TIMEOUT_S):
                 self._crash_guard.note_crash(call.guarded, upstream.spec.name, sent_ms)
         if cancelled:
@@ -472,7 +480,7 @@
     # ---- for operators ------------------------------------------------------------------
 
     def queues(self) -> dict[str, dict[str, Any]]:
-        """Return queue figures by server."""
+        """Return the state of the slot queues by name of the back end."""
         return self._upstreams.queues()
 
 
--- a/ploverhatch/node/upstreams.py
+++ b/ploverhatch/node/upstreams.py
@@ -1,4 +1,4 @@
-"""Servers as a router sees them: connections, slots, clock readings."""
+"""Router state per back end: connections, slots and clock readings."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -20,7 +20,11 @@
 
 @dataclass
 class Upstream:
-    """Client, queue and clock reading of one server."""
+    """Client, slot queue and newest clock reading of one back end.
+
+    ``clock_ms`` was read from the clock of the back end at ``clock_read_ms`` on the clock of
+    this node.
+    """
 
     spec: ServerSpec
     client: BackendClient
@@ -30,33 +34,37 @@
     clock_read_ms: float = 0.0
 
     def note_clock(self, reply_clock_ms: float, received_ms: float) -> None:
-        """Keep the newest reading of the server's clock."""
+        """Store a reading of the clock of the back end."""
         self.clock_ms = reply_clock_ms
         self.clock_read_ms = received_ms
 
     def not_after(self, budget_ms: float, now_ms: float) -> float:
-        """Return the server clock value ``budget_ms`` from now, or earlier."""
+        """Return the clock value of the back end ``budget_ms`` from now, or an earlier one."""
         return self.clock_ms + (now_ms - self.clock_read_ms) + budget_ms
 
     def retry_after_s(self) -> float:
-        """Return when a refused caller should come back."""
+        """Return the seconds after which a refused caller should retry."""
         return self.queue.expected_wait_ms() / 1000
 
     def grant_free_slots(self) -> None:
-        """Give free slots to the requests whose turn it is."""
+        """Grant free slots to the next waiting requests."""
         while (ticket := self.queue.start_next()) is not None:
             waiter = self.waiters.get(id(ticket))
             if waiter is not None:
                 waiter.set(True)
 
     def release_slot(self, ticket: Ticket, took_ms: float, shed: bool) -> None:
-        """Free a slot."""
+        """Release a slot and grant it to a waiting request.
+
+        :param took_ms: service time of the request.
+        :param shed: whether the back end refused the request as overloaded.
+        """
         self.queue.finish(ticket, took_ms, shed)
         self.grant_free_slots()
 
 
 class UpstreamPool:
-    """Clients and slot queues of all servers, by name."""
+    """Clients and slot queues of all back ends, by name."""
 
     def __init__(
         self,
@@ -70,7 +78,10 @@
         self._upstreams: dict[str, Upstream] = {}
 
     def get(self, server: str) -> Upstream | None:
-        """Return a server's upstream, opened again when it moved or was resized."""
+        """Return the upstream of a back end, or ``None`` if it is unknown.
+
+        It is created anew when the address, the connections or the slots change.
+        """
         spec = self._view.servers.get(server)
         known = self._upstreams.get(server)
         if spec is None:
@@ -88,8 +99,8 @@
     def acquire_slot(self, upstream: Upstream, group: str, give_up_ms: float) -> Ticket | None:
         """Wait for a slot.
 
-        :returns: the ticket that holds the slot; ``None`` at once when the
-            queue is full, or at ``give_up_ms``.
+        :returns: the ticket that holds the slot, or ``None``: immediately if the queue is
+            full, or at ``give_up_ms``.
         """
         now_ms = elapsed_ms()
         priority, share = self._terms(group, upstream.spec)
@@ -111,7 +122,7 @@
         return ticket
 
     def _terms(self, group: str, spec: ServerSpec) -> tuple[int, float]:
-        """Return priority and share of a group on a server."""
+        """Return the priority and the share of a group on a back end."""
         policy = self._view.policy
         if policy is None or group not in policy.groups:
             return LOWEST_PRIORITY, MIN_SHARE
@@ -121,7 +132,7 @@
         return found.priority, max(shares, default=MIN_SHARE)
 
     def queues(self) -> dict[str, dict[str, Any]]:
-        """Return queue figures by server."""
+        """Return the state of the slot queues by name of the back end."""
         return {
             name: {
                 "running": upstream.queue.running_count,
@@ -133,7 +144,7 @@
 
 
 def _same_endpoint(old: ServerSpec, new: ServerSpec) -> bool:
-    """Tell whether connections and slots of an upstream can stay."""
+    """Tell whether an upstream can keep its connections and slots."""
     return (old.host, old.port, old.connections, old.slots) == (
         new.host,
         new.port,
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -1,8 +1,7 @@
-"""The node's view of the replicated state, and the feeds to its observers.
+"""A node's view of the replicated state, and the feeds to its observers.
 
-On a voter or learner the view shares the replica's state; elsewhere it is
-filled by a stream from another node. An epoch or generation is never taken
-back.
+On a voter or learner, the view shares the state of the replica; on other nodes, a stream
+from another node fills it. The epoch and the generation of the view never decrease.
 """
 
 from collections import deque
@@ -31,20 +30,20 @@
 
 
 class StateView:
-    """Applied state, compiled policy, and the observers fed from here."""
+    """Applied state, compiled policy, and the observers that this node feeds."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
         self.state = ReplicatedState()
         self._compiled = CompiledConfiguration()
         self.feeds: dict[Connection, wire.Member] = {}
-        self.changes = 0  # slices that changed hands, as seen here
+        self.changes = 0  # number of slices assigned anew, as seen by this view
         self._history: deque[wire.LogEntry] = deque(maxlen=HISTORY_ENTRIES)
         self._changed = Event()
 
     @property
     def policy(self) -> PolicyTable | None:
-        """The compiled policy in force."""
+        """The compiled policy in force, or ``None`` before there is one."""
         return self._compiled.policy
 
     @property
@@ -54,17 +53,17 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether requests can be routed."""
+        """Whether requests can be routed."""
         return self.policy is not None
 
     def wait_change(self, timeout_s: float) -> bool:
-        """Wait until assignments or configuration change."""
+        """Wait until the assignments or the configuration change; tell whether they did."""
         return bool(self._changed.wait(timeout_s))
 
-    # ---- taking over state ---------------------------------------------------
+    # ---- applying state ------------------------------------------------------
 
     def adopt(self, state: ReplicatedState) -> None:
-        """Replace the state by a replica's or a snapshot's."""
+        """Replace the state by that of a replica or a snapshot, and send it to observers."""
         self.state = state
         self._history.clear()
         self._refresh()
@@ -72,7 +71,7 @@
             self._send_snapshot(connection)
 
     def apply_snapshot(self, snapshot: wire.Snapshot) -> bool:
-        """Take over a snapshot from the stream unless it is older."""
+        """Apply a snapshot from the stream; return false if it is older than the state."""
         mine = (self.state.epoch, self.state.index)
         theirs = (snapshot.membership.epoch, snapshot.index)
         if theirs < mine or snapshot.generation < self.state.configuration.generation:
@@ -81,9 +80,9 @@
         return True
 
     def apply_update(self, update: wire.StreamUpdate) -> bool:
-        """Apply a batch from the stream.
+        """Apply a batch of entries from the stream.
 
-        :returns: false when there is a gap, so a new subscription is needed.
+        :returns: false if entries are missing, so that a new subscription is needed.
         """
         if update.epoch != self.state.epoch or update.previous_index > self.state.index:
             return False
@@ -95,7 +94,7 @@
         return True
 
     def note_applied(self, entry: wire.LogEntry) -> None:
-        """Note that an entry was applied to the state; feed it on."""
+        """Note that an entry was applied to the state, and send it to observers."""
         if entry.kind in RECORD_KINDS:
             return
         self._history.append(entry)
@@ -110,7 +109,10 @@
 
     def _refresh(self) -> None:
         if self._compiled.refresh(self.state.configuration) and self._compiled.faults:
-            LOG.error("Policy refused.", generation=self.state.configuration.generation)
+            LOG.error(
+                "Stored policy does not compile; the last valid one stays in force.",
+                generation=self.state.configuration.generation,
+            )
         self._changed.set()
         self._changed.clear()
 
@@ -128,7 +130,7 @@
         self._send(connection, self._update(entries, request.from_index))
 
     def heartbeat(self) -> None:
-        """Tell observers that this node lives, and how far the log is."""
+        """Send the applied index to all observers, as a sign that this node is alive."""
         self._drop_closed()
         if self.feeds:
             self._broadcast([], self.state.index)
@@ -146,7 +148,7 @@
         )
 
     def _broadcast(self, entries: list[wire.LogEntry], through: int) -> None:
-        """Encode once and queue for every observer."""
+        """Encode an update once and queue it for every observer."""
         update = wire.StreamUpdate(
             epoch=self.state.epoch,
             previous_index=self._previous_public_index(before=len(entries)),
@@ -159,10 +161,10 @@
                 self.feeds.pop(connection, None)
 
     def _previous_public_index(self, before: int) -> int:
-        """Return the index of the newest public entry but ``before`` ones.
+        """Return the index of the public entry before the newest ``before`` public ones.
 
-        Record entries are not fed on, so for observers an entry follows the
-        public entry before it.
+        Record entries are not sent to observers, so for an observer each entry follows the
+        previous public entry.
         """
         position = len(self._history) - before - 1
         return int(self._history[position].index) if position >= 0 else 0
--- a/tests/functional/test_interfaces.py
+++ b/tests/functional/test_interfaces.py
@@ -1,4 +1,7 @@
-"""Callers' and operators' interfaces of real processes: bad input, roles, races."""
+"""Tests of the interfaces for callers and operators with real processes.
+
+They cover malformed input, roles and lost races.
+"""
 
 import json
 import socket
@@ -17,7 +20,7 @@
 
 
 def raw(cell, data):
-    """Send bytes to a router and return the head of its answer."""
+    """Send bytes to a node and return the beginning of its answer."""
     port = cell.nodes[0].ready["http_port"]
     with socket.create_connection(("127.0.0.1", port), timeout=5) as sock:
         sock.sendall(data)
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -1,9 +1,9 @@
-"""Work that is accepted shortly before a planned stop is finished, or not accepted.
+"""Work accepted shortly before a planned stop is finished, or it is not accepted.
 
-Seen in the gateway: a process bounds how long it waits for requests under way, but
-not which requests it still takes, so that some are begun without time to end. These
-tests look for the same in the other parts that stop as planned. Each starts the work
-at the moment in question, on purpose, over loopback sockets.
+The fault was first found in the gateway: a process bounds how long it waits for requests
+in flight, but not which requests it still accepts, so that some begin without enough time
+to finish. These tests check the other parts that shut down gracefully. Each starts the
+work at the critical moment, over loopback sockets.
 """
 
 import select
@@ -43,8 +43,8 @@
 # ---- the server of nodes and emulators ---------------------------------------------------
 
 
-class Served:
-    """A server whose path tells how many milliseconds a request takes."""
+class SlowServer:
+    """An HTTP server; the path of a request is its service time in milliseconds."""
 
     def __init__(self):
         self.begun = []
@@ -59,11 +59,11 @@
 
     def connect(self):
         sock = socket.create_connection((LOOPBACK, self.http.port), timeout=5.0)
-        gevent.sleep(0.05)  # it is accepted
+        gevent.sleep(0.05)  # until the connection is accepted
         return sock
 
     def stop(self, limit_s, linger_s):
-        """Stop as the node does."""
+        """Stop the server as a node does."""
         clean = self.http.drain(limit_s, linger_s)
         self.http.abort()
         return clean
@@ -71,7 +71,7 @@
 
 @pytest.fixture
 def served():
-    made = Served()
+    made = SlowServer()
     yield made
     made.http.abort()
 
@@ -81,7 +81,7 @@
 
 
 def status(sock):
-    """Return the status of an answer; 0 where the connection ends without one."""
+    """Return the status of an answer, or 0 if the connection ends without one."""
     try:
         data = sock.recv(65536)
     except OSError:
@@ -92,9 +92,9 @@
 def test_connections_that_wait_to_be_accepted_are_served(served):
     """Requests in the accept backlog were reset when the listener closed.
 
-    A caller that sent its request into the backlog can't tell a reset from a request
-    that ran. Connections that the kernel set up while the process was busy wait there.
-    Proof: clients connect and send without the server's turn in between, then it drains.
+    The backlog holds connections that the kernel set up while the process was busy. A
+    caller whose request is in the backlog cannot tell a reset from a request that ran.
+    In this test, clients connect and send while the server does not run, then it drains.
     """
     clients = [stdlib_socket.create_connection((LOOPBACK, served.http.port)) for _ in range(3)]
     for client in clients:
@@ -105,11 +105,12 @@
 
 
 def test_a_request_is_not_begun_without_room_to_end(served):
-    """A kept connection took a request until the limit, which then cut it.
+    """A kept connection accepted requests until the drain limit, which then cut them off.
 
-    Idle connections were left open after the linger time while another request was
-    under way, so the limit bounded the wait, not what was still taken. Proof: the log of
-    begun requests holds one that was sent at 0.8 s of 1.0 s, and its caller got nothing.
+    Idle connections stayed open after the linger time while another request was in
+    flight, so the limit bounded the wait but not which requests were accepted. In this
+    test, a request of 500 ms is sent 0.7 s into a limit of 1.0 s: it must be answered or
+    not begun.
     """
     busy, kept = served.connect(), served.connect()
     busy.sendall(request(b"/900"))
@@ -121,10 +122,10 @@
 
 
 def test_nothing_is_begun_after_the_drain(served):
-    """A request was begun after the drain had told that all are answered.
+    """A request was begun after the drain had reported that all were answered.
 
-    Idle connections stayed open when the drain returned; a node then settles records
-    for up to 3 s, and cuts what was begun meanwhile. Proof: the log of begun requests.
+    Idle connections stayed open when the drain returned; a node then commits records for
+    up to 3 s, and cuts off requests that began meanwhile.
     """
     kept = served.connect()
     assert served.http.drain(1.0, 0.1)
@@ -135,10 +136,10 @@
 
 
 def test_a_request_whose_head_is_being_read_is_finished(served):
-    """A request whose head came in two parts was cut at the end of the linger time.
+    """A request whose head came in two parts was cut off at the end of the linger time.
 
-    Only requests whose head was whole counted as under way. Proof: the second part comes
-    0.2 s after the linger time, far within the limit, and finds the connection closed.
+    Only requests with a complete head counted as in flight. In this test, the second part
+    comes 0.2 s after the linger time, well within the limit.
     """
     slow = served.connect()
     head = request(b"/0")
@@ -152,7 +153,7 @@
 
 
 def test_a_request_whose_first_line_is_being_read_is_finished(served):
-    """It looked like a connection at rest until its first line was whole, and was cut."""
+    """A connection counted as idle until its first line was complete, and was closed."""
     slow = served.connect()
     head = request(b"/0")
     slow.sendall(head[:6])
@@ -168,7 +169,7 @@
 
 
 def make_node(folder, platform, **timing):
-    """Return a node without a cell, whose operator has a token."""
+    """Return a node without a cell, with a token for its operator."""
     tokens = folder / "tokens"
     tokens.write_text("operate secret-token-of-this-test\n")
     overrides = {
@@ -187,10 +188,10 @@
 
 
 def test_a_change_under_way_is_answered_before_a_node_stops(tmp_path):
-    """A change by an operator was cut by a planned stop, without an answer.
+    """A change by an operator was cut off by a planned stop, without an answer.
 
-    The administration server listened until the end and was then aborted; only the
-    callers' server was drained. Proof: the change reached the store, the answer was lost.
+    The administration server listened until the end and was then aborted; only the server
+    for callers was drained. So a change reached the store and its answer was lost.
     """
     platform = PlatformEmulator((LOOPBACK, 0))
     node = make_node(tmp_path, platform)
@@ -214,10 +215,10 @@
 
 
 def test_a_request_that_outlasts_the_drain_of_a_node_is_answered(tmp_path):
-    """A request that was still served when the drain's limit came was cut without an answer.
+    """A request that was still running at the drain limit was cut off without an answer.
 
-    The drain told whether all had ended, and the node then closed what had not; gateways
-    answer such requests. Proof: the caller of a request that works on gets nothing.
+    The drain returned whether all requests had finished, and the node then closed the
+    connections of the others. Gateways answer such requests.
     """
     platform = PlatformEmulator((LOOPBACK, 0))
     node = make_node(tmp_path, platform, drain_limit_ms=300)
@@ -247,7 +248,7 @@
 
 
 def do_nothing():
-    """Take the place of a callback."""
+    """Stand in for a callback."""
 
 
 def start_elector(server, strength=1.0):
@@ -266,16 +267,19 @@
 
 
 def writes(server):
-    """Return the writes of leases, those under way included; the first adds the node."""
+    """Return the methods of the writes of leases, also of those in flight.
+
+    The first write adds the node.
+    """
     return [call[0] for call in server.store.calls if call[1] == kinds.LEASES and call[0] != "GET"]
 
 
 def test_a_lease_that_is_being_renewed_is_given_back(lease_store):
-    """A leader that stopped during a renewal kept its lease, and led on.
+    """A leader that stopped during a renewal kept its lease and continued to lead.
 
-    The resignation used the revision before the renewal, so the store refused it; then
-    the renewal's answer made the stopped node the leader again. Nobody leads until the
-    lease has been silent for its time. Proof: the lease in the store is not released.
+    The resignation used the revision before the renewal, so the store refused it; then the
+    answer to the renewal made the stopped node the leader again. No other node can lead
+    until the lease expires, so the lease in the store must be released.
     """
     elector = start_elector(lease_store)
     until(lambda: elector.state.leading)
@@ -289,11 +293,11 @@
 
 
 def test_a_lease_that_is_being_claimed_is_given_back(lease_store):
-    """A node that was told to stop while it claimed the lease kept it.
+    """A node that was stopped while it claimed the lease kept the lease.
 
-    It did not lead yet, so nothing was given back; the claim's answer then made it the
-    leader. It does no leader's work, so nobody leads until the lease has been silent for
-    its time. Proof: the lease in the store is not released.
+    It did not lead yet, so it released nothing; the answer to the claim then made it the
+    leader. A stopped node does not act as leader, and no other node can lead until the
+    lease expires, so the lease in the store must be released.
     """
     lease_store.store.faults.delay_s = 0.2
     elector = start_elector(lease_store)
@@ -305,15 +309,15 @@
 
 
 def test_a_node_that_stops_before_it_claims_leaves_the_lease(lease_store):
-    """A weaker node that was told to stop while it let stronger ones go first claimed the lease.
+    """A weaker node that was stopped while it waited for stronger ones claimed the lease.
 
-    Whether it stops was asked before that pause and not after it. Proof: the lease.
+    The node checked whether it was stopping before that wait and not after it.
     """
     member = keymap_codec.encode_member(keymap_codec.Member("127.0.0.1:2", "z1", 1.0))
     lease_store.store.put(kinds.LEASES, "node-strong", member)
     elector = start_elector(lease_store, strength=0.5)
     until(lambda: elector._registered)
-    gevent.sleep(0.1)  # it waits for half a second before it claims
+    gevent.sleep(0.1)  # the node waits for 0.5 s before it claims the lease
     assert writes(lease_store) == ["POST"]
     elector.stop()
     gevent.sleep(1.0)
@@ -322,9 +326,10 @@
 
 
 def test_a_node_that_stood_still_after_its_stop_claims_nothing(lease_store):
-    """It was told to stop while it let stronger ones go first, then stood still for 6 s.
+    """A weaker node that was stopped and then suspended for 6 s claimed the lease.
 
-    Only the pause after a resignation was looked at, and that was over.
+    It was stopped while it waited for stronger nodes. When it resumed, it checked only the
+    pause after a resignation, which was over.
     """
     member = keymap_codec.encode_member(keymap_codec.Member("127.0.0.1:2", "z1", 1.0))
     lease_store.store.put(kinds.LEASES, "node-strong", member)
@@ -332,7 +337,7 @@
     until(lambda: elector._registered)
     gevent.sleep(0.1)
     elector.stop()
-    time.sleep(6.2)  # the whole process stands still
+    time.sleep(6.2)  # blocks the whole process, like a suspension
     gevent.sleep(1.0)
     assert not elector.state.leading
     assert writes(lease_store) == ["POST"]
@@ -349,14 +354,14 @@
 
 
 def test_a_move_that_was_begun_ends_before_the_leader_stops(site):
-    """A release that was under way when the leader stopped was thrown away and made again.
-
-    The leader gives the lease back at once and kills its calls to servers, though it goes
-    on for seconds; the next leader takes the lease, reads the map and releases again.
-    Meanwhile nobody holds the keys. Proof: the server is asked twice. In trials the keys
-    were granted 0.9 to 2.0 s after the release began (14 stops), and 0.3 s after it where
-    the leader stayed (4), which is what the server takes to answer. The count is judged,
-    not the time, which depends on when the next leader looks at the lease.
+    """A release that was in flight when the leader stopped was discarded and repeated.
+
+    The leader released its lease immediately and killed its calls to servers, though it ran
+    on for seconds; the next leader claimed the lease, read the map and sent the release
+    again. Meanwhile no server held the keys. In trials, the keys were granted 0.9 to 2.0 s
+    after the release began (14 stops), and 0.3 s after it where the leader stayed (4 runs),
+    which is the time the server takes to answer. The test checks the number of releases and
+    not the time, which depends on when the next leader reads the lease.
     """
     gateways = start_site(site, gateways=2)
     leader = next(gateway for gateway in gateways if gateway.leads)
@@ -381,33 +386,33 @@
 
 
 def test_one_that_waits_at_a_node_that_stops_goes_on_elsewhere():
-    """A request that waited in the queue of a node that stopped was turned away.
+    """A request that waited in the queue of a stopping node was rejected.
 
-    A node that is about to stop turns away new asks, but keeps those in its queue; they
-    hear nothing when it exits, though the server has room. A wait outlasts the unready
-    time where a route allows more than 4.7 s. Proof: the holders give their slots back,
-    and the request is turned away after all its time.
+    A node that is about to stop rejects new slot requests but keeps those in its queue.
+    These got no reply when it exited, though the server had capacity, so a request was
+    rejected at the end of its wait although slots had been released. A wait outlasts the
+    unready time if its route allows more than 4.7 s.
     """
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
-    keeper = dispatcher_of(cluster, HOLDER)
-    asker = next(node for node in cluster.nodes if node is not keeper)
-    holders = [gevent.spawn(hold, asker, 300.0, 3.0) for _ in range(3)]
+    dispatcher = dispatcher_of(cluster, HOLDER)
+    requester = next(node for node in cluster.nodes if node is not dispatcher)
+    holders = [gevent.spawn(use_slot, requester, 300.0, 3.0) for _ in range(3)]
     gevent.sleep(0.1)
-    waiting = gevent.spawn(hold, asker, 4000.0, 0.0)
+    waiting = gevent.spawn(use_slot, requester, 4000.0, 0.0)
     gevent.sleep(0.1)
-    assert keeper.slots.waiting == 1
-    keeper.slots.leaving = True
+    assert dispatcher.slots.waiting == 1
+    dispatcher.slots.leaving = True
     gevent.sleep(READINESS_DETECTION_MS / 1000)
-    keeper.slots.redirect_waiting()
+    dispatcher.slots.redirect_waiting()
     gevent.sleep(0.05)
-    keeper.stop()
+    dispatcher.stop()
     gevent.joinall([waiting, *holders], timeout=6.0)
     for node in cluster.nodes:
         node.stop()
     assert waiting.value == "went on"
 
 
-def hold(node, wait_ms, time_s):
+def use_slot(node, wait_ms, time_s):
     try:
         with node.slots.hold(requirements(holder=record(0), wait_ms=wait_ms, hold_ms=9000.0)):
             gevent.sleep(time_s)
@@ -417,23 +422,23 @@
 
 
 def test_slots_of_requests_that_outlast_their_process_come_back():
-    """Their leases would keep them from others for as long as the requests had."""
+    """The slots of cancelled requests are released before their leases expire."""
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
-    keeper = dispatcher_of(cluster, HOLDER)
-    asker = next(node for node in cluster.nodes if node is not keeper)
+    dispatcher = dispatcher_of(cluster, HOLDER)
+    requester = next(node for node in cluster.nodes if node is not dispatcher)
     requests = RequestsUnderWay()
 
     def serve():
         with requests.serve():
-            hold(asker, 300.0, 30.0)
+            use_slot(requester, 300.0, 30.0)
 
     task = gevent.spawn(serve)
     gevent.sleep(0.1)
-    assert keeper.slots.in_use == 1
+    assert dispatcher.slots.in_use == 1
     assert requests.end_all(GreenletExit) == 1
     gevent.sleep(0.05)
     assert task.ready()
-    assert keeper.slots.in_use == 0
+    assert dispatcher.slots.in_use == 0
     for node in cluster.nodes:
         node.stop()
 
@@ -453,13 +458,13 @@
 
 
 def test_the_last_lines_reach_a_reader_that_is_slow_for_a_moment():
-    """The last log lines of a process were lost, and no line told that they were.
+    """The last log lines of a process were lost without a notice.
 
     Lines wait in a buffer while the pipe is full, and the process ended without writing
-    them. Proof: a reader that begins 0.3 s late misses the line "Stopped.".
+    them, so a reader that began 0.3 s late missed the line "Stopped.".
     """
     process = subprocess.Popen([sys.executable, "-c", LOGGING], stdout=subprocess.PIPE)
-    select.select([process.stdout], [], [])  # it began to write
+    select.select([process.stdout], [], [])  # until the process begins to write
     time.sleep(0.3)
     text, _ = process.communicate(timeout=10)
     lines = text.decode().splitlines()
@@ -467,26 +472,26 @@
     assert len(lines) == 1501
 
 
-# ---- words to other nodes -----------------------------------------------------------------
+# ---- reports to other nodes ---------------------------------------------------------------
 
 
 def test_what_the_last_requests_showed_is_told_before_a_process_ends(site):
-    """A server's end that was seen 20 ms before its witness ended was told to nobody.
+    """A crash observed within 20 ms of the end of a process was reported to no other node.
 
-    What is seen is told together after that time, and the process ended meanwhile. Proof: an
-    end that is noted in the last moment of a stop.
+    Crashes are collected for 20 ms and reported together, and the process ended meanwhile.
+    In this test, a crash is noted in the last moment of a stop.
     """
     first, second = start_site(site, gateways=2)
     quarantine, log_open_requests = first._quarantine, first._callers.log_open_requests
 
-    def note_an_end():
+    def note_a_crash():
         now_ms = elapsed_ms()
-        end = CrashEvent("u9", b"caller", "n", now_ms - 10.0, now_ms)
-        quarantine._ledger.note_crash(b"a content 16 b.", end)
+        crash = CrashEvent("u9", b"caller", "n", now_ms - 10.0, now_ms)
+        quarantine._ledger.note_crash(b"a content 16 b.", crash)
         quarantine._note_change(b"a content 16 b.")
         log_open_requests()
 
-    first._callers.log_open_requests = note_an_end
+    first._callers.log_open_requests = note_a_crash
     first.drain()
-    assert quarantine._unreported == set()  # the process may end now
+    assert quarantine._unreported == set()  # nothing is left to report when the process ends
     until(lambda: second._quarantine.known_count == 1)
--- a/tests/probe/test_failures.py
+++ b/tests/probe/test_failures.py
@@ -1,6 +1,6 @@
-"""Real processes are killed, frozen, drained and restarted under load.
+"""Tests under load in which real processes are killed, frozen, drained and restarted.
 
-Judged from the back ends' execution logs, not from the routers' own state.
+The results are checked by the execution logs of the back ends, not by the state of nodes.
 """
 
 import signal
@@ -49,7 +49,7 @@
         cell.backends["weights-1"].kill()
         result = load.get()
         judge(cell)
-        # A request on its way when the server died may be lost; none waits 3 s.
+        # A request in flight when the server crashed may be lost; no request takes 3 s.
         assert result.percentile_ms(100) < 3000
         assert sum(result.results[code] for code in ANSWERED) >= result.total - 5, result.results
 
@@ -64,7 +64,7 @@
         result = load.get()
         judge(cell)
         lost = result.total - sum(result.results[code] for code in ANSWERED)
-        assert lost <= 12, result.results  # sent to the frozen server: unknown
+        assert lost <= 12, result.results  # sent to the frozen server: outcome unknown
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
--- a/tests/probe/test_requests_that_end_back_ends.py
+++ b/tests/probe/test_requests_that_end_back_ends.py
@@ -1,7 +1,8 @@
-"""A node of a cell sends a request that ends its servers to three of them, not to all.
+"""A node of a cell sends a request that crashes back ends to three of them, not to all.
 
-Seen in gateways: how an attempt ends was remembered for one request only. Here each try
-goes on to a second owner, as the first one's keys move, and the next try to a third.
+The fault was first found in gateways: the result of an attempt was remembered for one
+request only. In a cell, the keys of a crashed back end move to another owner, so each
+retry of the request would crash one more back end.
 """
 
 import gevent
@@ -12,8 +13,8 @@
 SERVICE_MS = 400.0
 
 
-def kill_whoever_runs_it(cell, asked):
-    """Kill each back end that has work until the request is answered; return how many."""
+def kill_back_ends_that_run_it(cell, asked):
+    """Kill each back end that has work until the request is answered; return their number."""
     killed = 0
     while not asked.ready():
         for name, program in cell.backends.items():
@@ -31,7 +32,7 @@
         killed = 0
         for _ in range(3):
             asked = gevent.spawn(cell.get, node, "/weights/killer")
-            killed += kill_whoever_runs_it(cell, asked)
+            killed += kill_back_ends_that_run_it(cell, asked)
         assert killed == 3
         alive = [program for program in cell.backends.values() if program.process.poll() is None]
         repeat = cell.get(node, "/weights/killer")
@@ -40,18 +41,18 @@
         assert all(program.process.poll() is None for program in alive)
 
 
-def most_at_once(cell, names, asked):
-    """Return how many requests any of some back ends was seen to run at once."""
-    most = 0
+def max_concurrent(cell, names, asked):
+    """Return the largest number of requests seen to run at once at one of the back ends."""
+    maximum = 0
     while not all(task.ready() for task in asked):
         loads = [cell.backend_call(name, "probe")["load"] for name in names]
-        most = max(most, *loads)
+        maximum = max(maximum, *loads)
         gevent.sleep(0.02)
-    return most
+    return maximum
 
 
 def test_copies_of_what_ended_one_back_end_go_to_the_next_one_at_a_time():
-    """All that asks for the same meanwhile would end the next one together."""
+    """Sent together, the copies would all crash the next back end at once."""
     with Cell(1, {"weights": BACKENDS, "permits": 1}, service_ms=SERVICE_MS) as cell:
         (node,) = cell.nodes
         asked = [gevent.spawn(cell.get, node, "/weights/killer") for _ in range(3)]
@@ -60,19 +61,19 @@
         assert cell.backend_call(loaded, "probe")["load"] == 3
         cell.backends[loaded].kill()
         names = [name for name in cell.backends if name != loaded]
-        assert most_at_once(cell, names, asked) == 1
+        assert max_concurrent(cell, names, asked) == 1
         assert 200 in {task.value.status for task in asked}
 
 
 def test_what_one_node_saw_of_a_request_holds_it_at_the_others():
-    """Three back ends are enough for a cell, whichever node the request comes through.
+    """A request crashes at most three back ends of a cell, whichever node receives it.
 
-    Known of it: nodes of a cell don't tell each other what ended under a request, so that each
-    learns by three ends of its own.
+    Known fault, listed in KNOWN-RED.txt: nodes of a cell do not exchange the crashes they
+    observe, so each node quarantines a request only after three crashes that it observed.
     """
     with Cell(2, {"weights": BACKENDS, "permits": 1}, service_ms=SERVICE_MS) as cell:
         first, second = cell.nodes
         for _ in range(3):
-            kill_whoever_runs_it(cell, gevent.spawn(cell.get, first, "/weights/killer"))
+            kill_back_ends_that_run_it(cell, gevent.spawn(cell.get, first, "/weights/killer"))
         repeat = cell.get(second, "/weights/killer")
         assert (repeat.status, repeat.headers["ploverhatch-result"]) == (503, "2111")
