--- a/ploverhatch/consensus/replica.py
+++ b/ploverhatch/consensus/replica.py
@@ -1,16 +1,18 @@
-"""Replica of the log: elections, replication, membership, snapshots.
+"""Replica of the log: elections, replication, membership and snapshots.
 
 The algorithm is Raft's (Ongaro 2014) with pre-vote, check-quorum, leadership
-transfer and one-voter-at-a-time changes, fitted to processes without disks:
-
-* term, vote and log live in memory only. A restarted process has a new
-  ``node_id`` and joins as a learner, so a forgotten vote can not be repeated;
-* a leader may act on its leadership only while :meth:`Replica.has_lease`
-  holds: a majority answered a heartbeat sent within the election timeout, and
-  every voter refuses to elect another leader for as long.
-
-The class does no input or output and reads no clock: events come with
-``now_ms`` (elapsed milliseconds) and actions are returned.
+transfer and membership changes of one voter at a time. It is adapted to processes
+without disks:
+
+* Term, vote and log are kept in memory only. A restarted process has a new
+  ``node_id`` and joins as a learner, so a node never votes twice in one term.
+* A leader may act on its leadership only while :meth:`Replica.has_lease` is true: a
+  majority answered a heartbeat that was sent within the leader lease, which is
+  shorter than the election timeout, and each voter refuses to elect another leader
+  for an election timeout after it heard from its leader.
+
+This module does no I/O and reads no clock: events carry ``now_ms`` (elapsed
+milliseconds), and actions are returned.
 """
 
 from collections.abc import Iterable
@@ -37,24 +39,24 @@
 from ploverhatch.transport import wire
 
 MAX_ENTRIES_PER_APPEND = 256
-COMPACT_AFTER = 4096
-KEEP_AFTER_COMPACTION = 1024
-LEARNER_SLACK = 32
+COMPACT_AFTER_ENTRIES = 4096
+KEPT_ENTRIES = 1024
+LEARNER_SLACK_ENTRIES = 32
 
 
 @dataclass
 class Replica:
-    """One replica. ``state`` is the applied state, ``log`` the entries."""
+    """A replica; ``state`` is the applied state and ``log`` holds the entries."""
 
     node_id: str
     timing: ControlTiming
     state: ReplicatedState = field(default_factory=ReplicatedState)
 
     def __post_init__(self) -> None:
-        self._begin(self.state)
+        self._reset(self.state)
 
-    def _begin(self, state: ReplicatedState) -> None:
-        """Set all volatile state to that of a new process with ``state``."""
+    def _reset(self, state: ReplicatedState) -> None:
+        """Reset to the state of a new process whose applied state is ``state``."""
         self.state = state
         self.epoch = state.epoch
         self.log = MemoryLog(state.index, state.term)
@@ -68,7 +70,7 @@
         self._learners: dict[str, wire.Member] = {}
         self._membership: wire.MembershipChange = state.membership
         self._membership_index: int = state.index
-        self._heard_leader_ms = float("-inf")
+        self._leader_contact_ms = float("-inf")
         self._election_due_ms = float("inf")
         self._heartbeat_due_ms = float("-inf")
         self._clock_base_ms = 0.0
@@ -84,12 +86,12 @@
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this replica votes."""
+        """Whether this replica is a voter."""
         return self.node_id in self.voters
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this replica leads its term (see also ``has_lease``)."""
+        """Whether this replica leads its term (see also ``has_lease``)."""
         return self.role is Role.LEADER
 
     def has_lease(self, now_ms: float) -> bool:
@@ -109,22 +111,22 @@
         """
         return self.is_leader and self.state.index >= self._first_index_of_term
 
-    def silent_for_ms(self, node_id: str, now_ms: float) -> float:
-        """Return how long a leader has not heard from a voter or learner."""
+    def since_reply_ms(self, node_id: str, now_ms: float) -> float:
+        """Return the milliseconds since a voter or learner last replied to this leader."""
         progress = self._progress.get(node_id)
-        return now_ms - progress.heard_ms if progress else float("inf")
+        return now_ms - progress.last_reply_ms if progress else float("inf")
 
     @property
     def learner_ids(self) -> list[str]:
-        """Nodes that are replicated to and do not vote."""
+        """Ids of the nodes that receive the log and do not vote."""
         return list(self._learners)
 
     def caught_up_learners(self) -> list[wire.Member]:
-        """Return learners whose log nearly equals the leader's."""
+        """Return the learners that lack at most ``LEARNER_SLACK_ENTRIES`` entries."""
         return [
             member
             for node_id, member in self._learners.items()
-            if self._progress[node_id].match_index + LEARNER_SLACK >= self.log.last_index
+            if self._progress[node_id].match_index + LEARNER_SLACK_ENTRIES >= self.log.last_index
             and self._progress[node_id].match_index > 0
         ]
 
@@ -135,14 +137,14 @@
     # ---- events -------------------------------------------------------------
 
     def start(self, now_ms: float) -> list[Action]:
-        """Begin; a voter of the initial membership may stand for election."""
+        """Start the election timer; only a voter of the initial membership can use it."""
         self._reset_election(now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def bootstrap(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
-        """Found a cell of which this replica is the only voter.
+        """Found a cell whose only voter is this replica.
 
-        The caller has won the epoch by compare-and-set on the platform.
+        The caller must have won the epoch by compare-and-set on the platform.
         """
         self.epoch = membership.epoch
         self._membership = membership
@@ -150,14 +152,14 @@
         self._become_candidate(now_ms, transfer=False)
         self._append(membership, now_ms)
         self._advance_commit(now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
-    def refound(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
-        """Found the next epoch as the only voter that survived the last one.
+    def found_next_epoch(self, membership: wire.MembershipChange, now_ms: float) -> list[Action]:
+        """Found the next epoch as a surviving voter of the last one.
 
-        Entries not known to be committed are kept: the dead leader may have
-        acknowledged them after this replica's answer. They count as entries of
-        the new epoch, and joining nodes get them by snapshot, so that every
+        Entries that are not known to be committed are kept, since the dead leader may
+        have acknowledged them after the reply of this replica. They count as entries
+        of the new epoch, and joining nodes receive them by snapshot, so that every
         replica computes the same tokens.
         """
         self.state.membership = membership
@@ -167,15 +169,15 @@
         return self.bootstrap(membership, now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Let time pass."""
+        """Run the actions that are due at ``now_ms``: elections, heartbeats, resignation."""
         if self.role is Role.LEADER:
             self._tick_leader(now_ms)
         elif self.is_voter and now_ms >= self._election_due_ms:
             self._become_pre_candidate(now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def receive(self, sender: str, message: Any, now_ms: float) -> list[Action]:
-        """Handle a message of another replica; one of an older epoch is dropped."""
+        """Handle a message of another replica; messages of older epochs are dropped."""
         if message.epoch < self.epoch:
             return []
         if message.epoch > self.epoch:
@@ -193,17 +195,17 @@
                 self._on_snapshot_request(sender, message, now_ms)
             case wire.TimeoutNow():
                 self._on_timeout_now(message, now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def _enter_epoch(self, epoch: int) -> None:
-        """Leave an older epoch, log and vote included, for one that replaced it.
+        """Move to a newer epoch and discard the log and vote of the old one.
 
-        The new epoch was founded because the old one lost its quorum, so
-        nothing that only this replica remembers can be missed.
+        The new epoch was founded because the old one lost its quorum, so nothing that
+        only this replica stores is needed any more.
         """
         was_leader = self.role is Role.LEADER
         if self.epoch:
-            self._begin(ReplicatedState())
+            self._reset(ReplicatedState())
         self.epoch = epoch
         if was_leader:
             self._actions.append(RoleChanged(False, self.term))
@@ -211,23 +213,25 @@
     def propose(self, commands: Iterable[Command], now_ms: float) -> tuple[list[int], list[Action]]:
         """Append commands to the log.
 
-        :returns: their indices, and actions.
-        :raises NotLeaderError: when this replica does not lead.
+        :returns: the indices of the entries, and actions.
+        :raises NotLeaderError: this replica does not lead.
         """
         if not self.is_leader:
             raise NotLeaderError(self.leader_id)
         indices = [self._append(command, now_ms) for command in commands]
         self._replicate_all(now_ms)
         self._advance_commit(now_ms)
-        return indices, self._take_actions()
+        return indices, self._pop_actions()
 
     def propose_membership(
         self, voters: list[wire.Member], now_ms: float
     ) -> tuple[list[int], list[Action]]:
-        """Change the voters by at most one member.
+        """Propose a change of the voters by at most one member.
 
-        :raises MembershipPendingError: while an earlier change is open, or
-            before an entry of this term is committed.
+        :returns: the indices of the entries, and actions.
+        :raises MembershipPendingError: an earlier change is not committed, or no entry of
+            this term is committed yet.
+        :raises NotLeaderError: this replica does not lead.
         """
         if not self.membership_settled() or self.commit_index < self._first_index_of_term:
             raise MembershipPendingError
@@ -238,9 +242,9 @@
         """Start replicating to a node that may become a voter."""
         if self.is_leader and member.node_id not in self._progress:
             self._learners[member.node_id] = member
-            self._progress[member.node_id] = Progress(self.log.last_index + 1, heard_ms=now_ms)
+            self._progress[member.node_id] = Progress(self.log.last_index + 1, last_reply_ms=now_ms)
             self._replicate(member.node_id, now_ms)
-        return self._take_actions()
+        return self._pop_actions()
 
     def drop_learner(self, node_id: str) -> None:
         """Stop replicating to a learner."""
@@ -248,10 +252,10 @@
             self._progress.pop(node_id, None)
 
     def transfer_leadership(self, now_ms: float) -> list[Action]:
-        """Hand leadership to the voter with the longest log, and step down.
+        """Transfer leadership to the voter with the longest log, and step down.
 
-        Stepping down before the message leaves keeps the lease rule: this
-        replica no longer acts as leader when the other is elected.
+        This replica steps down before the message is sent, so that it no longer acts
+        as leader when the other voter is elected.
         """
         others = [node_id for node_id in self.voters if node_id != self.node_id]
         if not self.is_leader or not others:
@@ -260,12 +264,12 @@
         term = self.term
         self._step_down(self.term, now_ms)
         self._post(best, wire.TimeoutNow(term=term))
-        return self._take_actions()
+        return self._pop_actions()
 
     # ---- elections ----------------------------------------------------------
 
     def _jitter(self) -> float:
-        """Return a fraction in [0, 1) that differs by node and term."""
+        """Return a number in [0, 1) that depends on the node, the term and the votes."""
         digest = xxhash.xxh3_64_intdigest(f"{self.node_id}/{self.term}/{len(self._votes)}".encode())
         return float((digest % 1000) / 1000)
 
@@ -277,7 +281,7 @@
         self.leader_id = ""
         self._votes = {self.node_id}
         self._reset_election(now_ms)
-        self._ask_votes(self.term + 1, pre_vote=True, transfer=False)
+        self._request_votes(self.term + 1, pre_vote=True, transfer=False)
         if len(self._votes) >= self._majority():
             self._become_candidate(now_ms, transfer=False)
 
@@ -288,11 +292,11 @@
         self.leader_id = ""
         self._votes = {self.node_id}
         self._reset_election(now_ms)
-        self._ask_votes(self.term, pre_vote=False, transfer=transfer)
+        self._request_votes(self.term, pre_vote=False, transfer=transfer)
         if len(self._votes) >= self._majority():
             self._become_leader(now_ms)
 
-    def _ask_votes(self, term: int, pre_vote: bool, transfer: bool) -> None:
+    def _request_votes(self, term: int, pre_vote: bool, transfer: bool) -> None:
         for node_id in self.voters:
             if node_id == self.node_id:
                 continue
@@ -306,9 +310,9 @@
             self._post(node_id, request)
 
     def _on_vote_request(self, sender: str, request: wire.VoteRequest, now_ms: float) -> None:
-        # A voter that still hears its leader ignores the request, term
-        # included: the leader's lease rests on this promise.
-        follows_leader = now_ms - self._heard_leader_ms < self.timing.election_ms
+        # A voter that recently heard from its leader ignores the request and its term:
+        # the lease of the leader depends on this.
+        follows_leader = now_ms - self._leader_contact_ms < self.timing.election_ms
         if not request.transfer and (follows_leader or self.has_lease(now_ms)):
             return
         if request.pre_vote:
@@ -357,7 +361,7 @@
         self.leader_id = self.node_id
         self._learners = {}
         self._progress = {
-            node_id: Progress(self.log.last_index + 1, heard_ms=now_ms)
+            node_id: Progress(self.log.last_index + 1, last_reply_ms=now_ms)
             for node_id in self.voters
             if node_id != self.node_id
         }
@@ -369,7 +373,7 @@
         self._advance_commit(now_ms)
 
     def _newest_clock(self) -> float:
-        """Return the newest replicated clock value in the log or state."""
+        """Return the newest replicated clock value, in the log or the state."""
         newest = self.log.slice(self.log.last_index, 1)
         return float(max(self.state.clock_ms, newest[0].clock_ms if newest else 0))
 
@@ -427,30 +431,33 @@
             self._step_down(self.term, now_ms)
 
     def _lost_quorum(self, now_ms: float) -> bool:
-        """Check-quorum: a leader that a majority left silent resigns."""
+        """Tell whether less than a majority of the voters replied recently (check-quorum)."""
         limit_ms = 2 * self.timing.election_ms
-        heard = sum(
-            node_id == self.node_id or self.silent_for_ms(node_id, now_ms) < limit_ms
+        replied = sum(
+            node_id == self.node_id or self.since_reply_ms(node_id, now_ms) < limit_ms
             for node_id in self.voters
         )
-        return heard < self._majority()
+        return replied < self._majority()
 
     def _replicate_all(self, now_ms: float) -> None:
         for node_id in list(self._progress):
             self._replicate(node_id, now_ms)
 
     def _replicate(self, node_id: str, now_ms: float, heartbeat: bool = False) -> None:
-        """Send what a follower lacks; one batch at a time, heartbeats always."""
+        """Send missing entries to a follower.
+
+        Only one batch is in flight at a time; heartbeats are always sent.
+        """
         progress = self._progress[node_id]
         stalled = now_ms - progress.sent_ms > self.timing.heartbeat_ms
-        if progress.flight_last and not stalled and not heartbeat:
+        if progress.in_flight_index and not stalled and not heartbeat:
             return
         previous = progress.next_index - 1
         previous_term = self.log.term_at(previous)
         if previous_term is None:
             self._send_snapshot(node_id, progress, now_ms)
             return
-        send_entries = not progress.flight_last or stalled
+        send_entries = not progress.in_flight_index or stalled
         count = MAX_ENTRIES_PER_APPEND if send_entries else 0
         entries = self.log.slice(progress.next_index, count)
         request = wire.AppendRequest(
@@ -462,14 +469,14 @@
             entries=entries,
         )
         if entries:
-            progress.flight_last = entries[-1].index
+            progress.in_flight_index = entries[-1].index
             progress.sent_ms = now_ms
         self._post(node_id, request)
 
     def _send_snapshot(self, node_id: str, progress: Progress, now_ms: float) -> None:
-        if progress.flight_last and now_ms - progress.sent_ms < self.timing.election_ms:
+        if progress.in_flight_index and now_ms - progress.sent_ms < self.timing.election_ms:
             return
-        progress.flight_last = self.state.index
+        progress.in_flight_index = self.state.index
         progress.sent_ms = now_ms
         request = wire.SnapshotRequest(
             term=self.term, sent_ms=int(now_ms), snapshot=self.state.snapshot()
@@ -483,16 +490,16 @@
         progress = self._progress.get(sender)
         if not self.is_leader or reply.term != self.term or progress is None:
             return
-        progress.heard_ms = now_ms
+        progress.last_reply_ms = now_ms
         progress.acknowledged_ms = max(progress.acknowledged_ms, float(reply.echo_ms))
         if reply.success:
             progress.match_index = max(progress.match_index, reply.match_index)
             progress.next_index = max(progress.next_index, progress.match_index + 1)
-            if progress.match_index >= progress.flight_last:
-                progress.flight_last = 0
+            if progress.match_index >= progress.in_flight_index:
+                progress.in_flight_index = 0
             self._advance_commit(now_ms)
         else:
-            progress.flight_last = 0
+            progress.in_flight_index = 0
             progress.next_index = max(1, min(progress.next_index - 1, reply.match_index + 1))
         if self.is_leader and progress.next_index <= self.log.last_index:
             self._replicate(sender, now_ms)
@@ -508,7 +515,7 @@
             reverse=True,
         )
         candidate = matches[self._majority() - 1]
-        # Only entries of the own term are committed by counting replicas.
+        # Counting replicas commits only entries of the current term (Raft, section 5.4.2).
         if candidate <= self.commit_index or self.log.term_at(candidate) != self.term:
             return
         self.commit_index = candidate
@@ -520,7 +527,7 @@
             self._actions.append(RoleChanged(False, self.term))
 
     def _announce_commit(self, now_ms: float) -> None:
-        """Tell followers at once, since observers take entries from them."""
+        """Send the new commit index at once, since followers feed entries to observers."""
         for node_id in list(self._progress):
             self._replicate(node_id, now_ms, heartbeat=True)
 
@@ -530,7 +537,7 @@
         if term > self.term or self.role is not Role.FOLLOWER:
             self._step_down(term, now_ms)
         self.leader_id = sender
-        self._heard_leader_ms = now_ms
+        self._leader_contact_ms = now_ms
         self._reset_election(now_ms)
 
     def _on_append_request(self, sender: str, request: wire.AppendRequest, now_ms: float) -> None:
@@ -590,7 +597,7 @@
     def _apply_committed(self) -> bool:
         """Apply entries up to the commit index.
 
-        :returns: whether one of them concerns observers.
+        :returns: whether one of them must be sent to observers.
         """
         public = False
         pending = self.commit_index - self.state.index
@@ -598,15 +605,15 @@
             result = self.state.apply(entry)
             public = public or entry.kind not in RECORD_KINDS
             self._actions.append(Applied(entry, result))
-        if self.log.last_index - self.log.base_index > COMPACT_AFTER:
-            self.log.compact(max(self.log.base_index, self.state.index - KEEP_AFTER_COMPACTION))
+        if self.log.last_index - self.log.base_index > COMPACT_AFTER_ENTRIES:
+            self.log.compact(max(self.log.base_index, self.state.index - KEPT_ENTRIES))
         return public
 
     def _post(self, recipient: str, message: Any) -> None:
-        """Queue a message, marked with this replica's epoch."""
+        """Queue a message, stamped with the epoch of this replica."""
         message.epoch = self.epoch
         self._actions.append(Send(recipient, message))
 
-    def _take_actions(self) -> list[Action]:
+    def _pop_actions(self) -> list[Action]:
         actions, self._actions = self._actions, []
         return actions
--- a/ploverhatch/node/report.py
+++ b/ploverhatch/node/report.py
@@ -1,4 +1,4 @@
-"""What a node knows of its cell, for operators."""
+"""Report of a node on its cell, for operators."""
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.node.control import ControlTask
@@ -9,7 +9,7 @@
 def cluster_report(
     control: ControlTask, view: StateView, leader_id: str, node_id: str
 ) -> wire.ClusterReport:
-    """Build a report; nodes and servers are listed by the leader only."""
+    """Build a report; only the leader lists nodes and servers."""
     now_ms = elapsed_ms()
     nodes = [
         wire.NodeProgress(
@@ -17,9 +17,9 @@
             zone=status.member.zone,
             generation=status.generation,
             applied_index=status.applied_index,
-            age_ms=int(now_ms - heard_ms),
+            age_ms=int(now_ms - reported_ms),
         )
-        for heard_ms, status in control.core.nodes.values()
+        for reported_ms, status in control.core.nodes.values()
     ]
     servers = []
     controller = control.core.controller
--- a/ploverhatch/ownership/grant_book.py
+++ b/ploverhatch/ownership/grant_book.py
@@ -1,6 +1,7 @@
-"""The back end's side of grants: what it may execute, judged at execution.
+"""Grants as a back end holds them, checked when a request starts to execute.
 
-Pure: the back end passes readings of its own elapsed clock.
+This module does no I/O and reads no clock: the back end passes readings of its own
+elapsed clock in milliseconds.
 """
 
 from collections import Counter
@@ -11,11 +12,11 @@
 from ploverhatch.ownership.messages import SyncReply, SyncRequest
 from ploverhatch.state.assignment import AssignmentTable, Slice
 
-HELD = "self"
+THIS_SERVER = "self"
 
 
 class Verdict(Enum):
-    """Whether a request may start to execute."""
+    """Whether a request may start to execute, or why not."""
 
     EXECUTE = "execute"
     LAPSED = "lapsed"
@@ -26,7 +27,10 @@
 
 @dataclass
 class GrantBook:
-    """Grants of one server process lifetime (``boot_id``)."""
+    """Grants and lease of one server process, named by its ``boot_id``.
+
+    ``expires_ms`` is the end of the lease on the clock of the server.
+    """
 
     boot_id: str
     draining: bool = False
@@ -37,7 +41,7 @@
     _executing: Counter[tuple[str, int]] = field(default_factory=Counter)
 
     def sync(self, request: SyncRequest, now_ms: float) -> SyncReply:
-        """Apply a leader's call."""
+        """Apply a call of the control leader and return the reply."""
         if not self._admits(request):
             return self._reply(False, now_ms)
         self._leader = (request.epoch, request.term)
@@ -48,7 +52,7 @@
         for span in request.revokes:
             self._held.put(Slice(span, "", 0))
         for grant in request.grants:
-            self._held.put(Slice(grant.range, HELD, grant.token))
+            self._held.put(Slice(grant.range, THIS_SERVER, grant.token))
         busy = tuple(span for span in request.revokes if self._is_busy(span))
         return self._reply(True, now_ms, busy)
 
@@ -68,28 +72,28 @@
             group == span.group and span.contains(key_hash) for group, key_hash in self._executing
         )
 
-    def judge(
+    def check_start(
         self, group: str, key_hash: int, token: int, now_ms: float, not_after_ms: float
     ) -> Verdict:
-        """Decide, at the moment execution would start.
+        """Decide whether a request may start to execute now.
 
-        :param not_after_ms: latest start on this server's clock.
+        :param not_after_ms: latest start on the clock of this server.
         """
         if now_ms >= self.expires_ms:
             return Verdict.LAPSED
         if now_ms > not_after_ms:
             return Verdict.TOO_LATE
         held = self._held.find(group, key_hash)
-        if held is None or held.server != HELD:
+        if held is None or held.server != THIS_SERVER:
             return Verdict.NOT_OWNER
         return Verdict.EXECUTE if held.token == token else Verdict.STALE_TOKEN
 
     def begin(self, group: str, key_hash: int) -> None:
-        """Note that a request of a key began to execute."""
+        """Note that a request for a key began to execute."""
         self._executing[(group, key_hash)] += 1
 
     def end(self, group: str, key_hash: int) -> None:
-        """Note that a request of a key ended."""
+        """Note that a request for a key finished."""
         identity = (group, key_hash)
         self._executing[identity] -= 1
         if self._executing[identity] <= 0:
--- a/tests/unit/test_grant_book.py
+++ b/tests/unit/test_grant_book.py
@@ -1,4 +1,4 @@
-"""Grants at the back end: a table of what must be refused."""
+"""Tests of the grants of a back end: which calls and requests it must refuse."""
 
 import pytest
 
@@ -28,12 +28,12 @@
     [
         ({"sequence": 6}, True),
         ({"sequence": 5}, False),  # repeated
-        ({"sequence": 4}, False),  # overtaken
+        ({"sequence": 4}, False),  # older than the last one
         ({"term": 2, "sequence": 9}, False),  # earlier leader
         ({"epoch": 0, "term": 9, "sequence": 9}, False),  # earlier epoch
-        ({"boot_id": "other", "sequence": 6}, False),  # meant for another process
+        ({"boot_id": "other", "sequence": 6}, False),  # for another process
         ({"term": 4, "sequence": 1}, True),
-        ({"term": 4, "sequence": 1, "full": False}, False),  # new leader, partial
+        ({"term": 4, "sequence": 1, "full": False}, False),  # new leader without all grants
     ],
 )
 def test_call_is_admitted(changes, accepted):
@@ -52,7 +52,7 @@
     ],
 )
 def test_request_is_judged(key_hash, token, now_ms, not_after_ms, verdict):
-    assert granted().judge("g", key_hash, token, now_ms, not_after_ms) is verdict
+    assert granted().check_start("g", key_hash, token, now_ms, not_after_ms) is verdict
 
 
 def test_revoked_range_is_busy_until_its_request_ends():
@@ -61,8 +61,8 @@
     hole = SliceRange("g", 5, 5)
     revoke = {"full": False, "grants": (), "revokes": (hole,)}
     assert book.sync(request(sequence=6, **revoke), 0).busy == (hole,)
-    assert book.judge("g", 5, 7, 0, 99) is Verdict.NOT_OWNER
-    assert book.judge("g", 6, 7, 0, 99) is Verdict.EXECUTE
+    assert book.check_start("g", 5, 7, 0, 99) is Verdict.NOT_OWNER
+    assert book.check_start("g", 6, 7, 0, 99) is Verdict.EXECUTE
     book.end("g", 5)
     assert book.sync(request(sequence=7, **revoke), 0).busy == ()
 
