--- a/benchmarks/wishes.py
+++ b/benchmarks/wishes.py
@@ -12,9 +12,9 @@
 
 import gevent
 
-from tests.functional.test_servers_that_leave_or_rest import Play, now_s
+from tests.functional.test_servers_that_leave_or_rest import Scenario, now_s
+from tests.standin.notice_checks import backoffs, ignored_backoffs, late_to_leaving
 from tests.standin.site import KEYED, PLAIN, StandinSite
-from tests.standin.wishes import broken_rests, late_to_leaving, rests
 
 BEFORE_S, MEANWHILE_S, AFTERWARDS_S = 2.0, 6.0, 4.0
 REST_S = 3.0
@@ -26,18 +26,18 @@
 
 def rest(play, service):
     upstream = play.busiest()[service == KEYED]
-    upstream.behaviour.rest_s = REST_S
-    gevent.spawn_later(MEANWHILE_S - REST_S, setattr, upstream.behaviour, "rest_s", 0.0)
+    upstream.behaviour.backoff_s = REST_S
+    gevent.spawn_later(MEANWHILE_S - REST_S, setattr, upstream.behaviour, "backoff_s", 0.0)
 
 
 def all_rest(play, service):
     for upstream in play.upstreams(service):
-        upstream.behaviour.rest_s = REST_S
-        gevent.spawn_later(MEANWHILE_S - REST_S, setattr, upstream.behaviour, "rest_s", 0.0)
+        upstream.behaviour.backoff_s = REST_S
+        gevent.spawn_later(MEANWHILE_S - REST_S, setattr, upstream.behaviour, "backoff_s", 0.0)
 
 
 def reborn(play, service):
-    gevent.spawn(play.site.rebirth, play.busiest()[service == KEYED], 0.2)
+    gevent.spawn(play.site.restart_upstream, play.busiest()[service == KEYED], 0.2)
 
 
 CASES: list[tuple[str, Callable, str]] = [
@@ -52,8 +52,8 @@
 
 
 def measure(name, act, service):
-    """Play one case; print a line of it."""
-    play = Play(StandinSite(4, keyed=4, plain=4))
+    """Run one case and print its line."""
+    play = Scenario(StandinSite(4, keyed=4, plain=4))
     try:
         play.begin()
         first_s = now_s()
@@ -68,8 +68,8 @@
             play.served(service, *span)
             for span in ((first_s, start_s), (start_s, end_s), (end_s, now_s()))
         ]
-        late, broken = late_to_leaving(play.site, play.sent), broken_rests(play.site, play.sent)
-        asked = len(rests(play.site, play.sent))
+        late, broken = late_to_leaving(play.site, play.sent), ignored_backoffs(play.site, play.sent)
+        asked = len(backoffs(play.site, play.sent))
         shares = " ".join(f"{share:.3f}" for share in served)
         count = len(play.asked(service, start_s, end_s))
         print(
@@ -81,7 +81,7 @@
 
 
 def main():
-    """Play all cases."""
+    """Run all cases."""
     print("served before, meanwhile, afterwards")
     for case in CASES:
         measure(*case)
--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -95,10 +95,10 @@
     gevent.sleep(BEFORE_S)
     stopping = chosen(site)
     for gateway in stopping:
-        gateway.life.stop()
-    gevent.joinall([gevent.spawn(gateway.life.finish) for gateway in stopping])
+        gateway.incarnation.stop()
+    gevent.joinall([gevent.spawn(gateway.incarnation.finish) for gateway in stopping])
     gevent.sleep(AFTER_S if len(stopping) < len(site.gateways) else 0.0)
-    assert not any(gateway.life.killed_after_grace for gateway in stopping)
+    assert not any(gateway.incarnation.killed_after_grace for gateway in stopping)
     gevent.killall(tasks)
     return load
 
@@ -108,7 +108,7 @@
     arrived = {name for name, _, _ in site.arrivals()}
     ended = [sent for sent in load.requests if sent.end is not None]
     return [
-        f"{sent.name} {sent.habit.value} {sent.end_s - (sent.life.stop_s or 0.0):+.2f} s"
+        f"{sent.name} {sent.habit.value} {sent.end_s - (sent.incarnation.stop_s or 0.0):+.2f} s"
         for sent in ended
         if sent.end is not End.ANSWERED and sent.name in arrived
     ]
@@ -117,8 +117,8 @@
 def cut_short(ended):
     """Return the requests that got no complete answer, whether a server received them or not."""
     return [
-        f"{sent.name} {sent.end.value} {sent.sent_s - (sent.life.stop_s or 0.0):+.2f}"
-        f" to {sent.end_s - (sent.life.stop_s or 0.0):+.2f} s, kept: {sent.kept}"
+        f"{sent.name} {sent.end.value} {sent.sent_s - (sent.incarnation.stop_s or 0.0):+.2f}"
+        f" to {sent.end_s - (sent.incarnation.stop_s or 0.0):+.2f} s, kept: {sent.kept}"
         for sent in ended
         if sent.end is not End.ANSWERED
     ]
@@ -129,7 +129,9 @@
     load = serve_around_stop(standin, [Habit.ONCE, Habit.KEEPS], chosen)
     assert unanswered(standin, load) == []
     assert sum(sent.status == 200 for sent in load.requests) > 100
-    busy = [gateway.busy_at_stops() for gateway in standin.gateways if gateway.lives[0].stop_s]
+    busy = [
+        gateway.busy_at_stops() for gateway in standin.gateways if gateway.incarnations[0].stop_s
+    ]
     assert busy == [[0]] * len(busy)
 
 
@@ -147,9 +149,9 @@
     It reached no server, but its caller can't know that.
     """
     load = serve_around_stop(standin, [Habit.PAIRS], one)
-    stopped = next(gateway for gateway in standin.gateways if gateway.lives[0].stop_s)
-    life, ended = stopped.lives[0], [sent for sent in load.requests if sent.end is not None]
-    under_stop = [sent for sent in ended if sent.life is life and sent.end_s > life.stop_s]
+    stopped = next(gateway for gateway in standin.gateways if gateway.incarnations[0].stop_s)
+    life, ended = stopped.incarnations[0], [sent for sent in load.requests if sent.end is not None]
+    under_stop = [sent for sent in ended if sent.incarnation is life and sent.end_s > life.stop_s]
     assert len(under_stop) > 20
     assert cut_short(ended) == []
 
--- a/tests/functional/test_copies_that_end_servers.py
+++ b/tests/functional/test_copies_that_end_servers.py
@@ -105,17 +105,17 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_request_that_any_server_may_run_leaves_half_of_the_servers(scenario, seed):
     scenario.begin_others()
-    callers = send_from_many(scenario, seed, path="/read/killer", ends_server=True, length_s=8.0)
+    callers = send_from_many(scenario, seed, path="/read/killer", crashes_server=True, length_s=8.0)
     assert_few_late(scenario, callers)
     assert len(scenario.crash_times()) <= MAX_CRASHED
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_key_whose_requests_end_their_holder_is_kept_from_the_next_ones(scenario, seed):
-    request = {"path": "/kread/killer", "key": KEY, "ends_server": True}
+    request = {"path": "/kread/killer", "key": KEY, "crashes_server": True}
     assert_few_late(scenario, send_from_many(scenario, seed, **request))
 
 
 def test_few_callers_at_a_lower_rate_too(scenario):
-    request = {"path": "/kread/killer", "key": KEY, "ends_server": True}
+    request = {"path": "/kread/killer", "key": KEY, "crashes_server": True}
     assert_few_late(scenario, send_from_many(scenario, 3, callers=16, every_s=0.25, **request))
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -225,7 +225,7 @@
 def test_a_keyed_request_waits_for_its_keys(bench):
     upstream = Upstream("u1", sharded=True)
     record = bench.add(upstream, service=KEYED)
-    upstream.held[0, LAST_KEY] = (1, float("inf"))
+    upstream.granted_ranges[0, LAST_KEY] = (1, float("inf"))
     bench.own_keys(record, settled=False)
     asked = gevent.spawn(bench.ask, b"/keyonce/", headers=[(b"Shard-Key", b"7")])
     gevent.sleep(0.05)
@@ -238,7 +238,7 @@
     upstream = Upstream("u1", sharded=True)
     bench.own_keys(bench.add(upstream, service=KEYED))
     asked = gevent.spawn(bench.ask, b"/keyonce/", headers=[(b"Shard-Key", b"7")])
-    gevent.spawn_later(0.01, upstream.held.update, {(0, LAST_KEY): (1, float("inf"))})
+    gevent.spawn_later(0.01, upstream.granted_ranges.update, {(0, LAST_KEY): (1, float("inf"))})
     assert asked.get(timeout=1.0).status == 200
     assert len(upstream.ran) == 1
 
@@ -315,7 +315,7 @@
     A full server may reset a connection at once instead of answering.
     """
     upstream = Upstream("u1", sharded=True)
-    upstream.held[(0, LAST_KEY)] = (1, float("inf"))
+    upstream.granted_ranges[(0, LAST_KEY)] = (1, float("inf"))
     bench.own_keys(bench.add(upstream, service=KEYED))
     upstream.behaviour.work_s = 0.2
     for _ in range(3):
@@ -682,11 +682,11 @@
     holder = Upstream("u1", sharded=True)
     holder._grant({"from": 0, "target_version": LAST_KEY, "fence": 1, "hold_ms": 9000})
     bench.own_keys(bench.add(holder, service=KEYED))
-    holder.behaviour.rest_s = 3.0
+    holder.behaviour.backoff_s = 3.0
     started = elapsed_ms()
     replies = [bench.ask(b"/key/", headers=((b"Shard-Key", b"5"),)) for _ in range(3)]
     assert elapsed_ms() - started < 150.0
-    assert len(holder.turned_away) == 1
+    assert len(holder.rejected) == 1
     assert {reply.status for reply in replies} == {503}
     assert field(replies[1], b"ploverhatch-result") == [b"2112"]
     retry_after_s = [float(field(reply, b"retry-after")[0]) for reply in replies]
@@ -698,7 +698,7 @@
     services = {PLAIN: Service(PLAIN, False, 100)}
     bench.directory.apply_table(RouteTable(2, {b"h.example": (once,)}, services))
     upstream = Upstream("u1")
-    upstream.behaviour.rest_s = 1.5
+    upstream.behaviour.backoff_s = 1.5
     bench.add(upstream)
     reply = bench.ask(b"/one/", b"POST")
     assert field(reply, b"ploverhatch-result") == [b"2104"]
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -167,13 +167,13 @@
         assert ask(gateway, b"/k/a", key)[0] == 200
     assert ask(gateway, b"/p/a")[0] == 200
     assert ask(gateway, b"/none/")[0] == 404
-    assert {len(site.upstreams[name].held) for name in ("u1", "u2")} == {1}
+    assert {len(site.upstreams[name].granted_ranges) for name in ("u1", "u2")} == {1}
 
 
 def test_a_draining_server_hands_its_keys_over(site):
     (gateway,) = start_site(site)
     site.store.put("servers", "u1", *site.upstreams["u1"].record("keyed", state="draining"))
-    until(lambda: not site.upstreams["u1"].held)
+    until(lambda: not site.upstreams["u1"].granted_ranges)
     until(lambda: ask(gateway, b"/k/a", 1)[0] == 200)
     (handed,) = [call for call in site.upstreams["u2"].grants if call.get("handover")]
     assert handed["handover"] == "h-1"
@@ -183,7 +183,7 @@
 def test_an_idle_holder_announces_that_it_leaves_in_its_control_answers(site):
     (gateway,) = start_site(site)
     site.upstreams["u1"].behaviour.leaving = True
-    until(lambda: not site.upstreams["u1"].held)
+    until(lambda: not site.upstreams["u1"].granted_ranges)
     assert [ask(gateway, b"/k/a", key)[0] for key in (1, 30_000, 65_535)] == [200] * 3
 
 
@@ -211,10 +211,10 @@
     away = site.start_upstream("u4", "plain", zone="z2")
     holder = site.start_upstream("u5", "keyed", sharded=True, zone="z2")
     site.store.put("servers", "u1", *site.upstreams["u1"].record("keyed", state="draining"))
-    until(lambda: holder.held)
+    until(lambda: holder.granted_ranges)
     site.store.put("evacuations", "z2", {})
     until(lambda: all("z2" in gateway.directory.servers.evacuated for gateway in gateways))
-    until(lambda: not holder.held)
+    until(lambda: not holder.granted_ranges)
     before = len(away.ran)
     for gateway in gateways:
         until(lambda gateway=gateway: ask(gateway, b"/k/a", 1)[0] == 200)
--- a/tests/functional/test_limited_servers.py
+++ b/tests/functional/test_limited_servers.py
@@ -7,7 +7,7 @@
 from ploverhatch.gateway.shared_slots import DISCOVERY_MS
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
 from tests.standin.limits import over_limit
-from tests.standin.play import Play
+from tests.standin.scenario import Scenario
 from tests.standin.site import GRACE_S, KEYED, PLAIN, StandinSite
 
 GATEWAYS = 4
@@ -22,7 +22,7 @@
 @pytest.fixture
 def scenario(request):
     options = {"plain_callers": PLAIN_CALLERS, **getattr(request, "param", {})}
-    running_scenario = Play(StandinSite(GATEWAYS, KEYED_UPSTREAMS, PLAIN_UPSTREAMS), **options)
+    running_scenario = Scenario(StandinSite(GATEWAYS, KEYED_UPSTREAMS, PLAIN_UPSTREAMS), **options)
     running_scenario.begin()
     yield running_scenario
     running_scenario.close()
@@ -46,7 +46,7 @@
     name_limit(limited, limit)
     gevent.sleep(LOAD_S)
     scenario.stop_callers()
-    assert all(upstream.named for upstream in limited)
+    assert all(upstream.limit_answers for upstream in limited)
     assert over_limit(scenario.site, scenario.sent) == []
     assert scenario.served(PLAIN, start_s) >= SERVED
     assert scenario.served(KEYED, start_s + MOVED_S) >= SERVED
@@ -77,7 +77,7 @@
     name_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
     for gateway in scenario.site.gateways[:3]:
-        gateway.life.kill()
+        gateway.incarnation.kill()
         gevent.sleep(1.0)
         gateway.start()
         gevent.sleep(2.5)
@@ -91,7 +91,7 @@
     name_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
     for gateway in scenario.site.gateways:
-        gateway.life.freeze(2.0)
+        gateway.incarnation.freeze(2.0)
         gevent.sleep(3.0)
     scenario.stop_callers()
     assert over_limit(scenario.site, scenario.sent) == []
@@ -103,9 +103,9 @@
     name_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
     for gateway in scenario.site.gateways[:3]:
-        gateway.life.stop()
+        gateway.incarnation.stop()
         with gevent.Timeout(GRACE_S + 1.0):
-            while gateway.life.alive:
+            while gateway.incarnation.alive:
                 gevent.sleep(0.05)
         gateway.start()
     gevent.sleep(3.0)
--- a/tests/functional/test_odd_entries.py
+++ b/tests/functional/test_odd_entries.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.functional.test_gateway import Site, ask, is_ready, start_site, until
-from tests.standin.odd_entries import CHANGES, odd_record
+from tests.standin.malformed_entries import CHANGES, malformed_record
 from tests.standin.upstream import Upstream
 
 ODD_SERVICE = "plain"
@@ -27,7 +27,7 @@
 def _put_odd(site, name, change):
     """Put an entry of a server that would run requests, changed by another writer."""
     upstream = site.upstreams[name] = Upstream(name)
-    site.store.put("servers", name, *odd_record(upstream, ODD_SERVICE, change))
+    site.store.put("servers", name, *malformed_record(upstream, ODD_SERVICE, change))
     return upstream
 
 
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -369,11 +369,11 @@
         return reply
 
     before._release = release_slowly
-    (span,) = before.held
+    (span,) = before.granted_ranges
     site.store.put("servers", "u1", *before.record("keyed", state="draining"))
-    until(lambda: not before.held)
+    until(lambda: not before.granted_ranges)
     gevent.spawn(leader.drain)
-    until(lambda: span in after.held)
+    until(lambda: span in after.granted_ranges)
     assert [call.path for call in before.arrived].count(b"/ploverhatch/release") == 1
 
 
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -14,9 +14,9 @@
 from ploverhatch.state.servers import ServerRecord
 from tests.functional.test_forwarder import Bench, field
 from tests.functional.test_gateway import until
-from tests.standin.upstream import ENDS_SERVER, RawUpstream, Upstream
+from tests.standin.upstream import CRASHES_SERVER, RawUpstream, Upstream
 
-CRASHES = [(ENDS_SERVER, b"1")]
+CRASHES = [(CRASHES_SERVER, b"1")]
 PEER = ("10.0.0.2", 7000)
 QUARANTINED = [b"2111"]
 
@@ -48,7 +48,7 @@
         for _ in range(count):
             upstream = self.add_server()
             assert self.ask(b"/once/a", headers=CRASHES).status == 502
-            assert upstream.ended_s is not None
+            assert upstream.crashed_s is not None
             self.directory.remove_server(upstream.server_id)
             self.pool.sync(self.directory.servers.records)
 
@@ -87,7 +87,7 @@
     assert bench.ask(b"/once/a", headers=CRASHES).status == 502
     assert bench.ask(b"/once/a", headers=CRASHES).status == 502
     assert bench.result() == QUARANTINED
-    assert sum(upstream.ended_s is not None for upstream in servers) == 2
+    assert sum(upstream.crashed_s is not None for upstream in servers) == 2
 
 
 def test_a_repaired_server_runs_it_again_after_a_bounded_time(bench, short_quarantine):
@@ -111,7 +111,7 @@
     gevent.joinall(tries)
     statuses = sorted(task.value.status for task in tries)
     assert statuses == [502, *[503] * 5]
-    assert sum(upstream.ended_s is not None for upstream in servers) == 1
+    assert sum(upstream.crashed_s is not None for upstream in servers) == 1
     gevent.sleep(0.35)
     assert bench.result() == QUARANTINED
     gevent.sleep(0.35)
@@ -312,7 +312,7 @@
     servers = [bench.add_server() for _ in range(6)]
     asked = ask_many(bench, 12, b"/once/a", CRASHES)
     gevent.joinall(asked)
-    assert sum(upstream.ended_s is not None for upstream in servers) == 2
+    assert sum(upstream.crashed_s is not None for upstream in servers) == 2
     statuses = sorted(task.value.status for task in asked)
     assert statuses == [502] * 2 + [503] * 10
 
@@ -322,7 +322,7 @@
     servers = [bench.add_server() for _ in range(8)]
     asked = ask_many(bench, 12, b"/once/a", CRASHES)
     gevent.joinall(asked)
-    assert sum(upstream.ended_s is not None for upstream in servers) <= 3
+    assert sum(upstream.crashed_s is not None for upstream in servers) <= 3
     assert {task.value.status for task in asked} == {502, 503}
 
 
@@ -412,7 +412,7 @@
     assert len(crashing.arrived) < 8  # the others wait for slots
     servers = [bench.add_server() for _ in range(4)]
     gevent.joinall(asked)
-    ended = [upstream for upstream in servers if upstream.ended_s is not None]
+    ended = [upstream for upstream in servers if upstream.crashed_s is not None]
     assert len(ended) <= 2
     assert sum(len(upstream.arrived) for upstream in servers) <= 2
 
--- a/tests/functional/test_reborn_servers.py
+++ b/tests/functional/test_reborn_servers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ploverhatch.simulation.keys.judge import judge
-from tests.functional.test_servers_that_leave_or_rest import Play, now_s
+from tests.functional.test_servers_that_leave_or_rest import Scenario, now_s
 from tests.standin.site import KEYED, PLAIN, StandinSite
 
 GATEWAYS = 3
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def play():
-    made = Play(StandinSite(GATEWAYS, keyed=4, plain=2))
+    made = Scenario(StandinSite(GATEWAYS, keyed=4, plain=2))
     made.begin()
     yield made
     made.close()
@@ -33,7 +33,7 @@
 def test_a_holder_that_is_back_under_its_id_gets_keys_again(play, elsewhere):
     before = play.busiest()[1]
     start_s = now_s()
-    reborn = play.site.rebirth(before, 0.2, elsewhere)
+    reborn = play.site.restart_upstream(before, 0.2, elsewhere)
     served_s = SERVED_S if elsewhere else SAME_ADDRESS_S
     gevent.sleep(max(RUNS_S, served_s) + 2.0)
     play.stop_callers()
@@ -46,14 +46,14 @@
     before = play.busiest()[0]
     other = next(u for u in play.upstreams(PLAIN) if u is not before)
     for upstream in (before, other):
-        upstream.behaviour.rest_s = LONG_REST_S
+        upstream.behaviour.backoff_s = LONG_REST_S
     gevent.sleep(0.5)
     before.behaviour.leaving = True
     gevent.sleep(0.5)
     start_s = now_s()
-    reborn = play.site.rebirth(before, 0.2)
+    reborn = play.site.restart_upstream(before, 0.2)
     gevent.sleep(2.0)
     play.stop_callers()
     assert len(reborn.ran) > 20
     assert play.served(PLAIN, start_s + 1.2) == 1.0
-    assert other.turned_away
+    assert other.rejected
--- a/tests/functional/test_requests_that_end_servers.py
+++ b/tests/functional/test_requests_that_end_servers.py
@@ -14,7 +14,7 @@
 import pytest
 
 from ploverhatch.common.clock import elapsed_ms
-from tests.standin.callers import HELD, Caller
+from tests.standin.callers import QUARANTINED, Caller
 from tests.standin.site import KEYED, StandinSite
 
 GATEWAYS = 4
@@ -66,7 +66,7 @@
 
     def crash_times(self):
         """Return the times at which upstreams crashed, in order."""
-        found = [upstream.ended_s for upstream in self.site.upstreams.values()]
+        found = [upstream.crashed_s for upstream in self.site.upstreams.values()]
         return sorted(ended_s for ended_s in found if ended_s is not None)
 
     def arrivals(self, caller):
@@ -93,7 +93,7 @@
 
 
 def make_crashing_caller(path="/read/killer", **changes):
-    return Caller(CRASHING_CALLER, path, "127.0.0.77", ends_server=True, **changes)
+    return Caller(CRASHING_CALLER, path, "127.0.0.77", crashes_server=True, **changes)
 
 
 def assert_quarantined(scenario, crashing_caller):
@@ -107,7 +107,7 @@
     """Assert that quarantined requests got a fast refusal that says when to retry."""
     settled_s = scenario.crash_times()[2] + PROPAGATION_S
     late = [sent for sent in crashing_caller.asked if sent.sent_s > settled_s and sent.status]
-    held = [sent for sent in late if HELD in sent.head]
+    held = [sent for sent in late if QUARANTINED in sent.head]
     assert len(held) >= len(late) - MAX_LATE > 0
     assert {sent.status for sent in held} == {503}
     assert all(b"retry-after: " in sent.head for sent in held)
@@ -118,7 +118,7 @@
     asked = [sent for other in scenario.others for sent in other.asked]
     served = sum(sent.status == 200 for sent in asked) / len(asked)
     assert served >= OTHERS_SERVED, served
-    assert not any(HELD in sent.head for sent in asked)
+    assert not any(QUARANTINED in sent.head for sent in asked)
 
 
 def test_a_request_is_quarantined_at_all_gateways(scenario):
@@ -136,15 +136,15 @@
     restarted, frozen = scenario.site.gateways[1], scenario.site.gateways[2]
 
     def restart():
-        restarted.end()
+        restarted.kill()
         gevent.sleep(1.0)
         restarted.start()
 
-    events = [(0.1, restart), (0.1, lambda: frozen.life.freeze(FREEZE_S))]
+    events = [(0.1, restart), (0.1, lambda: frozen.incarnation.freeze(FREEZE_S))]
     scenario.send_in_turn(crashing_caller, events=events)
     assert_quarantined(scenario, crashing_caller)
     for gateway in (restarted, frozen):
-        assert HELD in crashing_caller.ask(gateway).head
+        assert QUARANTINED in crashing_caller.ask(gateway).head
 
 
 def test_a_gateway_that_starts_without_a_leader_knows_of_a_quarantine(scenario):
@@ -152,8 +152,8 @@
     scenario.send_in_turn(crashing_caller, length_s=5.0)
     leader = scenario.site.leader()
     started = next(gateway for gateway in scenario.site.gateways if gateway is not leader)
-    leader.end()
-    started.end()
+    leader.kill()
+    started.kill()
     started.start()
     gevent.sleep(PROPAGATION_S)
     before = len(scenario.arrivals(crashing_caller))
@@ -167,7 +167,7 @@
     scenario.send_in_turn(crashing_caller, length_s=4.0)
     before = len(scenario.arrivals(crashing_caller))
     for gateway in scenario.site.gateways[:2]:
-        gateway.end()
+        gateway.kill()
         gateway.start()
         end_s = elapsed_ms() / 1000 + PROPAGATION_S
         while elapsed_ms() / 1000 < end_s:
@@ -175,24 +175,24 @@
             gevent.sleep(0.02)
         gevent.sleep(0.5)
     assert len(scenario.arrivals(crashing_caller)) == before
-    assert HELD in crashing_caller.ask(scenario.site.gateways[0]).head
+    assert QUARANTINED in crashing_caller.ask(scenario.site.gateways[0]).head
 
 
 def test_it_is_known_after_all_machines_were_lost_at_once(scenario):
     """Guards against quarantines that are not stored, where three more servers crashed."""
     crashing_caller = make_crashing_caller()
     scenario.send_in_turn(crashing_caller, length_s=5.0)
-    assert HELD in crashing_caller.ask(scenario.site.gateways[0]).head
+    assert QUARANTINED in crashing_caller.ask(scenario.site.gateways[0]).head
     gevent.sleep(SAVED_S)
     before = len(scenario.arrivals(crashing_caller))
     for gateway in scenario.site.gateways:
-        gateway.end()
+        gateway.kill()
     for gateway in scenario.site.gateways:
         gateway.start()
     scenario.await_service(scenario.others[0])
     gevent.sleep(PROPAGATION_S)
     for gateway in scenario.site.gateways:
-        assert HELD in crashing_caller.ask(gateway).head
+        assert QUARANTINED in crashing_caller.ask(gateway).head
     assert len(scenario.arrivals(crashing_caller)) == before
 
 
@@ -217,7 +217,7 @@
     crashing_caller = make_crashing_caller(body=b"one", method="POST")
     scenario.send_in_turn(crashing_caller, length_s=5.0)
     gateways = scenario.site.gateways
-    assert HELD in crashing_caller.ask(gateways[0]).head
+    assert QUARANTINED in crashing_caller.ask(gateways[0]).head
     near = [
         Caller("body", "/read/killer", "127.0.0.77", b"two", method="POST"),
         Caller("caller", "/read/killer", "127.0.0.78", b"one", method="POST"),
@@ -233,7 +233,7 @@
     tasks = [gevent.spawn(caller.ask_forever, scenario.site.gateways) for caller in popular]
     for _ in range(5):
         gevent.sleep(0.8)
-        alive = [u for u in scenario.site.upstreams.values() if u.ended_s is None]
+        alive = [u for u in scenario.site.upstreams.values() if u.crashed_s is None]
         plain = [upstream for upstream in alive if upstream.service != KEYED]
         for upstream in plain[: len(plain) // 3]:
             upstream.crash()
@@ -242,7 +242,7 @@
     gevent.killall(tasks)
     asked = [sent for caller in popular for sent in caller.asked]
     assert len(asked) > 500
-    assert not any(HELD in sent.head for sent in asked)
+    assert not any(QUARANTINED in sent.head for sent in asked)
 
 
 def test_a_gateway_that_stops_while_others_receive_reports_loses_none(scenario):
--- a/tests/functional/test_servers_that_leave_or_rest.py
+++ b/tests/functional/test_servers_that_leave_or_rest.py
@@ -14,9 +14,9 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.judge import judge
-from tests.standin.play import Play
-from tests.standin.site import KEYED, PLAIN, RECORD_S, StandinSite
-from tests.standin.wishes import DRAIN_S, broken_rests, late_to_leaving
+from tests.standin.notice_checks import DRAIN_S, ignored_backoffs, late_to_leaving
+from tests.standin.scenario import Scenario
+from tests.standin.site import KEYED, PLAIN, RECORD_REMOVAL_S, StandinSite
 
 GATEWAYS = 4
 KEYED_UPSTREAMS = PLAIN_UPSTREAMS = 4
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def scenario():
-    running_scenario = Play(StandinSite(GATEWAYS, KEYED_UPSTREAMS, PLAIN_UPSTREAMS))
+    running_scenario = Scenario(StandinSite(GATEWAYS, KEYED_UPSTREAMS, PLAIN_UPSTREAMS))
     running_scenario.begin()
     yield running_scenario
     running_scenario.close()
@@ -52,7 +52,7 @@
         upstream.behaviour.leaving = True
     gevent.sleep(LOAD_S)
     scenario.stop_callers()
-    assert all(upstream.passed_on for upstream in leaving)
+    assert all(upstream.leaving_answers for upstream in leaving)
     assert late_to_leaving(scenario.site, scenario.sent) == []
     for service in (PLAIN, KEYED):
         assert scenario.served(service, start_s) >= SERVED
@@ -63,24 +63,24 @@
     start_s = now_s()
     backing_off = scenario.busiest()
     for upstream in backing_off:
-        upstream.behaviour.rest_s = BACKOFF_S
+        upstream.behaviour.backoff_s = BACKOFF_S
     gevent.sleep(LOAD_S)
     scenario.stop_callers()
-    assert all(len(upstream.turned_away) >= GATEWAYS / 2 for upstream in backing_off)
-    assert broken_rests(scenario.site, scenario.sent) == []
+    assert all(len(upstream.rejected) >= GATEWAYS / 2 for upstream in backing_off)
+    assert ignored_backoffs(scenario.site, scenario.sent) == []
     assert scenario.served(PLAIN, start_s) >= SERVED
     assert scenario.served(KEYED, start_s) >= KEYED_SERVED
 
 
 def test_where_all_ask_for_backoff_callers_are_told_at_once_how_long(scenario):
     for upstream in scenario.site.upstreams.values():
-        upstream.behaviour.rest_s = BACKOFF_S
+        upstream.behaviour.backoff_s = BACKOFF_S
     gevent.sleep(0.6)
     start_s = now_s()
     gevent.sleep(BACKOFF_S - 1.2)
     end_s = now_s()
     scenario.stop_callers()
-    assert broken_rests(scenario.site, scenario.sent) == []
+    assert ignored_backoffs(scenario.site, scenario.sent) == []
     for service in (PLAIN, KEYED):
         refused = scenario.asked(service, start_s, end_s)
         rejected = [request for request in refused if BACKOFF_RESULT in request.head]
@@ -95,10 +95,10 @@
     """Few requests arrive in the first 100 ms, and soon after callers are served as before."""
     backing_off = scenario.busiest()
     for upstream in backing_off:
-        upstream.behaviour.rest_s = 2.0
+        upstream.behaviour.backoff_s = 2.0
     gevent.sleep(1.0)
     for upstream in backing_off:
-        upstream.behaviour.rest_s = 0.0
+        upstream.behaviour.backoff_s = 0.0
         upstream.behaviour.work_s = 0.2  # so that the requests of the first 100 ms overlap
     gevent.sleep(2.5)
     for upstream in backing_off:
@@ -107,9 +107,9 @@
     start_s = now_s()
     gevent.sleep(1.0)
     scenario.stop_callers()
-    assert broken_rests(scenario.site, scenario.sent) == []
+    assert ignored_backoffs(scenario.site, scenario.sent) == []
     for upstream in backing_off:
-        first_rejected_s = min(at_s for _, at_s, _ in upstream.turned_away)
+        first_rejected_s = min(at_s for _, at_s, _ in upstream.rejected)
         first_s = min(
             (w.start_s for w in upstream.work if w.start_s > first_rejected_s), default=None
         )
@@ -185,7 +185,7 @@
     gevent.sleep(0.5)
     crashed = scenario.busiest()[1]
     crashed.crash()
-    gevent.spawn_later(RECORD_S, scenario.site.drop_record, crashed)
+    gevent.spawn_later(RECORD_REMOVAL_S, scenario.site.drop_record, crashed)
     start_s = now_s()
     gevent.sleep(LEASE_EXPIRY_S + MEASURED_S)
     setattr(scenario.site.store.faults, fault, type(value)())
--- a/tests/functional/test_slots_at_restarts.py
+++ b/tests/functional/test_slots_at_restarts.py
@@ -38,7 +38,7 @@
     spans = []
     for request in upstream.arrived:
         item = sent[request_id(request)]
-        killed = [start for start, end in item.life.faults if end == inf]
+        killed = [start for start, end in item.incarnation.faults if end == inf]
         answered_s = item.sent_s + item.took_s if item.took_s else inf
         end_s = min(ends.get(item.name) or inf, answered_s, *killed, inf)
         spans.append((request.received_ms / 1000, end_s))
@@ -70,10 +70,10 @@
     start_s = elapsed_ms() / 1000
     for gateway in site.gateways:
         if signal_number == signal.SIGTERM:
-            gateway.life.stop()
+            gateway.incarnation.stop()
             gevent.spawn(restart, gateway)
         elif signal_number == signal.SIGKILL:
-            gateway.life.kill()
+            gateway.incarnation.kill()
             gateway.start()
         gevent.sleep(RESTART_INTERVAL_S)
     gevent.killall(tasks)
@@ -89,5 +89,5 @@
 
 
 def restart(gateway):
-    gateway.life.finish()
+    gateway.incarnation.finish()
     gateway.start()
--- a/tests/functional/test_store_from_a_copy.py
+++ b/tests/functional/test_store_from_a_copy.py
@@ -10,9 +10,9 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.judge import judge as judge_holds
 from tests.standin.callers import Caller
-from tests.standin.drills import OWN_KINDS, come_back
-from tests.standin.play import Play
+from tests.standin.scenario import Scenario
 from tests.standin.site import KEYED, PLAIN, StandinSite, configuration, route
+from tests.standin.store_restore import GATEWAY_KINDS, restore_store
 
 GATEWAYS = 4
 UPSTREAMS = 4
@@ -27,7 +27,7 @@
 @pytest.fixture
 def play(request):
     options = getattr(request, "param", {})
-    made = Play(StandinSite(GATEWAYS, UPSTREAMS, UPSTREAMS), **options)
+    made = Scenario(StandinSite(GATEWAYS, UPSTREAMS, UPSTREAMS), **options)
     made.begin()
     yield made
     made.close()
@@ -41,7 +41,7 @@
     """Have the store be away, and come back as it was."""
     store.faults.refuse = 503
     gevent.sleep(AWAY_S)
-    come_back(store, copy, watches_end, servers_after_s)
+    restore_store(store, copy, watches_end, servers_after_s)
     store.faults.refuse = 0
 
 
@@ -163,7 +163,7 @@
     leaving = write_news(play)
     gevent.sleep(COPY_AGE_S)
     for gateway in play.site.gateways:
-        gateway.life.kill()
+        gateway.incarnation.kill()
     be_away(store, copy)
     for gateway in play.site.gateways:
         gateway.start()
@@ -174,8 +174,8 @@
 def start_from(play, copy):
     """Kill each node, and start it from what the store comes back as."""
     for gateway in play.site.gateways:
-        gateway.life.kill()
-    come_back(play.site.store, copy)
+        gateway.incarnation.kill()
+    restore_store(play.site.store, copy)
     for gateway in play.site.gateways:
         gateway.start()
     gevent.sleep(9.0)
@@ -199,7 +199,7 @@
 # Servers refuse the tokens of a leader that finds no key map, since all were lost in a restore.
 def test_a_copy_from_before_the_first_key_map_leaves_no_key_unserved(play):
     objects, revision = play.site.store.copy()
-    without = {key: item for key, item in objects.items() if key[0] not in OWN_KINDS}
+    without = {key: item for key, item in objects.items() if key[0] not in GATEWAY_KINDS}
     leaving = write_news(play)
     gevent.sleep(COPY_AGE_S / 2)
     start_from(play, (without, revision))
--- a/tests/probe/test_gateway_soak.py
+++ b/tests/probe/test_gateway_soak.py
@@ -20,8 +20,8 @@
     result = soak(15.0, seed=913, gateways=4, sound_store=True)
     try:
         assert result.found == []
-        assert result.verdict.killers >= 2
-        assert result.verdict.killer_ends >= 3
+        assert result.verdict.crashing_requests >= 2
+        assert result.verdict.crashes >= 3
         assert sum(status == 200 for status, _ in result.load.answers.values()) > 300
     finally:
         result.site.close()
@@ -44,7 +44,7 @@
     try:
         assert result.found == []
         assert result.verdict.leaving >= 1
-        assert result.verdict.rests >= 4
+        assert result.verdict.backoffs >= 4
         seen = result.faults.seen
         assert seen["upstream_reborn"] >= 1 and seen["odd_entry"] >= 1
         assert sum(status == 200 for status, _ in result.load.answers.values()) > 300
@@ -57,7 +57,7 @@
     try:
         assert result.found == []
         assert result.faults.seen["crowd"] >= 1
-        assert result.verdict.killer_ends >= 1
+        assert result.verdict.crashes >= 1
         assert sum(status == 200 for status, _ in result.load.answers.values()) > 300
     finally:
         result.site.close()
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -37,8 +37,8 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
 from tests.standin.clients import Load
+from tests.standin.fault_injection import FAULT_LENGTH_S, FaultKinds, Faults, PlannedWork
 from tests.standin.site import PORTS_VARIABLE, StandinSite
-from tests.standin.trouble import FAULT_LENGTH_S, Faults, PlannedWork, Trouble
 from tests.standin.verdict import Verdict, judge_soak
 
 DRAWN_GATEWAYS = (3, 4, 6, 8, 12)
@@ -111,7 +111,7 @@
     """Run one soak; its site is closed by the caller, or here when it fails to end."""
     site = make_site(gateways)
     try:
-        return _soak(site, seconds, seed, Trouble(**trouble))
+        return _soak(site, seconds, seed, FaultKinds(**trouble))
     except BaseException:
         site.close()
         raise
@@ -148,12 +148,13 @@
         f"answers {dict(sorted(statuses.items()))}, refused {result.load.refused}; "
         f"under stops {verdict.judged} judged, {verdict.lost} lost, {verdict.exempt} exempt, "
         f"{verdict.excused} excused; unanswered that reached no upstream {verdict.reached_none} "
-        f"(met the end of listening {verdict.met_end_of_listening}), untaken {verdict.untaken}; "
+        f"(met the end of listening {verdict.met_end_of_listening}), "
+        f"untaken {verdict.unacknowledged}; "
         f"stops {verdict.stops}, busy {verdict.busy_stops} (requests {verdict.busy_requests}), "
         f"killed after grace {verdict.killed_after_grace}; "
-        f"requests that end servers {verdict.killers}: ends {verdict.killer_ends}, "
-        f"sends {verdict.killer_sends}, late {verdict.killer_late}, held {verdict.held}; "
-        f"said that they leave {verdict.leaving}, rests asked for {verdict.rests}, "
+        f"requests that end servers {verdict.crashing_requests}: ends {verdict.crashes}, "
+        f"sends {verdict.crashing_sends}, late {verdict.late_sends}, held {verdict.quarantined}; "
+        f"said that they leave {verdict.leaving}, rests asked for {verdict.backoffs}, "
         f"named limits {verdict.limited}"
     )
 
--- a/tests/standin/callers.py
+++ b/tests/standin/callers.py
@@ -7,19 +7,19 @@
 from gevent import socket
 
 from ploverhatch.common.clock import elapsed_ms
-from tests.standin.site import Life
-from tests.standin.upstream import ENDS_SERVER
+from tests.standin.site import Incarnation
+from tests.standin.upstream import CRASHES_SERVER
 
 PAUSE_S = 0.02
-HELD = b"ploverhatch-result: 2111"
+QUARANTINED = b"ploverhatch-result: 2111"
 
 
 @dataclass
-class Asked:
+class RequestRecord:
     """One request, and what its caller got; times in elapsed seconds."""
 
     name: str
-    life: Life  # the process that it was sent to
+    incarnation: Incarnation  # the process that it was sent to
     sent_s: float
     status: int = 0
     took_s: float = 0.0
@@ -35,14 +35,16 @@
     path: str = "/read/a"
     address: str = "127.0.0.1"
     body: bytes = b""
-    ends_server: bool = False
+    crashes_server: bool = False
     key: int | None = None
     method: str = "GET"
     asked: list = field(default_factory=list)
     numbers: count = field(default_factory=count)
 
     def ask(self, gateway):
-        sent = Asked(f"{self.name}-{next(self.numbers)}", gateway.life, elapsed_ms() / 1000)
+        sent = RequestRecord(
+            f"{self.name}-{next(self.numbers)}", gateway.incarnation, elapsed_ms() / 1000
+        )
         sent.safe = "read/" in self.path
         self.asked.append(sent)
         try:
@@ -60,7 +62,7 @@
             "Request-Deadline-Ms: 2000", f"Content-Length: {len(self.body)}", "Connection: close",
             f"Cookie: {name}",
         ]  # fmt: skip
-        rows += [f"{ENDS_SERVER.decode()}: 1"] if self.ends_server else []
+        rows += [f"{CRASHES_SERVER.decode()}: 1"] if self.crashes_server else []
         rows += [] if self.key is None else [f"Shard-Key: {self.key}"]
         payload = "".join(f"{row}\r\n" for row in [*rows, ""]).encode() + self.body
         address = ("127.0.0.1", port)
@@ -72,7 +74,7 @@
         return answer.partition(b"\r\n\r\n")[0].lower()
 
     @property
-    def copies_count(self):
+    def counts_each_copy(self):
         """Whether each copy that ran counts as a server that ended: not for one caller's tries."""
         return False
 
@@ -83,7 +85,7 @@
 
 
 @dataclass
-class Crowd:
+class ConcurrentCallers:
     """Many callers that ask for the same at once."""
 
     name: str
@@ -95,6 +97,6 @@
         return [sent for caller in self.callers for sent in caller.asked]
 
     @property
-    def copies_count(self):
+    def counts_each_copy(self):
         """Whether each copy that ran counts as a server that ended, as the platform counts."""
         return True
--- a/tests/standin/clients.py
+++ b/tests/standin/clients.py
@@ -15,7 +15,7 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
-from tests.standin.site import Life
+from tests.standin.site import Incarnation
 
 PAUSE_S = (0.0, 0.02)
 REFUSED_PAUSE_S = 0.05
@@ -62,11 +62,11 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request that was sent; times in elapsed seconds."""
 
     name: str
-    life: Life  # the process that it was sent to
+    incarnation: Incarnation  # the process that it was sent to
     kept: bool  # on a connection that had been used before
     work_ms: int
     sent_s: float
@@ -85,7 +85,7 @@
     """One client connection, for one request after the other."""
 
     def __init__(self, gateway):
-        self.life = gateway.life
+        self.incarnation = gateway.incarnation
         self.used = False
         self.reusable = True
         self._data = b""  # read beyond the last answer
@@ -235,7 +235,7 @@
         rows += [] if key is None else [f"Shard-Key: {key}"]
         payload = "".join(f"{row}\r\n" for row in [*rows, ""]).encode() + body
         now_s, keyed = elapsed_ms() / 1000, key is not None
-        sent = Sent(name, connection.life, connection.used, work_ms, now_s, keyed)
+        sent = SentRequest(name, connection.incarnation, connection.used, work_ms, now_s, keyed)
         sent.payload, sent.habit = payload, habit
         sent.limit_s = deadline_ms / 1000 + ANSWER_MARGIN_S
         self.requests.append(sent)
--- a/tests/standin/trouble.py
+++ b/tests/standin/fault_injection.py
@@ -10,10 +10,10 @@
 
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
-from tests.standin.callers import Caller, Crowd
-from tests.standin.drills import come_back
-from tests.standin.odd_entries import CHANGES, odd_record
+from tests.standin.callers import Caller, ConcurrentCallers
+from tests.standin.malformed_entries import CHANGES, malformed_record
 from tests.standin.site import KEYED, PLAIN, configuration
+from tests.standin.store_restore import restore_store
 from tests.standin.upstream import Upstream
 
 SERIES_PAUSE_S = (1.0, 2.0)  # from one node of a series to the next
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class FaultKinds:
     """What kinds of trouble come."""
 
     planned_only: bool = False
@@ -90,7 +90,7 @@
 
     def stop(self, gateway, pause_s):
         """Send SIGTERM; where it is the first, see to the end and to the next start."""
-        life = gateway.life
+        life = gateway.incarnation
         if life.stop():
             self.seen["stop"] += 1
             self._stops.append(gevent.spawn(self._restart, gateway, life, pause_s))
@@ -100,7 +100,7 @@
     def _restart(self, gateway, life, pause_s):
         life.finish()
         gevent.sleep(pause_s)
-        if gateway.life is life:
+        if gateway.incarnation is life:
             gateway.start()
 
     def _run_errands(self):
@@ -113,7 +113,7 @@
 
     def stop_again(self, gateway, _chance):
         """Send SIGTERM once more to a process that stops."""
-        if gateway.life.stopping:
+        if gateway.incarnation.stopping:
             self.stop(gateway, 0.0)
 
     def hang_up(self, gateway, chance):
@@ -138,9 +138,9 @@
         self.planned = planned
         self.random = random.Random(f"{seed} faults")
         self.seen = Counter()
-        self.killers = []
+        self.crashing_requests = []
         self.healed_s = inf  # elapsed
-        self.odd = []  # upstreams whose entries name none to use
+        self.malformed = []  # upstreams whose entries name none to use
         self._tasks = []
         of_store = [
             self.store_refuses, self.store_silent, self.store_slow, self.store_loses,
@@ -180,21 +180,21 @@
         return self.random.choice(self.site.gateways)
 
     def restart(self, gateway):
-        if not gateway.life.alive:
+        if not gateway.incarnation.alive:
             gateway.start()
 
     def kill(self):
         gateway = self._gateway()
-        gateway.end()
+        gateway.kill()
         self.later(self.restart, gateway)
 
     def kill_all(self):
         for gateway in self.site.gateways:
-            gateway.end()
+            gateway.kill()
             self.later(self.restart, gateway)
 
     def freeze(self):
-        self._gateway().life.freeze(self._length_s())
+        self._gateway().incarnation.freeze(self._length_s())
 
     def stop(self):
         self.planned.stop(self._gateway(), self.random.uniform(*RESTART_PAUSE_S))
@@ -216,29 +216,29 @@
 
     def killer(self):
         """Have a request that ends its upstreams come again and again, at any node."""
-        number = len(self.killers)
+        number = len(self.crashing_requests)
         killer = Caller(
             f"killer{number}",
             self.random.choice(["/read/killer", "/p/killer", "/kread/killer"]) + str(number),
             f"127.0.1.{number % 250 + 1}",
             b"body %d" % number,
-            ends_server=True,
+            crashes_server=True,
             key=self.random.choice(SAMPLE_KEYS),
             method="POST",
         )
-        self.killers.append(killer)
+        self.crashing_requests.append(killer)
         chance = random.Random(self.random.random())
         self._tasks.append(gevent.spawn(self._repeat, killer, chance))
 
     def crowd(self):
         """Have many callers ask at once for what ends its upstreams, at any node."""
-        number, key = len(self.killers), self.random.choice(SAMPLE_KEYS)
+        number, key = len(self.crashing_requests), self.random.choice(SAMPLE_KEYS)
         path = self.random.choice(["/read/crowd", "/kread/crowd"]) + str(number)
         callers = [
-            Caller(f"crowd{number}-{n}", path, f"127.0.2.{n + 1}", ends_server=True, key=key)
+            Caller(f"crowd{number}-{n}", path, f"127.0.2.{n + 1}", crashes_server=True, key=key)
             for n in range(self.random.randint(*CROWD))
         ]
-        self.killers.append(Crowd(f"crowd{number}", path, callers))
+        self.crashing_requests.append(ConcurrentCallers(f"crowd{number}", path, callers))
         for caller in callers:
             chance = random.Random(self.random.random())
             self._tasks.append(gevent.spawn(self._press, caller, chance))
@@ -289,7 +289,7 @@
         self.site.store_faults.append((now_s, now_s + away_s))
         self.site.store.faults.refuse = 503
         gevent.sleep(away_s)
-        come_back(self.site.store, copy, watches_end=self.random.random() < 0.5)
+        restore_store(self.site.store, copy, watches_end=self.random.random() < 0.5)
         self.site.store.faults.refuse = 0
 
     def upstream_limits(self):
@@ -304,7 +304,7 @@
             upstream
             for upstream in self.site.upstreams.values()
             if ("servers", upstream.server_id) in self.site.store.objects
-            and upstream.ended_s is None
+            and upstream.crashed_s is None
             and not upstream.behaviour.leaving
         ]
         return self.random.choice(alive) if len(alive) > 4 else None
@@ -334,7 +334,7 @@
 
     def _leave_for_good(self, upstream):
         record = upstream.record(upstream.service, state="draining")
-        if upstream.ended_s is None:
+        if upstream.crashed_s is None:
             self.site.store.put("servers", upstream.server_id, *record)
             gevent.spawn_later(4.0, self.site.drop_record, upstream)
 
@@ -342,24 +342,26 @@
         """Have one turn requests away and ask for rest, for a while."""
         upstream = self._some_upstream()
         if upstream is not None:
-            upstream.behaviour.rest_s = self.random.uniform(*REST_S)
-            self.later(setattr, upstream.behaviour, "rest_s", 0.0)
+            upstream.behaviour.backoff_s = self.random.uniform(*REST_S)
+            self.later(setattr, upstream.behaviour, "backoff_s", 0.0)
 
     def upstream_reborn(self):
         """Have one crash and start again under its id, at its address or elsewhere."""
         upstream = self._some_upstream()
         if upstream is not None:
             pause_s, elsewhere = self.random.uniform(*REBIRTH_S), self.random.random() < 0.7
-            self._tasks.append(gevent.spawn(self.site.rebirth, upstream, pause_s, elsewhere))
+            self._tasks.append(
+                gevent.spawn(self.site.restart_upstream, upstream, pause_s, elsewhere)
+            )
 
     def odd_entry(self):
         """Have another writer put an entry, or write over one of an upstream for a while."""
-        name = f"odd-{len(self.odd)}"
+        name = f"odd-{len(self.malformed)}"
         upstream = self.site.upstreams[name] = Upstream(name)
         upstream.service = PLAIN
-        self.odd.append(upstream)
+        self.malformed.append(upstream)
         change = CHANGES[self.random.choice(sorted(CHANGES))]
-        self.site.store.put("servers", name, *odd_record(upstream, PLAIN, change))
+        self.site.store.put("servers", name, *malformed_record(upstream, PLAIN, change))
         self.later(self.site.store.remove, "servers", name)
 
     def upstream_joins(self):
--- a/tests/standin/odd_entries.py
+++ b/tests/standin/malformed_entries.py
@@ -3,7 +3,7 @@
 import copy
 
 
-def odd_record(upstream, service, change):
+def malformed_record(upstream, service, change):
     """Return spec and status of an upstream's entry, changed by another writer."""
     spec, status = upstream.record(service)
     entry = {"spec": copy.deepcopy(spec), "status": copy.deepcopy(status)}
--- a/tests/standin/wishes.py
+++ b/tests/standin/notice_checks.py
@@ -2,7 +2,7 @@
 
 A server that leaves says so in its answers: nothing that a client sends to a node later
 than ``DRAIN_S`` after the node passed such an answer on may reach it from that node. One
-that turns a request away with a time of rest gets at most ``MOST_IN_REST`` requests from
+that turns a request away with a time of rest gets at most ``MAX_DURING_BACKOFF`` requests from
 that node between ``REST_FROM_S`` after it and the end of the rest.
 """
 
@@ -12,7 +12,7 @@
 
 DRAIN_S = 2.0
 REST_FROM_S = 0.5
-MOST_IN_REST = 2
+MAX_DURING_BACKOFF = 2
 LINK_S = 0.005  # from the answer of an upstream until its node has passed it on
 
 
@@ -29,7 +29,7 @@
     for request in upstream.arrived:
         one = sent.get(request_id(request))
         if one is not None:
-            found[id(one.life)].append((one, request.received_ms / 1000))
+            found[id(one.incarnation)].append((one, request.received_ms / 1000))
     return found
 
 
@@ -41,38 +41,42 @@
     late = []
     for server, upstream in site.upstreams.items():
         first = {}
-        for request, at_s in upstream.passed_on:
+        for request, at_s in upstream.leaving_answers:
             one = sent.get(request_id(request))
             if one is not None:
-                first.setdefault(id(one.life), at_s + LINK_S)
+                first.setdefault(id(one.incarnation), at_s + LINK_S)
         for life, arrivals in _arrivals(upstream, sent).items():
             since_s = first.get(life)
             late += [
-                f"{one.name} reached {server} from {one.life.node}, "
+                f"{one.name} reached {server} from {one.incarnation.node}, "
                 f"sent {one.sent_s - since_s:.2f} s after it was told"
                 for one, at_s in arrivals
                 if since_s is not None
                 and one.sent_s > since_s + DRAIN_S
-                and not _disturbed(one.life, since_s, at_s)
+                and not _disturbed(one.incarnation, since_s, at_s)
             ]
     return late
 
 
-def rests(site, sent):
+def backoffs(site, sent):
     """Return, for each rest that was asked for, how many requests came in it, with a sentence."""
     found = []
     for server, upstream in site.upstreams.items():
         arrivals = _arrivals(upstream, sent)
-        for request, at_s, rest_s in upstream.turned_away:
+        for request, at_s, rest_s in upstream.rejected:
             one = sent.get(request_id(request))
-            if one is None or _disturbed(one.life, at_s - REST_FROM_S, at_s + rest_s):
+            if one is None or _disturbed(one.incarnation, at_s - REST_FROM_S, at_s + rest_s):
                 continue
-            came = [t for _, t in arrivals[id(one.life)] if at_s + REST_FROM_S < t < at_s + rest_s]
-            sentence = f"{server} asked {one.life.node} for {rest_s:g} s and got {len(came)}"
+            came = [
+                t
+                for _, t in arrivals[id(one.incarnation)]
+                if at_s + REST_FROM_S < t < at_s + rest_s
+            ]
+            sentence = f"{server} asked {one.incarnation.node} for {rest_s:g} s and got {len(came)}"
             found.append((len(came), sentence))
     return found
 
 
-def broken_rests(site, sent):
+def ignored_backoffs(site, sent):
     """Return sentences on the rests that were not given."""
-    return [sentence for count, sentence in rests(site, sent) if count > MOST_IN_REST]
+    return [sentence for count, sentence in backoffs(site, sent) if count > MAX_DURING_BACKOFF]
--- a/tests/standin/play.py
+++ b/tests/standin/scenario.py
@@ -15,7 +15,7 @@
 START_LIMIT_S = 20.0
 
 
-class Play:
+class Scenario:
     """Callers of a site, and what they got."""
 
     def __init__(self, site, plain_callers=PLAIN_CALLERS, keys=KEYS):
--- a/tests/standin/site.py
+++ b/tests/standin/site.py
@@ -29,11 +29,11 @@
 SUSPENDED_PROGRAM = "tests.standin.suspended_gateway"  # of every other node
 GRACE_S = 6.0  # from SIGTERM until the platform kills a process
 POLL_S = 0.02
-FIRST_BORN_MS = 1_764_700_000_000
-BACK_S = 2.5  # from the crash of an upstream until it is back, under a new id
-RECORD_S = 3.9  # from a crash until the store drops the record: three heartbeats
-STOPPED_LINE = re.compile(r"\[gateway\] Stopped\. busy=(\d+)")
-UNTAKEN = re.compile(r"\[gateway\] Stopped\. .*untaken=(\d+)")
+FIRST_START_MS = 1_764_700_000_000
+UPSTREAM_RESTART_S = 2.5  # from the crash of an upstream until it is back, under a new id
+RECORD_REMOVAL_S = 3.9  # from a crash until the store drops the record: three heartbeats
+STOPPED_BUSY = re.compile(r"\[gateway\] Stopped\. busy=(\d+)")
+STOPPED_UNTAKEN = re.compile(r"\[gateway\] Stopped\. .*untaken=(\d+)")
 STARTED_LINE = b"[gateway] Started."
 
 
@@ -66,7 +66,7 @@
 _PORTS = (_FIRST_PORT + (_START + number) % _PORT_COUNT for number in itertools.count())
 
 
-def hold_port(port):
+def reserve_port(port):
     """Return a socket that keeps other test processes from taking a port meanwhile.
 
     It does not listen, and the server that may bind beside it states that it reuses
@@ -125,7 +125,7 @@
     """An upstream whose keys are followed by the simulation's key server."""
 
     def __init__(self, server_id, journal, **changes):
-        life = changes.get("life", server_id)
+        life = changes.get("incarnation", server_id)
         self.keys = SimKeyServer(RealTime(), journal, life, 0, drift=1.0)
         super().__init__(server_id, sharded=True, **changes)
 
@@ -152,7 +152,7 @@
 
 
 @dataclass
-class Life:
+class Incarnation:
     """One process of a node, and what was done to it; times in elapsed seconds."""
 
     node: str
@@ -224,11 +224,13 @@
         self.front = free_port()
         self.ready = free_port()
         self.internal = free_port(), free_port()
-        self._held = [hold_port(port) for port in (self.front, self.ready, *self.internal)]
+        self._reserved_ports = [
+            reserve_port(port) for port in (self.front, self.ready, *self.internal)
+        ]
         self.path = Path(folder) / f"{name}.toml"
         self.log = Path(folder) / f"{name}.log"
         self.log.touch()
-        self.lives = []
+        self.incarnations = []
         self.closed = False
         self.write_settings()
         self.start()
@@ -257,13 +259,13 @@
         fresh.replace(self.path)
 
     @property
-    def life(self):
+    def incarnation(self):
         """The present process, or the last one."""
-        return self.lives[-1]
+        return self.incarnations[-1]
 
     @property
     def process(self):
-        return self.life.process
+        return self.incarnation.process
 
     def start(self):
         """Start a process, unless the site has closed meanwhile."""
@@ -279,39 +281,39 @@
                 stdout=log,
                 stderr=subprocess.STDOUT,
             )
-        self.lives.append(Life(self.name, process, size))
+        self.incarnations.append(Incarnation(self.name, process, size))
 
     def started(self):
         """Whether the present process serves: before, signals end it as they do any program."""
         with self.log.open("rb") as log:
-            log.seek(self.life.log_start)
-            return STARTED_LINE in log.read(4096) and self.life.alive
+            log.seek(self.incarnation.log_start)
+            return STARTED_LINE in log.read(4096) and self.incarnation.alive
 
     def busy_at_stops(self):
         """Return how many requests were under way at the end of each process that was stopped."""
-        return [int(count) for count in STOPPED_LINE.findall(self.log.read_text(errors="replace"))]
+        return [int(count) for count in STOPPED_BUSY.findall(self.log.read_text(errors="replace"))]
 
-    def untaken_at_stops(self):
+    def unacknowledged_at_stops(self):
         """Return how many answers of processes that were stopped weren't acknowledged."""
-        return sum(int(n) for n in UNTAKEN.findall(self.log.read_text(errors="replace")))
+        return sum(int(n) for n in STOPPED_UNTAKEN.findall(self.log.read_text(errors="replace")))
 
-    def last_words(self, life):
+    def last_log_line(self, life):
         """Return the last line that a process wrote."""
         start = life.log_start
-        later = [other.log_start for other in self.lives if other.log_start > start]
+        later = [other.log_start for other in self.incarnations if other.log_start > start]
         lines = self.log.read_bytes()[start : min(later, default=None)].splitlines()
         return lines[-1].decode(errors="replace") if lines else ""
 
     def signal(self, number):
-        self.life.signal(number)
+        self.incarnation.signal(number)
 
-    def end(self):
-        self.life.kill()
+    def kill(self):
+        self.incarnation.kill()
 
     def close(self):
         """End for good."""
-        self.end()
-        for holder in self._held:
+        self.kill()
+        for holder in self._reserved_ports:
             holder.close()
 
 
@@ -324,7 +326,7 @@
         self.store = self.server.store
         self.journal = Journal()
         self.upstreams = {}
-        self.lives = 0
+        self.upstreams_started = 0
         self.version = 1
         self.folder = tempfile.TemporaryDirectory()
         self.store.put("config", "main", configuration(self.version))
@@ -344,10 +346,14 @@
 
     def start_upstream(self, service, name="", port=0):
         """Start an upstream, or one again under the name that it had."""
-        self.lives += 1
-        name = name or f"life-{self.lives}"
-        life = name if name not in self.upstreams else f"{name}-{self.lives}"
-        changes = {"born": FIRST_BORN_MS + self.lives, "port": port, "life": life}
+        self.upstreams_started += 1
+        name = name or f"life-{self.upstreams_started}"
+        life = name if name not in self.upstreams else f"{name}-{self.upstreams_started}"
+        changes = {
+            "born": FIRST_START_MS + self.upstreams_started,
+            "port": port,
+            "incarnation": life,
+        }
         if service == KEYED:
             upstream = JudgedUpstream(name, self.journal, **changes)
         else:
@@ -359,7 +365,7 @@
         self.store.put("servers", name, *upstream.record(service))
         return upstream
 
-    def rebirth(self, upstream, after_s, elsewhere=True):
+    def restart_upstream(self, upstream, after_s, elsewhere=True):
         """Crash an upstream and start it again under its name; return its next life."""
         upstream.crash()
         gevent.sleep(after_s)
@@ -368,8 +374,8 @@
 
     def _upstream_crashed(self, upstream):
         """Have an upstream that a request ended come back, as its platform does."""
-        gevent.spawn_later(BACK_S, self.start_upstream, upstream.service)
-        gevent.spawn_later(RECORD_S, self.drop_record, upstream)
+        gevent.spawn_later(UPSTREAM_RESTART_S, self.start_upstream, upstream.service)
+        gevent.spawn_later(RECORD_REMOVAL_S, self.drop_record, upstream)
 
     def drop_record(self, upstream):
         """Remove the record of a life, unless a later one has replaced it."""
@@ -409,7 +415,7 @@
 
     def stopping(self):
         """Return the gateways that were told to stop and still run."""
-        return [gateway for gateway in self.gateways if gateway.life.stopping]
+        return [gateway for gateway in self.gateways if gateway.incarnation.stopping]
 
     def close(self):
         for gateway in self.gateways:
--- a/tests/standin/drills.py
+++ b/tests/standin/store_restore.py
@@ -2,15 +2,15 @@
 
 import gevent
 
-OWN_KINDS = ("leases", "keymaps")  # that gateways write; what they wrote since is lost
+GATEWAY_KINDS = ("leases", "keymaps")  # that gateways write; what they wrote since is lost
 
 
-def come_back(store, copy, watches_end=True, servers_after_s=0.0):
+def restore_store(store, copy, watches_end=True, servers_after_s=0.0):
     """Restore a store from its copy; what operators and servers wrote since is written again.
 
     :param servers_after_s: when servers write again.
     """
-    written = {key: item for key, item in store.objects.items() if key[0] not in OWN_KINDS}
+    written = {key: item for key, item in store.objects.items() if key[0] not in GATEWAY_KINDS}
     store.restore(copy, watches_end)
     for key, item in written.items():
         if store.objects.get(key) != item:
@@ -19,5 +19,5 @@
                 gevent.spawn_later(after_s, store.put, *key, item["spec"], item["status"])
             else:
                 store.put(*key, item["spec"], item["status"])
-    for key in [key for key in store.objects if key[0] not in OWN_KINDS and key not in written]:
+    for key in [key for key in store.objects if key[0] not in GATEWAY_KINDS and key not in written]:
         store.remove(*key)
--- a/tests/standin/suspension.py
+++ b/tests/standin/suspension.py
@@ -11,14 +11,14 @@
     """Replaces the clocks of this process."""
 
     def __init__(self, monkeypatch):
-        self.stood_s = 0.0
+        self.suspended_s = 0.0
         self._steady = time.monotonic
         monkeypatch.setattr(time, "clock_gettime", self._read)
 
     def _read(self, clock):
         assert clock in {time.CLOCK_BOOTTIME, time.CLOCK_MONOTONIC}
-        return self._steady() + (self.stood_s if clock == time.CLOCK_BOOTTIME else 0.0)
+        return self._steady() + (self.suspended_s if clock == time.CLOCK_BOOTTIME else 0.0)
 
     def suspend(self, seconds):
         """Have the machine stand still for a time that ends now."""
-        self.stood_s += seconds
+        self.suspended_s += seconds
--- a/tests/standin/upstream.py
+++ b/tests/standin/upstream.py
@@ -16,7 +16,7 @@
 from ploverhatch.routing.route_table import ClientLimits
 from ploverhatch.transport.http_connection import HostPort
 
-ENDS_SERVER = b"ends-server"  # header field of a request that ends the upstream that runs it
+CRASHES_SERVER = b"ends-server"  # header field of a request that ends the upstream that runs it
 
 
 @dataclass
@@ -32,7 +32,7 @@
     hang: bool = False
     crash_after_s: float = 0.03  # from the start of a request that ends its upstream
     leaving: bool = False  # said in all answers
-    rest_s: float = 0.0  # asked for with each request, which is turned away
+    backoff_s: float = 0.0  # asked for with each request, which is turned away
     limit: str = ""  # requests a second from all callers, named in all answers; empty: none
 
 
@@ -56,20 +56,22 @@
     ran: list = field(default_factory=list)
     arrived: list = field(default_factory=list)
     work: list = field(default_factory=list)
-    held: dict = field(default_factory=dict)  # (first, last) -> (fence, until)
-    seen: list = field(default_factory=list)  # (first, last, fence)
+    granted_ranges: dict = field(default_factory=dict)  # (first, last) -> (fence, until)
+    observed_fences: list = field(default_factory=list)  # (first, last, fence)
     grants: list = field(default_factory=list)
-    turned_away: list = field(default_factory=list)  # (request, elapsed s, rest asked for)
-    passed_on: list = field(default_factory=list)  # the same, of answers that say it leaves
-    named: list = field(default_factory=list)  # (request, elapsed s, limit named in its answer)
-    ended_s: float | None = None  # of a crash, elapsed
+    rejected: list = field(default_factory=list)  # (request, elapsed s, rest asked for)
+    leaving_answers: list = field(default_factory=list)  # the same, of answers that say it leaves
+    limit_answers: list = field(
+        default_factory=list
+    )  # (request, elapsed s, limit named in its answer)
+    crashed_s: float | None = None  # of a crash, elapsed
     born: int = 0  # Unix milliseconds of its start; 0: it does not tell
     port: int = 0  # to listen at; 0: any that is free
-    life: str = ""  # what tells it from other lives of the same id
+    incarnation: str = ""  # what tells it from other lives of the same id
     crashed: Callable = lambda upstream: None  # told of a crash by a request
 
     def __post_init__(self):
-        self.life = self.life or self.server_id
+        self.incarnation = self.incarnation or self.server_id
         self._slots = BoundedSemaphore(self.slots)
         self._server = CallerServer(HostPort("127.0.0.1", self.port), self.handle, ClientLimits)
         self._server.start()
@@ -80,9 +82,9 @@
 
     def crash(self):
         """End at once: the port is dead, and open connections break."""
-        if self.ended_s is not None:
+        if self.crashed_s is not None:
             return
-        self.ended_s = elapsed_ms() / 1000
+        self.crashed_s = elapsed_ms() / 1000
         self.close()
         for connection in list(self._server._connections):
             with suppress(OSError):
@@ -105,12 +107,12 @@
             reply.headers.append((b"Server-Leaving", b"1"))
         if self.behaviour.limit:
             reply.headers.append((b"Server-Limit", self.behaviour.limit.encode()))
-            self.named.append((request, elapsed_ms() / 1000, self.behaviour.limit))
+            self.limit_answers.append((request, elapsed_ms() / 1000, self.behaviour.limit))
         return reply
 
     def _handle(self, request):
         headers = {name.lower(): value for name, value in request.headers}
-        if self.ended_s is not None:
+        if self.crashed_s is not None:
             raise ConnectionResetError
         self.arrived.append(request)
         expected = headers.get(b"expect-instance")
@@ -124,23 +126,26 @@
 
     def _grant(self, call):
         span = call["from"], call["target_version"]
-        if any(_overlap(span, row) and row[2] > call["fence"] for row in self.seen):
+        if any(_overlap(span, row) and row[2] > call["fence"] for row in self.observed_fences):
             return CallerReply(409)
-        self.seen.append((*span, call["fence"]))
-        self.held[span] = call["fence"], elapsed_ms() / 1000 + call["hold_ms"] / 1000
+        self.observed_fences.append((*span, call["fence"]))
+        self.granted_ranges[span] = call["fence"], elapsed_ms() / 1000 + call["hold_ms"] / 1000
         self.grants.append(call)
         return CallerReply(200)
 
     def _release(self, call):
         span = call["from"], call["target_version"]
-        self.seen.append((*span, call["fence"]))
-        self.held = {known: row for known, row in self.held.items() if not _overlap(span, known)}
+        self.observed_fences.append((*span, call["fence"]))
+        self.granted_ranges = {
+            known: row for known, row in self.granted_ranges.items() if not _overlap(span, known)
+        }
         return CallerReply(200, [(b"Handover", b"h-1")])
 
     def _holds(self, key):
         now = elapsed_ms() / 1000
         return any(
-            first <= key <= last and until > now for (first, last), (_, until) in self.held.items()
+            first <= key <= last and until > now
+            for (first, last), (_, until) in self.granted_ranges.items()
         )
 
     def _request(self, request, headers):
@@ -157,7 +162,7 @@
             gevent.sleep(60)
         with self._slots:
             self.ran.append(request)
-            if ENDS_SERVER in headers:
+            if CRASHES_SERVER in headers:
                 self._crash_under_it()
             self._work(request, headers)
         if behaviour.wrong_id:
@@ -165,17 +170,17 @@
         if behaviour.sealed:
             base.append((b"Response-Seal", b"seal"))
         if behaviour.leaving:
-            self.passed_on.append((request, elapsed_ms() / 1000))
-        return CallerReply(behaviour.status, base, b"answer of " + self.life.encode())
+            self.leaving_answers.append((request, elapsed_ms() / 1000))
+        return CallerReply(behaviour.status, base, b"answer of " + self.incarnation.encode())
 
     def _refusal(self, request, headers):
         """Return status and fields of an answer to a request that is turned away, or nothing."""
         behaviour = self.behaviour
         if self.sharded and not self._holds(int(headers[b"shard-key"])):
             return (421,)
-        if behaviour.rest_s:
-            self.turned_away.append((request, elapsed_ms() / 1000, behaviour.rest_s))
-            return 503, (b"Retry-After", b"%g" % behaviour.rest_s)
+        if behaviour.backoff_s:
+            self.rejected.append((request, elapsed_ms() / 1000, behaviour.backoff_s))
+            return 503, (b"Retry-After", b"%g" % behaviour.backoff_s)
         if behaviour.refuse:
             behaviour.refuse -= 1
             return (503,)
--- a/tests/standin/verdict.py
+++ b/tests/standin/verdict.py
@@ -9,11 +9,11 @@
 from math import inf
 
 from ploverhatch.simulation.keys.judge import judge
-from tests.standin.callers import HELD
+from tests.standin.callers import QUARANTINED
 from tests.standin.clients import End
 from tests.standin.limits import over_limit
+from tests.standin.notice_checks import backoffs, ignored_backoffs, late_to_leaving
 from tests.standin.site import GRACE_S
-from tests.standin.wishes import broken_rests, late_to_leaving, rests
 
 FAULT_MARGIN_S = 3.0  # a fault that ended so long before a request does not excuse it
 LATEST_EXEMPT_S = 3.0  # after SIGTERM: later requests had better not be taken
@@ -37,17 +37,17 @@
     # Of these: of connections that were new to a process that stops. The end of listening
     # resets those whose handshake is under way, which no process can know of.
     met_end_of_listening: int = 0
-    untaken: int = 0  # answers of stopping processes that weren't acknowledged
+    unacknowledged: int = 0  # answers of stopping processes that weren't acknowledged
     stops: int = 0  # log lines of processes that stopped in order
     busy_stops: int = 0  # of these: with requests under way
     busy_requests: int = 0
     killed_after_grace: int = 0
-    killers: int = 0  # requests that end servers, their repeats counted once
-    killer_ends: int = 0  # servers that ended under them
-    killer_sends: int = 0
-    killer_late: int = 0  # sends by nodes in touch, when all should know of three ends
-    held: int = 0  # repeats that were kept from servers
-    rests: int = 0  # that upstreams asked nodes for
+    crashing_requests: int = 0  # requests that end servers, their repeats counted once
+    crashes: int = 0  # servers that ended under them
+    crashing_sends: int = 0
+    late_sends: int = 0  # sends by nodes in touch, when all should know of three ends
+    quarantined: int = 0  # repeats that were kept from servers
+    backoffs: int = 0  # that upstreams asked nodes for
     leaving: int = 0  # upstreams that said so in answers
     limited: int = 0  # upstreams that named a limit
 
@@ -55,7 +55,7 @@
 def judge_soak(site, load, faults):
     """Return the verdict on a soak that is over."""
     verdict = Verdict()
-    killers = faults.killers
+    killers = faults.crashing_requests
     answers = {sent.name: sent for killer in killers for sent in killer.asked}
     verdict.found += broken_promises(site, load, answers)
     verdict.found += held_for_nothing(load)
@@ -63,7 +63,7 @@
     verdict.found += wishes_broken(site, load, faults, verdict)
     verdict.found += [
         f"{upstream.server_id} got {len(upstream.arrived)}, and its entry names no server"
-        for upstream in faults.odd
+        for upstream in faults.malformed
         if upstream.arrived
     ]
     _judge_stops(site, load, verdict)
@@ -99,21 +99,21 @@
 def wishes_broken(site, load, faults, verdict):
     """Return what was sent to upstreams that leave, want rest, or have a limit."""
     sent = {one.name: one for one in load.requests}
-    sent |= {one.name: one for killer in faults.killers for one in killer.asked}
-    verdict.limited = sum(bool(upstream.named) for upstream in site.upstreams.values())
-    verdict.rests = len(rests(site, sent))
-    verdict.leaving = sum(bool(upstream.passed_on) for upstream in site.upstreams.values())
+    sent |= {one.name: one for killer in faults.crashing_requests for one in killer.asked}
+    verdict.limited = sum(bool(upstream.limit_answers) for upstream in site.upstreams.values())
+    verdict.backoffs = len(backoffs(site, sent))
+    verdict.leaving = sum(bool(upstream.leaving_answers) for upstream in site.upstreams.values())
     limits = over_limit(site, sent, faults.healed_s)
-    return late_to_leaving(site, sent) + broken_rests(site, sent) + limits
+    return late_to_leaving(site, sent) + ignored_backoffs(site, sent) + limits
 
 
 def ended_alone(site):
     """Return the processes that ended though nobody ended them."""
     return [
         f"{life.node} ended by itself with code {life.process.returncode}: "
-        f"{gateway.last_words(life)}"
+        f"{gateway.last_log_line(life)}"
         for gateway in site.gateways
-        for life in gateway.lives
+        for life in gateway.incarnations
         if not life.alive and life.stop_s is None and not life.killed
     ]
 
@@ -130,7 +130,7 @@
         servers = arrivals[sent.name]
         if not servers:
             _judge_untaken(sent, verdict)
-        elif sent.life.stop_s is not None and sent.end_s >= sent.life.stop_s:
+        elif sent.incarnation.stop_s is not None and sent.end_s >= sent.incarnation.stop_s:
             _judge_one(sent, work[sent.name], _faults(site, sent, servers), verdict)
 
 
@@ -139,17 +139,18 @@
     if sent.end is End.ANSWERED:
         return
     verdict.reached_none += 1
-    if _near(sent, sent.life.faults):
+    if _near(sent, sent.incarnation.faults):
         return
-    if sent.end is End.CLOSED and not sent.kept and sent.life.stop_s is not None:
+    if sent.end is End.CLOSED and not sent.kept and sent.incarnation.stop_s is not None:
         verdict.met_end_of_listening += 1
         return
-    since_s = sent.life.stop_s or sent.life.start_s
+    since_s = sent.incarnation.stop_s or sent.incarnation.start_s
     verdict.found.append(
         f"{sent.name} was {sent.end.value} without an answer, and reached no upstream: "
-        f"{sent.life.node}, {sent.habit.value}, {'kept' if sent.kept else 'new'} connection, "
+        f"{sent.incarnation.node}, {sent.habit.value}, "
+        f"{'kept' if sent.kept else 'new'} connection, "
         f"sent {sent.sent_s - since_s:+.2f} s, ended {sent.end_s - since_s:+.2f} s from "
-        f"{'SIGTERM' if sent.life.stop_s else 'its start'}"
+        f"{'SIGTERM' if sent.incarnation.stop_s else 'its start'}"
     )
 
 
@@ -163,10 +164,10 @@
 
     A fault of the store is none where no key has to have an owner.
     """
-    ends = [site.upstreams[server].ended_s for server in servers]
+    ends = [site.upstreams[server].crashed_s for server in servers]
     crashes = [(end_s, inf) for end_s in ends if end_s is not None]
     store_faults = site.store_faults if sent.keyed else []
-    return [*sent.life.faults, *store_faults, *crashes]
+    return [*sent.incarnation.faults, *store_faults, *crashes]
 
 
 def _judge_one(sent, work, faults, verdict):
@@ -185,18 +186,18 @@
 
 
 def _exempt(sent, work):
-    stop_s = sent.life.stop_s
+    stop_s = sent.incarnation.stop_s
     last_s = stop_s + GRACE_S * (1 - LAST_PART), stop_s + GRACE_S
     late = any(start <= last_s[1] and end >= last_s[0] for start, end in work)
     return late and sent.sent_s <= stop_s + LATEST_EXEMPT_S
 
 
 def _sentence(sent, work):
-    stop_s = sent.life.stop_s
+    stop_s = sent.incarnation.stop_s
     how = "began" if work else "received"
     return (
         f"{sent.name} was {sent.end.value} without an answer though an upstream {how} it: "
-        f"{sent.life.node}, sent {sent.sent_s - stop_s:+.2f} s from SIGTERM, "
+        f"{sent.incarnation.node}, sent {sent.sent_s - stop_s:+.2f} s from SIGTERM, "
         f"ended {sent.end_s - stop_s:+.2f} s, work {sent.work_ms} ms"
         f"{', kept connection' if sent.kept else ''}"
     )
@@ -212,7 +213,7 @@
 
 
 def _judge_killers(site, killers, verdict):
-    ended = {life: upstream.ended_s for life, upstream in site.upstreams.items()}
+    ended = {life: upstream.crashed_s for life, upstream in site.upstreams.items()}
     arrivals = defaultdict(list)
     for name, life, at_s in site.arrivals():
         arrivals[name].append((life, at_s))
@@ -222,8 +223,8 @@
     for killer in killers:
         lives = set().union(*(ran[sent.name] for sent in killer.asked))
         ends = sorted(ended[life] for life in lives if ended[life] is not None)
-        verdict.killer_ends += len(ends)
-        if killer.copies_count:
+        verdict.crashes += len(ends)
+        if killer.counts_each_copy:
             at = [life for sent in killer.asked for life in ran[sent.name]]
             ends = sorted(ended[life] for life in at if ended[life] is not None)
         sends = [(sent, at_s) for sent in killer.asked for _, at_s in arrivals[sent.name]]
@@ -231,14 +232,14 @@
         late = [
             (sent, at_s)
             for sent, at_s in sends
-            if at_s > known_s and in_touch(site, sent.life, at_s)
+            if at_s > known_s and in_touch(site, sent.incarnation, at_s)
         ]
-        verdict.killers += 1
-        verdict.killer_sends += len(sends)
-        verdict.killer_late += len(late)
-        verdict.held += sum(HELD in sent.head for sent in killer.asked)
+        verdict.crashing_requests += 1
+        verdict.crashing_sends += len(sends)
+        verdict.late_sends += len(late)
+        verdict.quarantined += sum(QUARANTINED in sent.head for sent in killer.asked)
         if len(late) > MOST_LATE:
-            nodes = [f"{sent.life.node} +{at_s - known_s:.1f}" for sent, at_s in late]
+            nodes = [f"{sent.incarnation.node} +{at_s - known_s:.1f}" for sent, at_s in late]
             verdict.found.append(f"{killer.name} {killer.path} was sent on late: {nodes}")
 
 
@@ -257,9 +258,9 @@
         verdict.stops += len(busy)
         verdict.busy_stops += sum(count > 0 for count in busy)
         verdict.busy_requests += sum(busy)
-        verdict.untaken += gateway.untaken_at_stops()
-        sound = not any(life.faults for life in gateway.lives)
-        late = [life for life in gateway.lives if life.killed_after_grace]
+        verdict.unacknowledged += gateway.unacknowledged_at_stops()
+        sound = not any(life.faults for life in gateway.incarnations)
+        late = [life for life in gateway.incarnations if life.killed_after_grace]
         verdict.killed_after_grace += len(late)
         if sound and any(busy):
             verdict.found.append(f"{gateway.name} ended with requests under way: {busy}")
--- a/tests/unit/test_soak_verdict.py
+++ b/tests/unit/test_soak_verdict.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.standin.clients import End, Sent
-from tests.standin.site import Life
+from tests.standin.clients import End, SentRequest
+from tests.standin.site import Incarnation
 from tests.standin.verdict import judge_soak
 
 STOP_S = 100.0
@@ -14,7 +14,7 @@
 
 def life(stop_s=STOP_S, code=0, faults=()):
     process = SimpleNamespace(poll=lambda: code, returncode=code)
-    return Life("node-0", process, 0, stop_s, faults=list(faults))
+    return Incarnation("node-0", process, 0, stop_s, faults=list(faults))
 
 
 def judged(sent, arrived=True, work=None, store_faults=(), crash_s=None, busy=()):
@@ -22,12 +22,14 @@
     spans = [] if work is None else [(sent.name, "life-1", STOP_S + work[0], STOP_S + work[1])]
     gateway = SimpleNamespace(
         name="node-0",
-        lives=[sent.life],
+        incarnations=[sent.incarnation],
         busy_at_stops=lambda: list(busy),
-        untaken_at_stops=lambda: 4,
-        last_words=lambda life: "a word",
+        unacknowledged_at_stops=lambda: 4,
+        last_log_line=lambda life: "a word",
+    )
+    upstream = SimpleNamespace(
+        crashed_s=crash_s, arrived=[], leaving_answers=[], rejected=[], limit_answers=[]
     )
-    upstream = SimpleNamespace(ended_s=crash_s, arrived=[], passed_on=[], turned_away=[], named=[])
     site = SimpleNamespace(
         gateways=[gateway],
         upstreams={"life-1": upstream},
@@ -38,13 +40,13 @@
         work=lambda: spans,
     )
     answers = {sent.name: (sent.status, sent.body)}
-    faults = SimpleNamespace(killers=(), odd=(), healed_s=FOREVER)
+    faults = SimpleNamespace(crashing_requests=(), malformed=(), healed_s=FOREVER)
     return judge_soak(site, SimpleNamespace(requests=[sent], answers=answers), faults)
 
 
 def request(sent_s, end_s, end=End.CLOSED, of=None, keyed=True, kept=False):
     """Return a request; times are after SIGTERM."""
-    return Sent("r1", of or life(), kept, 100, STOP_S + sent_s, keyed, STOP_S + end_s, end)
+    return SentRequest("r1", of or life(), kept, 100, STOP_S + sent_s, keyed, STOP_S + end_s, end)
 
 
 @pytest.mark.parametrize("end", [End.CLOSED, End.SILENT])
@@ -140,7 +142,7 @@
 def test_stops_are_counted():
     verdict = judged(request(1.0, 2.0, End.ANSWERED), busy=[0, 3, 2])
     assert (verdict.stops, verdict.busy_stops, verdict.busy_requests) == (3, 2, 5)
-    assert verdict.untaken == 4
+    assert verdict.unacknowledged == 4
 
 
 def test_a_stop_that_ends_busy_or_late_breaks_the_promise():
--- a/tests/unit/test_wishes.py
+++ b/tests/unit/test_wishes.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from tests.standin.wishes import DRAIN_S, MOST_IN_REST, broken_rests, late_to_leaving, rests
+from tests.standin.notice_checks import (
+    DRAIN_S,
+    MAX_DURING_BACKOFF,
+    backoffs,
+    ignored_backoffs,
+    late_to_leaving,
+)
 
 SERVER = "life-1"
 
@@ -23,22 +29,22 @@
     def __init__(self, of=None):
         self.of = of or life()
         self.sent = {}
-        self.upstream = SimpleNamespace(arrived=[], passed_on=[], turned_away=[])
+        self.upstream = SimpleNamespace(arrived=[], leaving_answers=[], rejected=[])
         self.site = SimpleNamespace(upstreams={SERVER: self.upstream})
 
     def send(self, at_s, of=None):
         name = f"r{len(self.sent)}"
-        self.sent[name] = SimpleNamespace(name=name, life=of or self.of, sent_s=at_s)
+        self.sent[name] = SimpleNamespace(name=name, incarnation=of or self.of, sent_s=at_s)
         arrived = request(name)
         arrived.received_ms = at_s * 1000
         self.upstream.arrived.append(arrived)
         return arrived
 
     def turn_away(self, at_s, rest_s):
-        self.upstream.turned_away.append((self.send(at_s), at_s, rest_s))
+        self.upstream.rejected.append((self.send(at_s), at_s, rest_s))
 
     def pass_on(self, at_s):
-        self.upstream.passed_on.append((self.send(at_s), at_s))
+        self.upstream.leaving_answers.append((self.send(at_s), at_s))
 
 
 def test_a_request_that_comes_late_to_one_that_leaves_is_found():
@@ -68,11 +74,11 @@
 def test_more_than_two_requests_in_a_rest_are_found():
     records = Records()
     records.turn_away(10.0, 3.0)
-    for number in range(MOST_IN_REST):
+    for number in range(MAX_DURING_BACKOFF):
         records.send(11.0 + number / 10)
     records.send(10.2)  # on its way already
     records.send(13.2)  # after it
-    assert [count for count, _ in rests(records.site, records.sent)] == [MOST_IN_REST]
-    assert broken_rests(records.site, records.sent) == []
+    assert [count for count, _ in backoffs(records.site, records.sent)] == [MAX_DURING_BACKOFF]
+    assert ignored_backoffs(records.site, records.sent) == []
     records.send(12.5)
-    assert len(broken_rests(records.site, records.sent)) == 1
+    assert len(ignored_backoffs(records.site, records.sent)) == 1
