--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements over separate processes. Figures are ratios within one run."""
+"""Benchmarks with separate processes. Compare results only within one run, as ratios."""
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,5 +1,8 @@
-"""Control figures over separate processes: cost per idle node, spread of a
-configuration, price of running at most once, time of a drain."""
+"""Benchmarks of the control plane with separate processes.
+
+They measure the cost of an idle node, the spread of a configuration, the cost of running a request
+at most once, and the time of a drain.
+"""
 
 import gc
 import json
@@ -20,9 +23,9 @@
 
 
 def idle_cost(cell):
-    """Return the mean and largest share of a core, memory and bytes by node."""
+    """Return mean and largest values over the nodes of processor use, bytes sent and memory."""
     before = {node: (cpu_s(node.process.pid), sent_bytes(cell, node)) for node in cell.nodes}
-    time.sleep(IDLE_S)  # the span that is measured
+    time.sleep(IDLE_S)  # the measured span
     shares, rates, memory = [], [], []
     for node, (cpu_before_s, bytes_before) in before.items():
         shares.append((cpu_s(node.process.pid) - cpu_before_s) / IDLE_S * 100)
@@ -39,7 +42,7 @@
 
 
 def sent_bytes(cell, node):
-    """Read the bytes that a node sent to other nodes."""
+    """Return the number of bytes that a node sent to other nodes."""
     text = cell.client(node, "admin_port").exchange("GET", "/metrics").body.decode()
     marker = 'ploverhatch_peer_counters{counter="sent_bytes"}'
     rows = [line for line in text.splitlines() if line.startswith(marker)]
@@ -47,7 +50,7 @@
 
 
 def configuration_spread(cell):
-    """Return ms from an accepted change until every node shows it."""
+    """Return the ms from the acceptance of a change until every node shows it."""
     spans = []
     path = "/api/objects/key-labels/weights"
     for number in range(CHANGES):
@@ -71,7 +74,7 @@
     return {"median_ms": round(statistics.median(spans), 1), "worst_ms": round(max(spans), 1)}
 
 
-def price_of_once(cell):
+def once_cost(cell):
     """Return the median ms of a repeatable and of an at-most-once request."""
     figures = {}
     for name, call in (
@@ -89,7 +92,7 @@
 
 
 def drain_time(cell):
-    """Return ms from a drain signal of the server to its last new work."""
+    """Return the ms from the drain signal of a server to the start of its last request."""
     end_s = time.monotonic() + 4
     number = 0
     cell.backend_call("weights-1", "behaviour", {"draining": True})
@@ -103,13 +106,13 @@
 
 
 def main():
-    """Run all and print the figures as JSON."""
+    """Run all benchmarks and print their figures as JSON."""
     gc.disable()
     with Cell(nodes=NODES, backends=BACKENDS) as cell:
         figures = {
             "idle": idle_cost(cell),
             "configuration": configuration_spread(cell),
-            "median_ms": price_of_once(cell),
+            "median_ms": once_cost(cell),
             "drain": drain_time(cell),
         }
     print(json.dumps(figures, indent=2))
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,7 +1,7 @@
-"""The router's cost against a bare hop, and owner lookup at several sizes.
+"""Cost of the router compared with a bare proxy, and of owner lookup at several sizes.
 
-Requests per second of processor time of the one process under test (read from
-its /proc entry) do not depend on how busy the callers' process is.
+The result is in requests per second of processor time of the process under test, read from its
+/proc entry. So it doesn't depend on the load of the callers' process.
 """
 
 import gc
@@ -28,13 +28,13 @@
 
 
 def cpu_s(pid):
-    """Return processor seconds that a process has used."""
+    """Return the processor seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 class Target:
-    """A server under test."""
+    """A server process under test."""
 
     def __init__(self, name, port, pid):
         self.name = name
@@ -42,7 +42,7 @@
         self.pid = pid
 
     def saturate(self):
-        """Return requests per processor second and per second, all callers busy."""
+        """Return requests per processor second and per second, with all callers busy."""
         done = [0]
         end_s = time.monotonic() + SPAN_S
 
@@ -57,7 +57,7 @@
         return done[0] / (cpu_s(self.pid) - before_s), done[0] / SPAN_S
 
     def latency(self, rate):
-        """Return median and 99th percentile in ms at a fixed rate."""
+        """Return the median and the 99th percentile of the latency in ms at a fixed rate."""
         histogram = HdrHistogram(1, 10_000_000, 3)
 
         def call(number):
@@ -76,7 +76,7 @@
 
 def main():
     """Run the benchmark and print its figures as JSON."""
-    gc.disable()  # pauses of the caller are not the router's
+    gc.disable()  # keeps pauses of the caller out of the latencies
     with Cell(nodes=1, backends={"weights": 2}, policy=POLICY, slots=64, service_ms=0) as cell:
         backend = cell.backends["weights-1"]
         hop = Program("emulator", "hop", "--target-port", str(backend.ready["port"]))
--- a/benchmarks/lookup.py
+++ b/benchmarks/lookup.py
@@ -1,4 +1,4 @@
-"""Cost of finding a key's owner, at several numbers of servers."""
+"""Cost of finding the owner of a key, for several numbers of servers."""
 
 import itertools
 import timeit
@@ -12,7 +12,7 @@
 
 
 def lookup_costs_us():
-    """Return microseconds per hash and lookup by number of servers."""
+    """Return microseconds per hash and lookup, by number of servers."""
     costs = {}
     for servers in SERVERS:
         table = AssignmentTable()
--- a/benchmarks/samples.py
+++ b/benchmarks/samples.py
@@ -1,7 +1,7 @@
-"""Both sample deployments as separate processes, and the policy compiler.
+"""Runs both sample deployments as separate processes, and times the policy compiler.
 
-Every route is called through every node; the owner's whole answer must come
-back. Then a policy of 1000 routes and 500 selectors is compiled.
+Every route is called through every node, and the complete answer of the owner must return. Then a
+policy of 1000 routes and 500 selectors is compiled.
 """
 
 import time
@@ -19,7 +19,7 @@
 
 
 def call_every_route(name):
-    """Return the number of back ends and of answered calls."""
+    """Return the number of back ends and the number of answered calls."""
     deployment = load_model(Deployment, SAMPLES / f"{name}.toml")
     policy = Path(SAMPLES / deployment.policy_file).read_text(encoding="utf-8")
     backends = {upstream.name: upstream.count for upstream in deployment.upstream}
@@ -39,7 +39,7 @@
 
 
 def compile_seconds():
-    """Return the time to compile a large policy."""
+    """Return the seconds that it takes to compile a large policy."""
     groups = [
         f'group g{number} {{ draw share 0.002 from servers where tier = "t{number}" '
         f'or (zone in ["a", "b"] and has x{number}); }}'
@@ -56,7 +56,7 @@
 
 
 def main():
-    """Run both and print what was found."""
+    """Run both parts and print the results."""
     for name in DEPLOYMENTS:
         backends, answered = call_every_route(name)
         print(f"{name}: {backends} back ends, {NODES} nodes, {answered} of {answered} answered")
--- a/ploverhatch/bench/__init__.py
+++ b/ploverhatch/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load generation, benchmarks and slopes."""
+"""Load generation, evaluation of runs, and cost measurements."""
--- a/ploverhatch/bench/load.py
+++ b/ploverhatch/bench/load.py
@@ -1,8 +1,8 @@
-"""Load generator: open-loop traffic of a deployment against its routers.
+"""Load generator: open-loop traffic of a deployment for its routers.
 
-Requests leave at the stated rate whatever the answers do. A caller meets a
-router that is gone by using the next one; repeats of requests that run at
-most once carry the same Idempotency-Key.
+Requests are sent at the configured rate, independent of the answers. Where a router can't be
+reached, the caller uses the next one. Repeats of requests that run at most once carry the same
+Idempotency-Key.
 """
 
 from collections import Counter
@@ -18,36 +18,36 @@
 
 CONNECTIONS_PER_ROUTER = 256
 MAX_IN_FLIGHT = 2000
-LONGEST_LATENCY_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 TIMEOUT_S = 35.0
 
 
 @dataclass
 class LoadResult:
-    """What callers saw. Latencies are in microseconds."""
+    """Results that callers received. Latencies are in microseconds."""
 
     results: Counter[str] = field(default_factory=Counter)
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST_LATENCY_US, 3))
+    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_US, 3))
     failures: list[str] = field(default_factory=list)
     dropped: int = 0
 
     def percentile_ms(self, percentile: float) -> float:
-        """Return a latency percentile."""
+        """Return a percentile of the latency, in ms."""
         return float(self.latency.get_value_at_percentile(percentile)) / 1000
 
     @property
     def answered(self) -> int:
-        """Requests that the owner answered."""
+        """Number of requests that the owner answered."""
         return self.results["1000"] + self.results["1001"]
 
     @property
     def total(self) -> int:
-        """All requests."""
+        """Number of all requests."""
         return sum(self.results.values())
 
 
 class KeyChooser:
-    """Draws key numbers with Zipf-like popularity."""
+    """Draws key numbers with a Zipf distribution."""
 
     def __init__(self, keys: int, skew: float, seed: int) -> None:
         weights = 1.0 / numpy.arange(1, keys + 1) ** skew
@@ -55,12 +55,12 @@
         self._random = numpy.random.default_rng(seed)
 
     def next(self) -> int:
-        """Return the next key's number; zero is the most popular."""
+        """Return a key number; zero is the most frequent."""
         return int(numpy.searchsorted(self._cumulative, self._random.random()))
 
 
 class LoadGenerator:
-    """Sends the traffic sections of a deployment for a while."""
+    """Sends the traffic of the sections of a deployment."""
 
     def __init__(
         self, routers: list[tuple[str, int]], traffic: tuple[TrafficSection, ...], seed: int = 1
@@ -73,7 +73,10 @@
         self.result = LoadResult()
 
     def run(self, duration_s: float, scale: float = 1.0) -> LoadResult:
-        """Send for ``duration_s`` and wait for the answers."""
+        """Send for ``duration_s``, then wait for the answers and return the result.
+
+        :param scale: factor on the rates of all sections.
+        """
         senders = [
             gevent.spawn(self._send_section, section, number, duration_s, scale)
             for number, section in enumerate(self._traffic)
@@ -112,8 +115,8 @@
         finally:
             self._in_flight -= 1
         self.result.results[outcome] += 1
-        took_us = min(max(1, int((elapsed_ms() - started_ms) * 1000)), LONGEST_LATENCY_US)
-        self.result.latency.record_value(took_us)
+        latency_us = min(max(1, int((elapsed_ms() - started_ms) * 1000)), MAX_LATENCY_US)
+        self.result.latency.record_value(latency_us)
         if outcome not in {"1000", "1001"} and len(self.result.failures) < 20:
             self.result.failures.append(f"{section.method} {section.path} {key}: {outcome}")
 
@@ -135,7 +138,7 @@
         return "no-router"
 
     def _check(self, answer: HttpAnswer, identity: str) -> str:
-        """Return the result code, or that another request's answer came."""
+        """Return the result code, or ``crossed-answer`` for the answer of another request."""
         code = answer.headers.get("ploverhatch-result", f"status-{answer.status}")
         if code in {"1000", "1001"} and answer.json().get("echo") != identity:
             return "crossed-answer"
--- a/ploverhatch/bench/slopes.py
+++ b/ploverhatch/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Measured slopes of the control costs, for docs/CAPACITY.md.
+"""Measurements of how the control costs grow with size, for docs/CAPACITY.md.
 
-Each measurement runs at four sizes or more; a straight line is fitted and the
-largest deviation from it is stated. Times are processor time of this process.
+Each measurement runs at four sizes or more. A straight line is fitted, and the largest deviation
+from it is reported. Times are the processor time of this process.
 """
 
 import json
@@ -41,7 +41,10 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A line through measured points. ``error`` is the largest relative miss."""
+    """A straight line fitted to measured values.
+
+    ``error`` is the largest deviation of a value from the line, relative to the value.
+    """
 
     name: str
     unit: str
@@ -54,7 +57,7 @@
 
 
 def fit(name: str, unit: str, per: str, sizes: list[int], values: list[float]) -> Fit:
-    """Fit a straight line."""
+    """Fit a straight line to the values by least squares."""
     slope, base = numpy.polyfit(sizes, values, 1)
     fitted = [slope * size + base for size in sizes]
     error = max(
@@ -66,7 +69,7 @@
 
 
 def _cpu_us(action: Callable[[], object], rounds: int) -> float:
-    """Return processor microseconds of one run, the least of three."""
+    """Return processor microseconds per call of ``action``, the minimum of three measurements."""
     best = float("inf")
     for _ in range(3):
         started_s = time.process_time()
@@ -124,7 +127,7 @@
 
 
 def _deliver(replicas: dict[str, Replica], pending: list) -> None:
-    """Carry messages between replicas through the codec."""
+    """Deliver messages between replicas, encoded and decoded, until none is pending."""
     while pending:
         sender, action = pending.pop(0)
         if not isinstance(action, Send):
@@ -163,7 +166,7 @@
 
 
 def placement_rounds() -> list[Fit]:
-    """Processor time of one placement round that finds little to move."""
+    """Processor time of a placement round that finds little to move."""
     sizes, values = [250, 500, 1000, 2000], []
     for size in sizes:
         view = PlacementView(
@@ -178,7 +181,7 @@
 
 
 def assignment_memory() -> list[Fit]:
-    """Memory and snapshot cost per slice of a node's view."""
+    """Memory and snapshot costs per slice in the view of a node."""
     sizes = [2000, 4000, 8000, 16_000]
     memory, encode, decode, size_bytes = [], [], [], []
     for size in sizes:
@@ -224,7 +227,7 @@
 
 
 def configuration_changes() -> list[Fit]:
-    """Processor time of a node to take over one changed server object."""
+    """Processor time of a node to apply a change of one server object."""
     sizes, values = [100, 200, 400, 800], []
     for size in sizes:
         state = ReplicatedState()
@@ -272,11 +275,11 @@
         encode.append(_cpu_us(partial(make_entry, 1, 1, 0, change), 20))
         data = pack(update, sender="n")
 
-        def take(data: bytes = data) -> None:
+        def receive(data: bytes = data) -> None:
             _, message = unpack(data)
             ReplicatedState().apply(message.entries[0])
 
-        apply.append(_cpu_us(take, 20))
+        apply.append(_cpu_us(receive, 20))
     return [
         fit("assignment entry, encode", "us", "slice", sizes, encode),
         fit("assignment entry, decode and apply", "us", "slice", sizes, apply),
@@ -284,7 +287,7 @@
 
 
 def hollow_nodes() -> list[Fit]:
-    """Processor time and bytes of real nodes without requests, in one process."""
+    """Processor time and bytes sent of real nodes without requests, all in this process."""
     sizes, cpu, sent = [8, 16, 32, 64], [], []
     for size in sizes:
         share, rate = _run_hollow(size)
@@ -330,7 +333,7 @@
 
 
 def owner_lookup() -> list[Fit]:
-    """Processor time of one owner lookup by number of slices."""
+    """Processor time of an owner lookup by number of slices."""
     sizes, values = [1000, 4000, 16_000, 64_000], []
     for size in sizes:
         table = _table(size, 500)
--- a/ploverhatch/bench/summary.py
+++ b/ploverhatch/bench/summary.py
@@ -1,4 +1,4 @@
-"""Figures of a run, judged from the back ends' execution logs."""
+"""Evaluation of a run from the execution logs of the back ends."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 from ploverhatch.common.results import RESULTS
 from ploverhatch.emulator.backend import Execution
 
-LEAST_PAUSES = 20
+MIN_PAUSES = 20
 
 
 def double_runs(executions: Iterable[Execution]) -> list[str]:
@@ -20,10 +20,10 @@
 
 
 def ownership_overlaps(executions: Iterable[Execution]) -> list[str]:
-    """Return keys that two server processes executed at the same moment.
+    """Return keys that two server processes executed at the same time.
 
-    Also reports a key whose execution began under a lower token after one
-    under a higher token had begun.
+    Keys whose execution began under a lower token after one had begun under a higher token are
+    returned too.
     """
     faults = []
     by_key: dict[tuple[str, int], list[Execution]] = defaultdict(list)
@@ -49,7 +49,7 @@
 def imbalance(
     executions: Iterable[Execution], servers: dict[str, tuple[str, int]]
 ) -> dict[str, float]:
-    """Return busiest over mean utilization by group of servers.
+    """Return the ratio of the highest to the mean utilization by group of servers.
 
     :param servers: group and slots by server name.
     """
@@ -65,8 +65,8 @@
     }
 
 
-def print_load(result: LoadResult) -> list[str]:
-    """Return lines that describe what callers saw."""
+def describe_load(result: LoadResult) -> list[str]:
+    """Return lines that describe the results that callers received."""
     lines = [f"requests {result.total}, answered by the owner {result.answered}"]
     for code, count in sorted(result.results.items()):
         known = RESULTS.get(int(code)) if code.isdigit() else None
@@ -82,20 +82,20 @@
 
 
 def unavailable_ms(executions: Iterable[Execution], usual_factor: float = 5.0) -> list[float]:
-    """Return for each key how long it was not served, in rising order.
+    """Return the sorted times, in ms, for which each key wasn't served.
 
-    That is its longest pause between two executions beyond ``usual_factor``
-    times its median pause, and beyond zero; keys with few executions, whose
-    pauses say little, are left out.
+    The time of a key is the excess of its longest pause between two executions over
+    ``usual_factor`` times its median pause, or zero. Keys with fewer than ``MIN_PAUSES`` pauses are
+    left out, since their median is unreliable.
     """
-    moments: dict[tuple[str, int], list[float]] = defaultdict(list)
+    starts_by_key: dict[tuple[str, int], list[float]] = defaultdict(list)
     for item in executions:
-        moments[(item.group, item.key_hash)].append(item.started_ms)
+        starts_by_key[(item.group, item.key_hash)].append(item.started_ms)
     found = []
-    for of_key in moments.values():
-        of_key.sort()
-        pauses = sorted(later - earlier for earlier, later in pairwise(of_key))
-        if len(pauses) < LEAST_PAUSES:
+    for starts_ms in starts_by_key.values():
+        starts_ms.sort()
+        pauses = sorted(later - earlier for earlier, later in pairwise(starts_ms))
+        if len(pauses) < MIN_PAUSES:
             continue
         usual = pauses[len(pauses) // 2] * usual_factor
         found.append(max(0.0, pauses[-1] - usual))
--- a/ploverhatch/cli/demo.py
+++ b/ploverhatch/cli/demo.py
@@ -10,10 +10,10 @@
 
 from ploverhatch.bench.load import LoadGenerator
 from ploverhatch.bench.summary import (
+    describe_load,
     double_runs,
     imbalance,
     ownership_overlaps,
-    print_load,
     unavailable_ms,
 )
 from ploverhatch.cli.running import start_logging
@@ -115,7 +115,7 @@
         for upstream in deployment.upstream
         for number in range(upstream.count)
     }
-    for line in print_load(result):
+    for line in describe_load(result):
         click.echo(line)
     spread = ", ".join(
         f"{group} {value:.2f}" for group, value in imbalance(executions, servers).items()
--- a/ploverhatch/cli/load.py
+++ b/ploverhatch/cli/load.py
@@ -6,7 +6,7 @@
 import click
 
 from ploverhatch.bench.load import LoadGenerator
-from ploverhatch.bench.summary import print_load
+from ploverhatch.bench.summary import describe_load
 from ploverhatch.settings.deployment import Deployment
 from ploverhatch.settings.loader import SettingsError, load_model
 
@@ -39,7 +39,7 @@
     routers = [_parse_router(text) for text in router]
     generator = LoadGenerator(routers, deployment.traffic, seed)
     result = generator.run(min(duration, MAX_DURATION_S), scale)
-    for line in print_load(result):
+    for line in describe_load(result):
         click.echo(line)
     for failure in result.failures:
         click.echo(f"  {failure}")
--- a/ploverhatch/emulator/__init__.py
+++ b/ploverhatch/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the back ends."""
+"""Emulators of the platform and the back ends."""
--- a/ploverhatch/emulator/backend.py
+++ b/ploverhatch/emulator/backend.py
@@ -1,8 +1,7 @@
-"""Stand-in of a back end: grants, slots, drain, faults and an execution log.
+"""Emulator of a back end: grants, slots, drain, faults and an execution log.
 
-Run by ``ploverhatch emulator backend``. The execution log is what checkers
-judge by: it shows which process executed which request, when, under which
-token.
+It is run by ``ploverhatch emulator backend``. Checkers judge by the execution log, which shows
+which process executed which request, when, and under which token.
 """
 
 import json
@@ -23,30 +22,33 @@
 from ploverhatch.transport.wsgi import Environ, read_body, read_json
 
 MAX_BODY_BYTES = 4 << 20
-CANCELLED_KEPT = 10_000
+MAX_CANCELLED = 10_000
 _REFUSAL_STATUS = 503
 
 
 @dataclass
 class BackendBehaviour:
-    """Speed, limits and faults."""
+    """Speed, limits and faults of an emulated back end.
+
+    The field names are those of the ``behaviour`` control call.
+    """
 
     slots: int = 2
     queue: int = 16
     service_ms: float = 2.0
-    cold_ms: float = 0.0  # extra service time, fading over cold_span_ms
+    cold_ms: float = 0.0  # extra service time, which falls to zero over cold_span_ms
     cold_span_ms: float = 5000.0
     probe_ms: float = 0.0
-    healthy: bool = True  # what the probe says, true or not
-    reported_load: float = -1.0  # negative: the true load
+    healthy: bool = True  # reported by the probe, whether correct or not
+    reported_load: float = -1.0  # negative: the actual load is reported
     draining: bool = False
     refuse: bool = False
-    open: bool = False  # runs requests without a token, for baselines
+    open: bool = False  # whether requests without a token run, for baselines
 
 
 @dataclass(frozen=True)
 class Execution:
-    """One executed request; times are of the host's elapsed clock, in ms."""
+    """One executed request; times are on the host's elapsed clock, in ms."""
 
     server: str
     boot_id: str
@@ -60,12 +62,12 @@
 
 
 def clock_ms() -> float:
-    """Return the host's elapsed time."""
+    """Return the time on the host's elapsed clock, in ms."""
     return elapsed_ms()
 
 
 class BackendEmulator(Service):
-    """One back end process, or one of several inside a process."""
+    """An emulated back end; one process may run several."""
 
     def __init__(
         self, name: str, address: tuple[str, int], behaviour: BackendBehaviour | None = None
@@ -144,7 +146,7 @@
         if any(item.request_id == request_id for item in self.executions):
             return False
         self._cancelled[request_id] = None
-        while len(self._cancelled) > CANCELLED_KEPT:
+        while len(self._cancelled) > MAX_CANCELLED:
             del self._cancelled[next(iter(self._cancelled))]
         return True
 
@@ -166,7 +168,7 @@
             self._slots.release()
 
     def _execute(self, environ: Environ, body: bytes) -> HttpReply:
-        """Judge the token, then run: nothing yields between the two."""
+        """Check the token, then start the request, without a switch of greenlets in between."""
         request_id = environ.get("HTTP_REQUEST_ID", "")
         group = environ.get("HTTP_SLICE_GROUP", "")
         key_hash = int(environ.get("HTTP_SLICE_KEY_HASH", "0"))
--- a/ploverhatch/emulator/deployment.py
+++ b/ploverhatch/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""Sets up the emulators of a whole deployment inside one process."""
+"""Starts the emulators of a complete deployment in one process."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 @dataclass
 class EmulatedDeployment:
-    """The platform and the back ends of a deployment."""
+    """The emulated platform and back ends of a deployment."""
 
     deployment: Deployment
     platform: PlatformEmulator
@@ -28,12 +28,15 @@
 
 
 def policy_source(deployment: Deployment, directory: Path) -> str:
-    """Read the policy file, which lies beside the deployment file."""
+    """Return the text of the policy file.
+
+    :param directory: of the deployment file, which the path of the policy file is relative to.
+    """
     return (directory / deployment.policy_file).read_text(encoding="utf-8")
 
 
 def behaviour_of(upstream: UpstreamSection) -> BackendBehaviour:
-    """Return an emulator's behaviour for an upstream."""
+    """Return the behaviour of the emulators of an upstream."""
     return BackendBehaviour(
         slots=upstream.slots,
         service_ms=upstream.service_ms,
@@ -42,7 +45,7 @@
 
 
 def server_body(upstream: UpstreamSection, zone: str, port: int) -> dict[str, Any]:
-    """Return a server's configuration object."""
+    """Return the body of the configuration object of a server."""
     return {
         "host": LOOPBACK,
         "port": port,
--- a/ploverhatch/emulator/hop.py
+++ b/ploverhatch/emulator/hop.py
@@ -1,6 +1,6 @@
-"""Baseline: an HTTP hop without policy, tokens, limits or records.
+"""Baseline for benchmarks: an HTTP proxy without policy, tokens, limits or records.
 
-The router's cost is stated as a ratio to this one, measured in the same run.
+The cost of the router is given as a ratio to the cost of this proxy in the same run.
 """
 
 from ploverhatch.common.problem import HttpReply
@@ -20,7 +20,7 @@
 
 
 class BareHop(Service):
-    """Forwards every request to one address."""
+    """Forwards every request to one target address."""
 
     def __init__(self, address: tuple[str, int], target: tuple[str, int]) -> None:
         self._client = HttpClient(*target, CONNECTIONS)
--- a/ploverhatch/emulator/platform.py
+++ b/ploverhatch/emulator/platform.py
@@ -1,7 +1,6 @@
-"""Stand-in of the platform: object store with watches, machine list, faults.
+"""Emulator of the platform: object store with watches, machine list, faults.
 
-Run by ``ploverhatch emulator platform``; users and tests drive the faults
-through ``/v1/faults``.
+It is run by ``ploverhatch emulator platform``. Users and tests set faults by ``/v1/faults``.
 """
 
 import re
@@ -18,17 +17,17 @@
 from ploverhatch.transport.http_server import AbortConnectionError
 from ploverhatch.transport.wsgi import Environ, read_json, request_target
 
-HISTORY = 1000
+HISTORY_CHANGES = 1000
 DEFAULT_MAX_READERS = 16
 
 
 @dataclass
 class PlatformFaults:
-    """Faults that are switched on."""
+    """Faults that are injected now, with the field names of ``/v1/faults``."""
 
     down: bool = False
     delay_ms: int = 0
-    lose_answers: int = 0  # this many changes take effect but are not answered
+    lose_answers: int = 0  # number of next changes that take effect but aren't answered
     machine_lag_ms: int = 0
     max_readers: int = DEFAULT_MAX_READERS
 
@@ -39,13 +38,13 @@
     def __init__(self) -> None:
         self.revision = 0
         self.items: dict[tuple[str, str], dict[str, Any]] = {}
-        self.history: deque[dict[str, Any]] = deque(maxlen=HISTORY)
+        self.history: deque[dict[str, Any]] = deque(maxlen=HISTORY_CHANGES)
         self.changed = Event()
 
     def change(
         self, kind: str, name: str, expected: int, document: dict[str, Any], deleted: bool
     ) -> dict[str, Any] | None:
-        """Write or delete; ``None`` on a version conflict."""
+        """Write or delete an object and return it; return ``None`` on a version conflict."""
         current = self.items.get((kind, name))
         if (current["version"] if current else 0) != expected:
             return None
@@ -84,7 +83,7 @@
         self.faults = PlatformFaults()
         self.readers = 0
         self._machines: dict[str, dict[str, Any]] = {}
-        self._shown: dict[str, dict[str, Any]] = {}
+        self._visible_machines: dict[str, dict[str, Any]] = {}
         super().__init__(address, self._handle)
 
     @property
@@ -96,14 +95,18 @@
         """Set a row of the machine list; readers see it after the lag."""
         row = {"name": name, "host": host, "port": port, "state": state}
         self._machines[name] = row
-        gevent.spawn_later(self.faults.machine_lag_ms / 1000, self._shown.__setitem__, name, row)
+        gevent.spawn_later(
+            self.faults.machine_lag_ms / 1000, self._visible_machines.__setitem__, name, row
+        )
         if not self.faults.machine_lag_ms:
-            self._shown[name] = row
+            self._visible_machines[name] = row
 
     def remove_machine(self, name: str) -> None:
-        """Take a machine off the list after the lag."""
+        """Remove a machine from the list; readers see it after the lag."""
         self._machines.pop(name, None)
-        gevent.spawn_later(self.faults.machine_lag_ms / 1000, self._shown.pop, name, None)
+        gevent.spawn_later(
+            self.faults.machine_lag_ms / 1000, self._visible_machines.pop, name, None
+        )
 
     def _handle(self, environ: Environ) -> HttpReply:
         path, _ = request_target(environ)
@@ -136,7 +139,7 @@
 
     def _handle_machines(self, path: str, method: str, environ: Environ) -> HttpReply:
         if method == "GET":
-            return json_reply({"machines": list(self._shown.values())})
+            return json_reply({"machines": list(self._visible_machines.values())})
         name = path.rsplit("/", 1)[-1]
         if method == "DELETE":
             self.remove_machine(name)
--- a/ploverhatch/emulator/service.py
+++ b/ploverhatch/emulator/service.py
@@ -1,4 +1,4 @@
-"""Base of the emulators: one HTTP server around one handler."""
+"""Base class of the emulators: an HTTP server with one handler."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class Service:
-    """Serves from construction until :meth:`close`."""
+    """An HTTP server that serves from construction until :meth:`close`."""
 
     def __init__(self, address: tuple[str, int], handler: Callable[[Environ], HttpReply]) -> None:
         self.server = HttpServer(address, as_application(handler))
@@ -16,10 +16,10 @@
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port that the server listens on."""
         return self.server.port
 
     def close(self) -> bool:
-        """Stop serving at once; open connections are cut."""
+        """Stop serving at once and reset open connections."""
         self.server.abort()
         return True
--- a/tests/unit/test_summary.py
+++ b/tests/unit/test_summary.py
@@ -1,4 +1,4 @@
-"""Figures of a run, from execution logs."""
+"""Evaluation of a run from execution logs."""
 
 from types import SimpleNamespace
 
