--- a/ploverhatch/cli/experiment_slots.py
+++ b/ploverhatch/cli/experiment_slots.py
@@ -38,5 +38,5 @@
 
 def _play(scenario: SlotScenario, name: str) -> SlotRow:
     world = World(scenario)
-    tally = world.run(POLICIES[name](world).take)
+    tally = world.run(POLICIES[name](world).handle)
     return SlotRow(scenario, name, tally)
--- a/ploverhatch/experiment/__init__.py
+++ b/ploverhatch/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments in virtual time over the real placement code, with baselines."""
+"""Experiments in virtual time with the placement code of the product, and baselines."""
--- a/ploverhatch/experiment/baselines.py
+++ b/ploverhatch/experiment/baselines.py
@@ -1,7 +1,7 @@
-"""Baselines that our placement is compared with, behind one interface.
+"""Baselines that the placement of the product is compared with, behind one interface.
 
-Each maps keys to servers. ``round`` is called once a second with the measured
-rate of every key; owners are server numbers in an integer array.
+Each strategy maps keys to servers. ``round`` is called once a second with the measured rate of
+every key, and returns an array of server names.
 """
 
 from abc import ABC, abstractmethod
@@ -23,10 +23,13 @@
 
     @abstractmethod
     def round(self, rates: numpy.ndarray, now_ms: float) -> numpy.ndarray:
-        """Return the owner's position in ``all_names`` for each key."""
+        """Return the name of the owner of each key.
+
+        :param rates: requests per second of each key in the last second.
+        """
 
     def lose(self, server: str) -> None:
-        """Take a server away."""
+        """Remove a server."""
         self.servers.remove(server)
 
     def join(self, server: str) -> None:
@@ -39,12 +42,12 @@
 
 
 class StaticStrategy(Strategy):
-    """A strategy that only looks at the set of servers."""
+    """A strategy that depends on the set of servers only."""
 
     _known: tuple[tuple[str, ...], numpy.ndarray] | None = None
 
     def round(self, rates: numpy.ndarray, now_ms: float) -> numpy.ndarray:
-        """Return the owners, computed again when the servers change."""
+        """Return the name of the owner of each key, computed anew when the servers change."""
         servers = tuple(self.servers)
         if self._known is None or self._known[0] != servers:
             self._known = (servers, self.owners())
@@ -56,12 +59,12 @@
 
 
 class HashRing(StaticStrategy):
-    """Consistent hashing with virtual nodes; blind to load."""
+    """Consistent hashing with virtual nodes, which ignores load."""
 
     name = "hash ring"
 
     def owners(self) -> numpy.ndarray:
-        """Return the next virtual node's server for each key."""
+        """Return the server of the next virtual node on the ring for each key."""
         points = sorted(
             (_hash(f"{server}#{number}"), server)
             for server in self.servers
@@ -73,7 +76,7 @@
 
 
 class Rendezvous(StaticStrategy):
-    """Highest random weight; blind to load."""
+    """Rendezvous hashing (highest random weight), which ignores load."""
 
     name = "rendezvous"
 
@@ -99,7 +102,7 @@
 
 
 class GreedyWithoutCost(Strategy):
-    """Places slices anew each round, largest first, whatever moves it takes."""
+    """Places all slices anew each round, largest first, without regard to the cost of moves."""
 
     name = "greedy, moves free"
     slices = 80
--- a/ploverhatch/experiment/keys_report.py
+++ b/ploverhatch/experiment/keys_report.py
@@ -1,4 +1,4 @@
-"""Table and plot of plays of `keys_world`."""
+"""Table and plot of the runs of `keys_world`."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRow:
-    """One play."""
+    """The result of one run."""
 
     situation: str
     way: str
@@ -23,11 +23,11 @@
 
     @property
     def credit(self) -> float:
-        """Part of the credit that was earned."""
+        """Fraction of the possible credit that was earned."""
         return self.tally.credit / max(self.tally.asked, 1)
 
     def credit_of(self, second: int) -> float:
-        """Return the part of the credit earned by requests of one second."""
+        """Return the fraction of the credit earned by the requests of one second."""
         ended = self.tally.by_second.get(second, [])
         return sum(ended) / len(ended) if ended else 0.0
 
@@ -41,7 +41,7 @@
 
 
 def markdown(rows: Sequence[KeyRow]) -> str:
-    """Return a table: credit of each way by situation, means over seeds."""
+    """Return a table of the credit by situation and way, as means over the seeds."""
     ways = list(dict.fromkeys(row.way for row in rows))
     lines = [
         "Part of the credit earned; in brackets late, turned away and lost, in 1,000, and moves.",
@@ -61,7 +61,7 @@
         return "-"
     parts = [
         1000 * _mean(rows, lambda row: row.tally.late / max(row.tally.asked, 1)),
-        1000 * _mean(rows, lambda row: row.tally.turned_away / max(row.tally.asked, 1)),
+        1000 * _mean(rows, lambda row: row.tally.rejected / max(row.tally.asked, 1)),
         1000 * _mean(rows, lambda row: row.tally.unanswered / max(row.tally.asked, 1)),
         _mean(rows, lambda row: row.tally.moves),
     ]
@@ -71,7 +71,7 @@
 
 
 def plot(rows: Sequence[KeyRow], path: Path) -> None:
-    """Draw the credit of each second, a line a way, a panel a situation."""
+    """Plot the credit of each second, with a line per way and a panel per situation."""
     situations = list(dict.fromkeys(row.situation for row in rows))
     figure, axes = pyplot.subplots(
         len(situations), 1, figsize=(8, 2 * len(situations)), squeeze=False, sharey=True
--- a/ploverhatch/experiment/keys_situations.py
+++ b/ploverhatch/experiment/keys_situations.py
@@ -1,4 +1,4 @@
-"""Situations and ways to place keys, for `keys_world`. Both are registries by name."""
+"""Registries of situations and of ways to place keys for `keys_world`, both by name."""
 
 import math
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 def way(name: str) -> Callable[[Way], Way]:
-    """Add a way to the registry."""
+    """Return a decorator that registers a way under a name."""
 
     def add(change: Way) -> Way:
         WAYS[name] = change
@@ -33,24 +33,24 @@
 
 @way("as it is")
 def as_it_is(scenario: KeyScenario, seed: int) -> KeyScenario:
-    """The product's limits."""
+    """Use the limits of the product."""
     return replace(scenario, seed=seed)
 
 
 @way("window of 3 s, any gap")
 def any_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
-    """Rates of 3 s, and no test whether a gap is more than chance."""
+    """Use rates of 3 s, and don't test whether a gap exceeds chance."""
     limits = PlanLimits(gap_deviations=0.0, window_s=3.0)
     return replace(scenario, seed=seed, limits=limits, window_ms=3000.0)
 
 
 @way("surer gap")
 def surer_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
-    """A gap of four standard deviations."""
+    """Require a gap of four standard deviations."""
     return replace(scenario, seed=seed, limits=PlanLimits(gap_deviations=4.0))
 
 
 @way("dealt once")
 def dealt_once(scenario: KeyScenario, seed: int) -> KeyScenario:
-    """Equal parts per slot, and nothing is evened out."""
+    """Assign equal ranges per slot once, and never rebalance."""
     return replace(scenario, seed=seed, limits=PlanLimits(high_utilisation=math.inf))
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -1,9 +1,9 @@
-"""Claims by key in virtual time: noisy servers, hot keys, lost servers, and the real decisions.
+"""Simulates requests with keys in virtual time, with noisy servers, hot keys and slow servers.
 
-Requests name keys. The product's leader deals and moves ranges of keys by what its
-reports say; the product's dispatcher gives the slots of each holder. Servers share
-their machines: in each span of ``noise_ms`` one works ``noise_factor`` times slower with
-chance ``noise_share``. An answer within the objective earns 1, a later one 0.1.
+The decisions are those of the product: its leader assigns and moves ranges of keys by its reports,
+and its dispatcher grants the slots of each holder. Servers share their machines: in each span of
+``noise_ms``, a server is ``noise_factor`` times slower with probability ``noise_share``. An answer
+within the objective earns a credit of 1, and a later one 0.1.
 """
 
 import heapq
@@ -49,20 +49,20 @@
 SERVICE = "claims"
 NODE = ("10.0.0.1", 7000)
 LATE_CREDIT = 0.1
-TAIL_SHARE, TAIL_FACTOR = 0.01, 5.0  # of the requests take so much longer
+TAIL_SHARE, TAIL_FACTOR = 0.01, 5.0  # fraction of requests that take that many times as long
 TICK_MS = 50.0
 REPORT_MS = 300.0
 READ_MS = 150.0
-STORE_MS = 8.0  # to write a map
-CALL_MS = 4.0  # to call a server, both ways
-TELL_MS = 35.0  # until nodes know of a grant
-WARM_UP_MS = 3000.0  # for the first deal and the first grants
-TIMEOUT_MS = 600.0  # of a call to a server that says nothing
+STORE_MS = 8.0  # time to write a map
+CALL_MS = 4.0  # round trip of a call to a server
+RELAY_MS = 35.0  # delay until nodes know of a grant
+WARM_UP_MS = 3000.0  # for the first assignment and the first grants
+TIMEOUT_MS = 600.0  # of a call to an unresponsive server
 
 
 @dataclass(frozen=True, slots=True)
 class HotKeys:
-    """For a while, some keys that lie together take a share of the requests."""
+    """A period in which some adjacent keys receive a fraction ``share`` of the requests."""
 
     at_ms: float
     for_ms: float
@@ -72,7 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowServers:
-    """For a while, a share of the servers works so much slower; infinite: not at all."""
+    """A period in which a fraction of the servers is slower by a factor.
+
+    Servers with an infinite factor don't answer.
+    """
 
     at_ms: float
     for_ms: float
@@ -82,25 +85,25 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyScenario:
-    """One run; times in milliseconds. The defaults are claims of the shifted deployment.
+    """The parameters of a run; the defaults are the claims of the shifted deployment.
 
-    ``load`` is the requests over what all servers can complete, their noise counted.
+    ``load`` is the request rate relative to the capacity of all servers, including their noise.
     """
 
     servers: int = 62
     load: float = 0.55
     slots: int = 3
     speeds: tuple[float, ...] = (0.7, 0.7, 1.6)
-    work_ms: float = 160.0
+    service_ms: float = 160.0
     spread: float = 0.8
-    most_ms: float = 1200.0
+    max_service_ms: float = 1200.0
     objective_ms: float = 619.0
     deadline_ms: float = 1200.0
     noise_share: float = 0.2
     noise_factor: float = 3.0
     noise_ms: float = 400.0
     skew: float = 0.42
-    things: int = 60_000
+    distinct_keys: int = 60_000
     duration_ms: float = 30_000.0
     hot: tuple[HotKeys, ...] = ()
     slow: tuple[SlowServers, ...] = ()
@@ -110,27 +113,30 @@
 
     @property
     def rate_per_ms(self) -> float:
-        """Requests a millisecond."""
+        """Requests per millisecond."""
         speed = sum(self.speeds[number % len(self.speeds)] for number in range(self.servers))
         noise = 1 + self.noise_share * (self.noise_factor - 1)
-        return self.load * speed * self.slots / (self.work_ms * noise)
+        return self.load * speed * self.slots / (self.service_ms * noise)
 
 
 @dataclass(slots=True)
 class KeyTally:
-    """What became of the requests, and of the keys."""
+    """Counts of requests by their end, and of moves of keys."""
 
     asked: int = 0
     credit: float = 0.0
     late: int = 0
-    turned_away: int = 0
+    rejected: int = 0
     unanswered: int = 0
     moves: int = 0
     keys_moved: int = 0
     by_second: dict[int, list[float]] = field(default_factory=lambda: defaultdict(list))
 
-    def ended(self, after_ms: float, credit: float) -> None:
-        """A request ended that came so long after the first one."""
+    def record_end(self, after_ms: float, credit: float) -> None:
+        """Record the end of a request.
+
+        :param after_ms: arrival of the request after the end of the warm-up.
+        """
         self.credit += credit
         self.by_second[int(after_ms // 1000)].append(credit)
 
@@ -140,14 +146,14 @@
     number: int
     key: int
     arrived_ms: float
-    work_ms: float
+    service_ms: float
 
 
 @dataclass(slots=True)
 class _Server:
     record: ServerRecord
     speed: float
-    rank: float  # decides which share of the servers it belongs to
+    rank: float  # in [0, 1): the server is slow where this is below the share of slow servers
     group: Group
     running: Counter[int] = field(default_factory=Counter)  # keys of requests
     busy: int = 0
@@ -157,7 +163,7 @@
 
 
 class KeyWorld:
-    """Clock, servers, callers and the leader."""
+    """A simulation of the servers, the callers and the leader, with its virtual clock."""
 
     def __init__(self, scenario: KeyScenario) -> None:
         self.scenario = scenario
@@ -175,13 +181,13 @@
         self._core = LeaderCore(limits=scenario.limits)
         self._load = KeyLoad(scenario.window_ms)
         self._times = AnswerTimes()
-        self._reading: LoadEstimate | None = None
+        self._estimate: LoadEstimate | None = None
         self._revision = 0
         self._sampled: list[int] = []
-        self._told = KeyMap(SERVICE)  # as nodes know it
+        self._relayed = KeyMap(SERVICE)  # the map as nodes know it
         self._granted: frozenset[int] = frozenset()
-        self._waiting: list[_Request] = []  # for keys that change hands
-        self._asked: dict[int, _Request] = {}  # for a slot, by number
+        self._waiting: list[_Request] = []  # for keys that move to another holder
+        self._requested: dict[int, _Request] = {}  # requests waiting for a slot, by number
 
     def _server(self, number: int) -> _Server:
         scenario = self.scenario
@@ -194,27 +200,30 @@
         return _Server(record, speed, self._rng.random(), group)
 
     def _draw_weights(self) -> tuple[list[int], list[float]]:
-        """Return the things' keys and their cumulated weights."""
+        """Return the key of each popularity rank, and the cumulative weights."""
         scenario = self.scenario
-        keys = [self._rng.randrange(KEY_COUNT) for _ in range(scenario.things)]
-        weights = ((rank + 1) ** -scenario.skew for rank in range(scenario.things))
+        keys = [self._rng.randrange(KEY_COUNT) for _ in range(scenario.distinct_keys)]
+        weights = ((rank + 1) ** -scenario.skew for rank in range(scenario.distinct_keys))
         return keys, list(itertools.accumulate(weights))
 
-    # ---- life ---------------------------------------------------------------------------
+    # ---- event loop ---------------------------------------------------------------------
 
     def run(self) -> KeyTally:
-        """Play the scenario; the first deal and the first grants come before the callers."""
+        """Run the scenario and return its tally.
+
+        The callers start after a warm-up, in which the first assignment and grants happen.
+        """
         self._every(TICK_MS, self._tick)
         self._every(REPORT_MS, self._report)
-        self._play_until(WARM_UP_MS)
+        self._run_until(WARM_UP_MS)
         self.tally = KeyTally()
         start_ms = self.now_ms
         self._later(0.0, self._arrive)
         self._every(25.0, self._expire)
-        self._play_until(start_ms + self.scenario.duration_ms)
+        self._run_until(start_ms + self.scenario.duration_ms)
         return self.tally
 
-    def _play_until(self, end_ms: float) -> None:
+    def _run_until(self, end_ms: float) -> None:
         while self._events and self._events[0][0] <= end_ms:
             self.now_ms, _, event = heapq.heappop(self._events)
             event()
@@ -231,7 +240,7 @@
         self._later(period_ms, run)
 
     @property
-    def _played_ms(self) -> float:
+    def _measured_ms(self) -> float:
         return self.now_ms - WARM_UP_MS
 
     # ---- callers ------------------------------------------------------------------------
@@ -245,7 +254,7 @@
 
     def _draw_key(self) -> int:
         for hot in self.scenario.hot:
-            is_on = hot.at_ms <= self._played_ms < hot.at_ms + hot.for_ms
+            is_on = hot.at_ms <= self._measured_ms < hot.at_ms + hot.for_ms
             if is_on and self._rng.random() < hot.share:
                 first = int(hot.at_ms * 37) % KEY_COUNT
                 return (first + self._rng.randrange(hot.count) * 3) % KEY_COUNT
@@ -254,21 +263,21 @@
 
     def _draw_work(self) -> float:
         scenario = self.scenario
-        mean = math.log(scenario.work_ms) - self._sigma**2 / 2
-        work_ms = self._rng.lognormvariate(mean, self._sigma)
+        mean = math.log(scenario.service_ms) - self._sigma**2 / 2
+        service_ms = self._rng.lognormvariate(mean, self._sigma)
         slow = self._rng.random() < TAIL_SHARE
-        return min(work_ms * (TAIL_FACTOR if slow else 1.0), scenario.most_ms)
+        return min(service_ms * (TAIL_FACTOR if slow else 1.0), scenario.max_service_ms)
 
     def _place(self, request: _Request) -> None:
-        """Ask for a slot of the key's holder, or wait while it changes hands."""
-        item = self._told.find(request.key)
+        """Request a slot of the key's holder, or wait while the key moves."""
+        item = self._relayed.find(request.key)
         if item is None or not (item.settled or item.token in self._granted):
             self._waiting.append(request)
             return
         scenario = self.scenario
         server = self._servers[item.holder.server_id]
         start_ms = request.arrived_ms
-        wish = SlotRequest(
+        slot_request = SlotRequest(
             Requester(NODE, request.number),
             1,
             start_ms + scenario.objective_ms * USEFUL_FRACTION,
@@ -276,54 +285,54 @@
             start_ms + scenario.deadline_ms - self.now_ms + HOLD_MARGIN_MS,
             zone="zone",
         )
-        self._asked[request.number] = request
-        self._take(server, server.group.request_slot(wish, self.now_ms))
+        self._requested[request.number] = request
+        self._handle_results(server, server.group.request_slot(slot_request, self.now_ms))
 
-    def _take(self, server: _Server, answers: list[SlotResult]) -> None:
-        for answer in answers:
-            if isinstance(answer, SlotGranted):
-                request = self._asked.pop(answer.requester.number)
+    def _handle_results(self, server: _Server, results: list[SlotResult]) -> None:
+        for result in results:
+            if isinstance(result, SlotGranted):
+                request = self._requested.pop(result.requester.number)
                 self._later(CALL_MS / 2, partial(self._reach, request, server))
-            elif isinstance(answer, SlotRejected):
-                request = self._asked.pop(answer.requester.number)
-                self.tally.turned_away += 1
-                self.tally.ended(request.arrived_ms - WARM_UP_MS, 0.0)
+            elif isinstance(result, SlotRejected):
+                request = self._requested.pop(result.requester.number)
+                self.tally.rejected += 1
+                self.tally.record_end(request.arrived_ms - WARM_UP_MS, 0.0)
 
     def _expire(self) -> None:
         for server in self._servers.values():
             if server.group.waiting:
-                self._take(server, server.group.expire(self.now_ms))
+                self._handle_results(server, server.group.expire(self.now_ms))
         limit_ms = self.scenario.objective_ms * MOVE_FRACTION
         for request in [r for r in self._waiting if self.now_ms - r.arrived_ms > limit_ms]:
             self._waiting.remove(request)
-            self.tally.turned_away += 1
-            self.tally.ended(request.arrived_ms - WARM_UP_MS, 0.0)
+            self.tally.rejected += 1
+            self.tally.record_end(request.arrived_ms - WARM_UP_MS, 0.0)
 
     # ---- servers ------------------------------------------------------------------------
 
     def _pace(self, server: _Server) -> float:
-        """Return how much longer work takes on a server now."""
+        """Return the factor by which work takes longer on a server now."""
         scenario = self.scenario
         span = (server.record.server_id, int(self.now_ms // scenario.noise_ms))
         if span not in self._noisy:
             self._noisy[span] = self._noise.random() < scenario.noise_share
         pace = scenario.noise_factor if self._noisy[span] else 1.0
         for slow in scenario.slow:
-            is_on = slow.at_ms <= self._played_ms < slow.at_ms + slow.for_ms
+            is_on = slow.at_ms <= self._measured_ms < slow.at_ms + slow.for_ms
             if is_on and server.rank < slow.share:
                 pace *= slow.factor
         return pace / server.speed
 
-    def _is_silent(self, server: _Server) -> bool:
+    def _is_unresponsive(self, server: _Server) -> bool:
         return math.isinf(self._pace(server))
 
     def _reach(self, request: _Request, server: _Server) -> None:
-        """A request arrives; one for keys that the server gave up goes back to its node."""
-        if self._is_silent(server):
-            left_ms = request.arrived_ms + self.scenario.deadline_ms - self.now_ms
-            self._later(left_ms, lambda: self._lose(request, server))
+        """Handle the arrival of a request; for released keys it returns to its node."""
+        if self._is_unresponsive(server):
+            remaining_ms = request.arrived_ms + self.scenario.deadline_ms - self.now_ms
+            self._later(remaining_ms, lambda: self._lose(request, server))
         elif self._released(server, request.key):
-            self._give_back(request, server, 0.0)
+            self._release_slot(request, server, 0.0)
             self._place(request)
         elif server.busy < self.scenario.slots:
             self._start(request, server)
@@ -336,46 +345,46 @@
     def _start(self, request: _Request, server: _Server) -> None:
         server.busy += 1
         server.running[request.key] += 1
-        self._work(request, server, request.work_ms)
+        self._work(request, server, request.service_ms)
 
-    def _work(self, request: _Request, server: _Server, left_ms: float) -> None:
-        """Work until the next change of pace, or to the end."""
+    def _work(self, request: _Request, server: _Server, remaining_ms: float) -> None:
+        """Run a request until the server's pace may change, or to its end."""
         pace = self._pace(server)
         span_ms = self.scenario.noise_ms - self.now_ms % self.scenario.noise_ms
-        if left_ms * pace <= span_ms:
-            self._later(left_ms * pace, lambda: self._finish(request, server))
+        if remaining_ms * pace <= span_ms:
+            self._later(remaining_ms * pace, lambda: self._finish(request, server))
         else:
             done_ms = 0.0 if math.isinf(pace) else span_ms / pace
-            self._later(span_ms, lambda: self._work(request, server, left_ms - done_ms))
+            self._later(span_ms, lambda: self._work(request, server, remaining_ms - done_ms))
 
     def _finish(self, request: _Request, server: _Server) -> None:
         server.busy -= 1
         server.running[request.key] -= 1
         if server.queue:
             self._start(server.queue.pop(0), server)
-        self._end_releases(server)
+        self._answer_releases(server)
         took_ms = self.now_ms - request.arrived_ms + CALL_MS
         if took_ms > self.scenario.deadline_ms:
             self._lose(request, server)
             return
         in_time = took_ms <= self.scenario.objective_ms
         self.tally.late += not in_time
-        self.tally.ended(request.arrived_ms - WARM_UP_MS, 1.0 if in_time else LATE_CREDIT)
+        self.tally.record_end(request.arrived_ms - WARM_UP_MS, 1.0 if in_time else LATE_CREDIT)
         server.times.append(round(took_ms))
-        self._give_back(request, server, took_ms)
+        self._release_slot(request, server, took_ms)
 
     def _lose(self, request: _Request, server: _Server) -> None:
-        """A request ran out of time at a server."""
+        """Handle a request whose deadline passed at a server."""
         self.tally.unanswered += 1
-        self.tally.ended(request.arrived_ms - WARM_UP_MS, 0.0)
-        self._give_back(request, server, 0.0, unanswered=True)
+        self.tally.record_end(request.arrived_ms - WARM_UP_MS, 0.0)
+        self._release_slot(request, server, 0.0, unanswered=True)
 
-    def _give_back(
+    def _release_slot(
         self, request: _Request, server: _Server, took_ms: float, unanswered: bool = False
     ) -> None:
-        asker = Requester(NODE, request.number)
-        answers = server.group.release(asker, took_ms, unanswered, self.now_ms, unanswered)
-        self._take(server, answers)
+        requester = Requester(NODE, request.number)
+        results = server.group.release(requester, took_ms, unanswered, self.now_ms, unanswered)
+        self._handle_results(server, results)
 
     # ---- the leader ---------------------------------------------------------------------
 
@@ -389,13 +398,15 @@
 
     def _tick(self) -> None:
         records = [server.record for server in self._servers.values()]
-        known = self._reading
-        if known is None or self.now_ms - known.taken_ms >= READ_MS:
-            known = load_estimate.estimate(
+        estimate = self._estimate
+        if estimate is None or self.now_ms - estimate.taken_ms >= READ_MS:
+            estimate = load_estimate.estimate(
                 SERVICE, records, self._core, self._load, self._times, self.now_ms
             )
-            self._reading = known
-        view = ServiceView(records, known.rates, known.service_ms, unresponsive=known.unresponsive)
+            self._estimate = estimate
+        view = ServiceView(
+            records, estimate.rates, estimate.service_ms, unresponsive=estimate.unresponsive
+        )
         self._execute(self._core.tick(self.now_ms, {SERVICE: view}, True))
 
     def _execute(self, actions: list[Action]) -> None:
@@ -413,16 +424,16 @@
             item.token > self._core.keymap(SERVICE).token for item in action.keymap.moving
         )
         self._core.map_stored(action.keymap, self._revision, self.now_ms)
-        self._later(CALL_MS / 2, self._tell)
+        self._later(CALL_MS / 2, self._relay_map)
 
     def _grant(self, call: SendGrant) -> None:
         self._core.grant_sent(call.holder, self.now_ms)
         server = self._servers[call.holder.server_id]
-        silent = self._is_silent(server)
-        outcome = CallOutcome.NO_ANSWER if silent else CallOutcome.DONE
+        unresponsive = self._is_unresponsive(server)
+        outcome = CallOutcome.NO_ANSWER if unresponsive else CallOutcome.DONE
 
         def answered() -> None:
-            if not silent:
+            if not unresponsive:
                 span = call.range_id.first, call.range_id.last
                 server.releases = [
                     item
@@ -431,33 +442,33 @@
                 ]
             self._execute(self._core.grant_ended(call, outcome, self.now_ms))
             if not call.renewal:
-                self._later(TELL_MS, self._tell)
+                self._later(RELAY_MS, self._relay_map)
 
-        self._later(TIMEOUT_MS if silent else CALL_MS, answered)
+        self._later(TIMEOUT_MS if unresponsive else CALL_MS, answered)
 
     def _release(self, call: SendRelease) -> None:
         server = self._servers[call.holder.server_id]
-        if self._is_silent(server):
-            self._later(TIMEOUT_MS, lambda: self._released_now(call, CallOutcome.NO_ANSWER))
+        if self._is_unresponsive(server):
+            self._later(TIMEOUT_MS, lambda: self._finish_release(call, CallOutcome.NO_ANSWER))
         else:
             self._later(CALL_MS, lambda: self._begin_release(call, server))
 
     def _begin_release(self, call: SendRelease, server: _Server) -> None:
         server.releases.append(call)
-        self._end_releases(server)
+        self._answer_releases(server)
 
-    def _end_releases(self, server: _Server) -> None:
-        """Answer the releases of keys on which nothing runs any more."""
+    def _answer_releases(self, server: _Server) -> None:
+        """Answer the releases of key ranges for which no request runs any more."""
         ended = [call for call in server.releases if not _runs(server, call)]
         for call in ended:
-            self._released_now(call, CallOutcome.DONE)
+            self._finish_release(call, CallOutcome.DONE)
 
-    def _released_now(self, call: SendRelease, outcome: CallOutcome) -> None:
+    def _finish_release(self, call: SendRelease, outcome: CallOutcome) -> None:
         self._execute(self._core.release_ended(call, outcome, "", self.now_ms))
 
-    def _tell(self) -> None:
-        """Nodes learn the map; what waited for keys goes on."""
-        self._told = self._core.keymap(SERVICE)
+    def _relay_map(self) -> None:
+        """Update the map that nodes know, and place the requests that waited for keys."""
+        self._relayed = self._core.keymap(SERVICE)
         self._granted = self._core.granted(SERVICE)
         waiting, self._waiting = self._waiting, []
         for request in waiting:
--- a/ploverhatch/experiment/placement_run.py
+++ b/ploverhatch/experiment/placement_run.py
@@ -1,8 +1,8 @@
-"""Placement under a day's events in virtual time: ours and the baselines.
+"""Compares the placement of the product with baselines under events in virtual time.
 
-A fluid model: every second each key has a Poisson number of requests; loads
-are smoothed as routers do. Our strategy runs ``ownership.placement.plan`` with
-the limits of the product; handovers take effect within the second.
+In this fluid model each key has a Poisson number of requests every second, and loads are smoothed
+as by routers. The strategy of the product runs ``ownership.placement.plan`` with the limits of the
+product; handovers take effect within the second.
 """
 
 from dataclasses import dataclass, field
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One run: sizes, skew and the moments of its events, in seconds."""
+    """The parameters of a run: sizes, skew, and the times of its events in seconds."""
 
     name: str
     servers: int
@@ -46,7 +46,7 @@
     seed: int = 1
     duration_s: int = 240
     settle_s: int = 30
-    hot_key_s: int = 60  # an ordinary key becomes ten times the hottest's tenth
+    hot_key_s: int = 60  # when the rate of the key at ``hot_key_rank`` rises by ``hot_key_factor``
     hot_key_factor: float = 10.0
     hot_key_rank: int = 20
     loss_s: int = 120
@@ -55,20 +55,20 @@
 
 @dataclass
 class Outcome:
-    """Figures of one strategy in one scenario."""
+    """Results of one strategy in one scenario."""
 
     strategy: str
-    imbalance: list[float] = field(default_factory=list)  # per window
-    floor: list[float] = field(default_factory=list)  # least possible, per window
-    moved: list[float] = field(default_factory=list)  # share of keys that moved, per second
+    imbalance: list[float] = field(default_factory=list)  # busiest server over mean, per window
+    floor: list[float] = field(default_factory=list)  # least possible imbalance, per window
+    moved: list[float] = field(default_factory=list)  # fraction of keys that moved, per second
 
     def between(self, values: list[float], start_s: int, end_s: int, step: int) -> list[float]:
-        """Return values of a span of time."""
+        """Return the values between two times, of which there is one per ``step`` seconds."""
         return values[start_s // step : end_s // step]
 
 
-class Ours(Strategy):
-    """The product's placement."""
+class ProductPlacement(Strategy):
+    """The placement of the product."""
 
     name = "ploverhatch"
 
@@ -85,7 +85,7 @@
         self._lost: set[str] = set()
 
     def lose(self, server: str) -> None:
-        """Take a server away without notice."""
+        """Remove a server without notice."""
         self._lost.add(server)
 
     def round(self, rates: numpy.ndarray, now_ms: float) -> numpy.ndarray:
@@ -147,7 +147,7 @@
     )
     servers = [f"s{number:03d}" for number in range(scenario.servers)]
     strategies: list[Strategy] = [
-        Ours(hashes, servers, scenario),
+        ProductPlacement(hashes, servers, scenario),
         KeyRanges(hashes, servers, scenario.slots, scenario.rate),
         HashRing(hashes, servers),
         Rendezvous(hashes, servers),
@@ -157,7 +157,7 @@
 
 
 def _traffic(scenario: Scenario, second: int) -> numpy.ndarray:
-    """Return each key's expected rate at a second."""
+    """Return the expected requests per second of each key at a time."""
     weights = 1.0 / numpy.arange(1, scenario.keys + 1) ** scenario.skew
     rates = scenario.rate * weights / weights.sum()
     if second >= scenario.hot_key_s:
@@ -167,7 +167,7 @@
 
 def _run(scenario: Scenario, strategy: Strategy) -> Outcome:
     outcome = Outcome(strategy.name)
-    random = numpy.random.default_rng(scenario.seed)
+    rng = numpy.random.default_rng(scenario.seed)
     live = list(strategy.servers)
     previous: numpy.ndarray | None = None
     window = dict.fromkeys(live, 0.0)
@@ -184,7 +184,7 @@
         if previous is not None:
             outcome.moved.append(float((owners != previous).mean()))
         previous = owners
-        rates = random.poisson(_traffic(scenario, second)).astype(float)
+        rates = rng.poisson(_traffic(scenario, second)).astype(float)
         window_keys += rates
         for name in live:
             window[name] = window.get(name, 0.0) + float(rates[owners == name].sum())
--- a/ploverhatch/experiment/range_strategy.py
+++ b/ploverhatch/experiment/range_strategy.py
@@ -1,4 +1,4 @@
-"""The gateways' placement of key ranges, behind the experiments' interface."""
+"""The placement of key ranges by gateways, behind the interface of the experiments."""
 
 import numpy
 from typing_extensions import override
@@ -15,27 +15,27 @@
 )
 from ploverhatch.sharding.planner import Candidate, initial_pieces, plan_moves
 
-KEY_BITS = 48  # of 64 that are dropped: the upper 16 are the key
-ROUNDS = 2  # plans per second of the experiment
-UTILISATION = 0.5  # of all servers together, which the work per request follows from
+DROPPED_BITS = 48  # lower bits of the 64-bit hash: the upper 16 are the key
+ROUNDS = 2  # plans per second of virtual time
+UTILISATION = 0.5  # of all servers together; the service time per request follows from it
 
 
 class KeyRanges(Strategy):
-    """Plans moves of ranges by utilisation; every move is settled at once."""
+    """Plans moves of ranges by utilisation; every move is complete at once."""
 
     name = "key ranges (gateways)"
 
     def __init__(self, hashes: numpy.ndarray, servers: list[str], slots: int, rate: float) -> None:
         super().__init__(hashes, servers)
-        self._work_ms = UTILISATION * len(servers) * slots / rate * 1000
-        self._keys = (hashes >> numpy.uint64(KEY_BITS)).astype(numpy.int64)
+        self._service_ms = UTILISATION * len(servers) * slots / rate * 1000
+        self._keys = (hashes >> numpy.uint64(DROPPED_BITS)).astype(numpy.int64)
         self._slots = slots
         pieces = initial_pieces(self._candidates())
         self._map = settle(first_assignment(KeyMap("experiment"), pieces), lambda item: True)
 
     def _candidates(self) -> list[Candidate]:
         return [
-            Candidate(Holder(name, "127.0.0.1", 1), self._slots, self._work_ms)
+            Candidate(Holder(name, "127.0.0.1", 1), self._slots, self._service_ms)
             for name in self.servers
         ]
 
--- a/ploverhatch/experiment/report.py
+++ b/ploverhatch/experiment/report.py
@@ -26,7 +26,7 @@
 
 
 def table_row(scenario: Scenario, outcome: Outcome) -> str:
-    """Return a Markdown row of one strategy."""
+    """Return the Markdown table row of a strategy."""
 
     def imbalance(start_s: int, end_s: int) -> float:
         return _mean(outcome.between(outcome.imbalance, start_s, end_s, WINDOW_S))
@@ -52,7 +52,7 @@
 
 
 def markdown(scenario: Scenario, outcomes: list[Outcome]) -> str:
-    """Return the section of one scenario."""
+    """Return the Markdown section of a scenario."""
     ideal_loss = 100 / scenario.servers
     rows = [
         f"## {scenario.name}",
@@ -71,7 +71,7 @@
 
 
 def plot(scenario: Scenario, outcomes: list[Outcome], path: Path) -> None:
-    """Draw imbalance over time and the events."""
+    """Plot imbalance and moved keys over time, with the events of the scenario."""
     figure, axes = pyplot.subplots(2, 1, figsize=(9, 6), sharex=True)
     for outcome in outcomes:
         times = [(number + 1) * WINDOW_S for number in range(len(outcome.imbalance))]
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -1,7 +1,7 @@
-"""Ways to choose a server for a request without a key, for `slots_world`.
+"""Policies that choose a server for a request without a key, for `slots_world`.
 
-Each way is a class that takes the world and then each request; a decorator adds
-it to the registry under the name that tables show.
+Each policy is a class that is created with the world and then handles each request. A decorator
+registers it under the name that tables show.
 """
 
 import math
@@ -38,7 +38,7 @@
 
 
 def policy(name: str) -> Callable[[type["Policy"]], type["Policy"]]:
-    """Add a way to the registry."""
+    """Return a decorator that registers a policy under a name."""
 
     def add(kind: type["Policy"]) -> type["Policy"]:
         POLICIES[name] = kind
@@ -48,19 +48,19 @@
 
 
 class Policy(ABC):
-    """A way to choose."""
+    """A way to choose servers for requests."""
 
     def __init__(self, world: World) -> None:
         self._world = world
 
     @abstractmethod
-    def take(self, request: Request) -> None:
-        """Send a request somewhere, at once or later, or turn it away."""
+    def handle(self, request: Request) -> None:
+        """Send a request to a server, at once or later, or reject it."""
 
 
 @policy("by chance")
 class ByChance(Policy):
-    """A server by its speed."""
+    """Chooses a random server, weighted by speed."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -68,7 +68,7 @@
         self._speeds = [server.speed for server in world.servers.values()]
 
     @override
-    def take(self, request: Request) -> None:
+    def handle(self, request: Request) -> None:
         self._world.send(request, self._world.rng.choices(self._ids, self._speeds)[0])
 
 
@@ -82,7 +82,7 @@
         self._seen_ms = -math.inf
 
     @override
-    def take(self, request: Request) -> None:
+    def handle(self, request: Request) -> None:
         world = self._world
         if world.now_ms - self._seen_ms >= VIEW_AGE_MS:
             self._seen = {name: server.present for name, server in world.servers.items()}
@@ -94,7 +94,7 @@
 
 @policy("cheapest, each node's own view")
 class Cheapest(Policy):
-    """What a node falls back to: its own answer times and requests under way."""
+    """The fallback of a node, by its own answer times and requests under way."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -103,11 +103,11 @@
         self._rng = random.Random(world.scenario.seed)
 
     @override
-    def take(self, request: Request) -> None:
+    def handle(self, request: Request) -> None:
         world, times = self._world, self._times[request.node]
         under_way = self._under_way[request.node]
         known = [time.mean_ms for time in times.values() if time.count]
-        usual_ms = sum(known) / len(known) if known else world.scenario.work_ms
+        usual_ms = sum(known) / len(known) if known else world.scenario.service_ms
         zone = world.zone(request.node)
         loads = [
             ServerLoad(
@@ -131,13 +131,13 @@
             if took_ms < math.inf:
                 times[chosen].add(took_ms)
 
-        request.ended = ended
+        request.on_ended = ended
         world.send(request, chosen)
 
 
 @policy("shared slots")
 class SharedSlots(Policy):
-    """The product's dispatchers, with messages that take time and are never lost."""
+    """The dispatchers of the product, with messages that are delayed and never lost."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -152,18 +152,18 @@
     def _expire(self) -> None:
         self._world.later(EXPIRE_EVERY_MS, self._expire)
         for group in self._groups.values():
-            self._answer(group.expire(self._world.now_ms))
+            self._send_results(group.expire(self._world.now_ms))
 
     @override
-    def take(self, request: Request) -> None:
+    def handle(self, request: Request) -> None:
         world, scenario = self._world, self._world.scenario
         zone = world.zone(request.node)
-        near = [name for name in self._sizes if name.zone in {"", zone}]
-        others = [name for name in self._sizes if name not in near]
+        candidates = [name for name in self._sizes if name.zone in {"", zone}]
+        others = [name for name in self._sizes if name not in candidates]
         if others:
             weights = [self._sizes[name] for name in others]
-            near.append(world.rng.choices(others, weights)[0])
-        wish = SlotRequest(
+            candidates.append(world.rng.choices(others, weights)[0])
+        slot_request = SlotRequest(
             Requester((SERVICE, 0), request.number),
             priority=0,
             useful_until_ms=request.arrived_ms + scenario.objective_ms * USEFUL_FRACTION,
@@ -171,57 +171,65 @@
             lease_ms=scenario.deadline_ms + HOLD_MARGIN_MS,
             zone=zone,
         )
-        self._ask(request, wish, near)
+        self._request_slot(request, slot_request, candidates)
 
-    def _ask(self, request: Request, wish: SlotRequest, names: list[GroupName]) -> None:
-        name, rest = names[0], names[1:]
-        part = OWN_ZONE_WAIT_FRACTION if rest else 1.0
+    def _request_slot(
+        self, request: Request, slot_request: SlotRequest, names: list[GroupName]
+    ) -> None:
+        name, others_left = names[0], names[1:]
+        fraction = OWN_ZONE_WAIT_FRACTION if others_left else 1.0
         now_ms = self._world.now_ms
-        until_ms = now_ms + (wish.expires_ms - now_ms) * part
-        asked = replace(
-            wish, expires_ms=until_ms, useful_until_ms=min(wish.useful_until_ms, until_ms)
+        until_ms = now_ms + (slot_request.expires_ms - now_ms) * fraction
+        bounded = replace(
+            slot_request,
+            expires_ms=until_ms,
+            useful_until_ms=min(slot_request.useful_until_ms, until_ms),
         )
-        self._waiting[request.number] = (request, name, wish, rest)
+        self._waiting[request.number] = (request, name, slot_request, others_left)
         self._world.later(
             self._world.scenario.hop_ms,
-            lambda: self._answer(self._groups[name].request_slot(asked, self._world.now_ms)),
+            lambda: self._send_results(
+                self._groups[name].request_slot(bounded, self._world.now_ms)
+            ),
         )
 
-    def _answer(self, answers: list[SlotResult]) -> None:
-        for answer in answers:
-            if isinstance(answer, SlotGranted | SlotRejected):
-                entry = self._waiting.pop(answer.requester.number)
+    def _send_results(self, results: list[SlotResult]) -> None:
+        for result in results:
+            if isinstance(result, SlotGranted | SlotRejected):
+                entry = self._waiting.pop(result.requester.number)
                 self._world.later(
                     self._world.scenario.hop_ms,
-                    partial(self._told, answer, *entry),
+                    partial(self._handle_result, result, *entry),
                 )
 
-    def _told(
+    def _handle_result(
         self,
-        answer: SlotGranted | SlotRejected,
+        result: SlotGranted | SlotRejected,
         request: Request,
         name: GroupName,
-        wish: SlotRequest,
-        rest: list[GroupName],
+        slot_request: SlotRequest,
+        others_left: list[GroupName],
     ) -> None:
         world = self._world
-        if isinstance(answer, SlotRejected):
-            if rest:
-                self._ask(request, wish, rest)
+        if isinstance(result, SlotRejected):
+            if others_left:
+                self._request_slot(request, slot_request, others_left)
             else:
-                world.tally.turned_away += 1
+                world.tally.rejected += 1
             return
         sent_ms = world.now_ms
 
         def ended(ended: Request, took_ms: float) -> None:
-            work_ms = 0.0 if took_ms == math.inf else world.now_ms - sent_ms
-            asker = Requester((SERVICE, 0), ended.number)
+            service_ms = 0.0 if took_ms == math.inf else world.now_ms - sent_ms
+            requester = Requester((SERVICE, 0), ended.number)
             world.later(
                 world.scenario.hop_ms,
-                lambda: self._answer(
-                    self._groups[name].release(asker, work_ms, took_ms == math.inf, world.now_ms)
+                lambda: self._send_results(
+                    self._groups[name].release(
+                        requester, service_ms, took_ms == math.inf, world.now_ms
+                    )
                 ),
             )
 
-        request.ended = ended
-        world.send(request, answer.server_id)
+        request.on_ended = ended
+        world.send(request, result.server_id)
--- a/ploverhatch/experiment/slots_report.py
+++ b/ploverhatch/experiment/slots_report.py
@@ -1,4 +1,4 @@
-"""Table and plot of plays of `slots_world`."""
+"""Table and plot of the runs of `slots_world`."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotRow:
-    """One play."""
+    """The result of one run."""
 
     scenario: SlotScenario
     policy: str
@@ -22,17 +22,17 @@
 
     @property
     def credit(self) -> float:
-        """Part of the credit that was earned."""
+        """Fraction of the possible credit that was earned."""
         return self.tally.credit / max(self.tally.asked, 1)
 
     @property
     def goodput(self) -> float:
-        """Credit over what all servers can complete."""
+        """Credit relative to the capacity of all servers."""
         return self.credit * self.scenario.load
 
 
 def markdown(rows: Sequence[SlotRow]) -> str:
-    """Return a table: credit of each way by nodes and load, with what was not served."""
+    """Return a table of the credit and of unserved requests by nodes, load and policy."""
     policies = list(dict.fromkeys(row.policy for row in rows))
     lines = [
         "Part of the credit earned; in brackets turned away and never answered, in 1,000.",
@@ -52,13 +52,13 @@
     if row is None:
         return "-"
     asked = max(row.tally.asked, 1)
-    away = 1000 * row.tally.turned_away / asked
+    rejected = 1000 * row.tally.rejected / asked
     lost = 1000 * row.tally.never_answered / asked
-    return f"{row.credit:.3f} ({away:.0f}, {lost:.0f})"
+    return f"{row.credit:.3f} ({rejected:.0f}, {lost:.0f})"
 
 
 def plot(rows: Sequence[SlotRow], path: Path) -> None:
-    """Draw goodput over load, a line a way, a panel a size."""
+    """Plot goodput over load, with a line per policy and a panel per number of nodes."""
     sizes = list(dict.fromkeys(row.scenario.nodes for row in rows))
     figure, axes = pyplot.subplots(1, len(sizes), figsize=(4 * len(sizes), 4), sharey=True)
     panels = [axes] if len(sizes) == 1 else list(axes)
--- a/ploverhatch/experiment/slots_world.py
+++ b/ploverhatch/experiment/slots_world.py
@@ -1,8 +1,8 @@
-"""A service under load in virtual time: callers, servers with short queues, credit.
+"""Simulates a service under load in virtual time, with servers that have short queues.
 
-Requests come in a Poisson stream to nodes of several zones. A server runs as many
-as it has slots, in order of arrival, queues a few more, and never answers what
-comes beyond these. An answer within the objective earns 1, a later one 0.1.
+Requests arrive as a Poisson process at nodes of several zones. A server runs as many requests as
+it has slots, in order of arrival, queues a few more, and never answers further ones. An answer
+within the objective earns a credit of 1, and a later one 0.1.
 """
 
 import heapq
@@ -17,16 +17,16 @@
 
 SERVICE = "claims"
 LATE_CREDIT = 0.1
-TAIL_SHARE = 0.01  # of the requests take `TAIL_FACTOR` times as long
+TAIL_SHARE = 0.01  # fraction of requests that take `TAIL_FACTOR` times as long
 TAIL_FACTOR = 5.0
 ZONES = 5
 
 
 @dataclass(frozen=True, slots=True)
 class SlotScenario:
-    """One run; times in milliseconds. The defaults are claims of the large deployment.
+    """The parameters of a run; the defaults are the claims of the large deployment.
 
-    ``load`` is the requests over what all servers can complete.
+    ``load`` is the request rate relative to the capacity of all servers.
     """
 
     nodes: int = 195
@@ -35,43 +35,44 @@
     slots: int = 2
     queue: int = 8
     speeds: tuple[float, ...] = (0.5, 1.0, 1.0, 1.5)
-    work_ms: float = 290.0
+    service_ms: float = 290.0
     spread: float = 0.8
-    most_ms: float = 2200.0
+    max_service_ms: float = 2200.0
     objective_ms: float = 1000.0
     deadline_ms: float = 1500.0
     duration_ms: float = 20_000.0
-    hop_ms: float = 1.0  # one way between any two machines
+    hop_ms: float = 1.0  # one-way delay between any two machines
     seed: int = 1
 
     @property
     def rate_per_ms(self) -> float:
-        """Requests a millisecond."""
+        """Requests per millisecond."""
         speed = sum(self.speed(number) for number in range(self.servers))
-        return self.load * speed * self.slots / self.work_ms
+        return self.load * speed * self.slots / self.service_ms
 
     def speed(self, number: int) -> float:
         """Return the speed of a server.
 
-        Zones and speeds have different periods, so that each zone has all speeds.
+        Zones and speeds repeat with different periods, so that each zone has all speeds.
         """
         return self.speeds[(number + number // ZONES) % len(self.speeds)]
 
 
 @dataclass(slots=True)
 class Request:
-    """One request on its way."""
+    """A request."""
 
     number: int
     node: int
     arrived_ms: float
-    work_ms: float
-    ended: Callable[["Request", float], None] | None = None  # told when it is answered
+    service_ms: float
+    # Called with the request and its latency in ms, which is infinite without an answer.
+    on_ended: Callable[["Request", float], None] | None = None
 
 
 @dataclass(slots=True)
 class Server:
-    """One server."""
+    """A server, with its running and queued requests."""
 
     record: ServerRecord
     speed: float
@@ -80,34 +81,36 @@
 
     @property
     def present(self) -> int:
-        """Requests that run or wait here."""
+        """Number of requests that run or wait at the server."""
         return self.busy + len(self.queue)
 
 
 @dataclass(slots=True)
 class Tally:
-    """What became of the requests."""
+    """Counts of requests by their end, and the credit earned."""
 
     asked: int = 0
     credit: float = 0.0
-    turned_away: int = 0
+    rejected: int = 0
     never_answered: int = 0
 
 
 class World:
-    """Clock, servers and callers."""
+    """A simulation of the servers and the callers, with its virtual clock."""
 
     def __init__(self, scenario: SlotScenario) -> None:
         self.scenario = scenario
         self.now_ms = 0.0
         self.rng = random.Random(scenario.seed)
         self.tally = Tally()
-        self.servers = {f"s{number}": self._server(number, zone) for number, zone in self._places()}
+        self.servers = {
+            f"s{number}": self._server(number, zone) for number, zone in self._numbered_zones()
+        }
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._tickets = itertools.count()
         self._sigma = math.sqrt(math.log(1 + scenario.spread**2))
 
-    def _places(self) -> list[tuple[int, str]]:
+    def _numbered_zones(self) -> list[tuple[int, str]]:
         return [(number, self.zone(number)) for number in range(self.scenario.servers)]
 
     def zone(self, number: int) -> str:
@@ -120,17 +123,20 @@
         return Server(record, self.scenario.speed(number))
 
     def later(self, delay_ms: float, event: Callable[[], None]) -> None:
-        """Have something happen after a delay."""
+        """Schedule an event after a delay."""
         heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._tickets), event))
 
-    def run(self, take: Callable[[Request], None]) -> Tally:
-        """Play the scenario; ``take`` gets each request at its node."""
+    def run(self, handle: Callable[[Request], None]) -> Tally:
+        """Run the scenario and return its tally.
+
+        :param handle: called with each request when it arrives at its node.
+        """
 
         def arrive() -> None:
             self.later(self.rng.expovariate(self.scenario.rate_per_ms), arrive)
             self.tally.asked += 1
             node = self.rng.randrange(self.scenario.nodes)
-            take(Request(self.tally.asked, node, self.now_ms, self._draw_work()))
+            handle(Request(self.tally.asked, node, self.now_ms, self._draw_work()))
 
         self.later(0.0, arrive)
         while self._events and self._events[0][0] <= self.scenario.duration_ms:
@@ -140,11 +146,11 @@
 
     def _draw_work(self) -> float:
         scenario = self.scenario
-        work_ms = self.rng.lognormvariate(
-            math.log(scenario.work_ms) - self._sigma**2 / 2, self._sigma
+        service_ms = self.rng.lognormvariate(
+            math.log(scenario.service_ms) - self._sigma**2 / 2, self._sigma
         )
         slow = self.rng.random() < TAIL_SHARE
-        return min(work_ms * (TAIL_FACTOR if slow else 1.0), scenario.most_ms)
+        return min(service_ms * (TAIL_FACTOR if slow else 1.0), scenario.max_service_ms)
 
     def send(self, request: Request, server_id: str) -> None:
         """Send a request to a server."""
@@ -157,12 +163,12 @@
             server.queue.append(request)
         else:
             self.tally.never_answered += 1
-            left_ms = request.arrived_ms + self.scenario.deadline_ms - self.now_ms
-            self.later(max(left_ms, 0.0), lambda: self._tell(request, math.inf))
+            remaining_ms = request.arrived_ms + self.scenario.deadline_ms - self.now_ms
+            self.later(max(remaining_ms, 0.0), lambda: self._notify(request, math.inf))
 
     def _start(self, request: Request, server: Server) -> None:
         server.busy += 1
-        self.later(request.work_ms / server.speed, lambda: self._finish(request, server))
+        self.later(request.service_ms / server.speed, lambda: self._finish(request, server))
 
     def _finish(self, request: Request, server: Server) -> None:
         server.busy -= 1
@@ -173,8 +179,8 @@
             self.tally.credit += 1.0
         elif took_ms <= self.scenario.deadline_ms:
             self.tally.credit += LATE_CREDIT
-        self.later(self.scenario.hop_ms, lambda: self._tell(request, took_ms))
+        self.later(self.scenario.hop_ms, lambda: self._notify(request, took_ms))
 
-    def _tell(self, request: Request, took_ms: float) -> None:
-        if request.ended is not None:
-            request.ended(request, took_ms)
+    def _notify(self, request: Request, took_ms: float) -> None:
+        if request.on_ended is not None:
+            request.on_ended(request, took_ms)
--- a/tests/unit/test_key_experiment.py
+++ b/tests/unit/test_key_experiment.py
@@ -1,4 +1,4 @@
-"""Keys on noisy servers in virtual time, by the product's own decisions."""
+"""Keys on noisy servers in virtual time, with the decisions of the product."""
 
 import math
 from dataclasses import replace
--- a/tests/unit/test_slot_experiment.py
+++ b/tests/unit/test_slot_experiment.py
@@ -1,4 +1,4 @@
-"""The product's dispatchers beside other ways to choose a server, in virtual time."""
+"""The dispatchers of the product and other policies to choose a server, in virtual time."""
 
 from dataclasses import replace
 
@@ -12,37 +12,37 @@
 SCENARIO = SlotScenario(nodes=40, servers=20, duration_ms=12_000.0)
 
 
-def play(name, **changes):
+def run_policy(name, **changes):
     scenario = replace(SCENARIO, **changes)
     world = World(scenario)
-    tally = world.run(POLICIES[name](world).take)
+    tally = world.run(POLICIES[name](world).handle)
     return tally.credit / tally.asked, tally
 
 
 @pytest.mark.parametrize("load", [0.5, 0.85, 1.0])
 def test_shared_slots_serve_more_than_any_other_way(load):
-    shared, _ = play("shared slots", load=load)
+    shared, _ = run_policy("shared slots", load=load)
     for name in POLICIES.keys() - {"shared slots"}:
-        assert shared > play(name, load=load)[0]
+        assert shared > run_policy(name, load=load)[0]
 
 
 @pytest.mark.parametrize("load", [0.7, 1.0, 1.3])
 def test_no_request_is_left_without_an_answer(load):
-    """A server never has so much under way that it hangs."""
-    assert play("shared slots", load=load)[1].never_answered == 0
-    assert play("by chance", load=1.3)[1].never_answered > 0
+    """No server ever has more requests than its slots and queue hold, which it would not answer."""
+    assert run_policy("shared slots", load=load)[1].never_answered == 0
+    assert run_policy("by chance", load=1.3)[1].never_answered > 0
 
 
 def test_where_there_is_room_nobody_is_turned_away():
-    assert play("shared slots", load=0.5)[1].turned_away == 0
+    assert run_policy("shared slots", load=0.5)[1].rejected == 0
 
 
 @pytest.mark.parametrize("load", [0.7, 0.85, 1.0])
 def test_many_servers_are_divided_by_zone(load):
-    """With zones alike; where they are not, see "open" in docs/LARGE-DEPLOYMENT.md."""
+    """All zones are equal here; for others see "open" in docs/LARGE-DEPLOYMENT.md."""
     size = {"nodes": 100, "servers": 100, "load": load, "speeds": (1.0,)}
-    credit, tally = play("shared slots", **size)
-    assert credit > play("two choices, 500 ms old", **size)[0]
+    credit, tally = run_policy("shared slots", **size)
+    assert credit > run_policy("two choices, 500 ms old", **size)[0]
     assert tally.never_answered == 0
 
 
