--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -135,7 +135,7 @@
     def record_end(self, after_ms: float, credit: float) -> None:
         """Record the end of a request.
 
-        :param after_ms: arrival of the request after the end of the warm-up.
+        :param after_ms: time from the end of the warm-up to the arrival of the request.
         """
         self.credit += credit
         self.by_second[int(after_ms // 1000)].append(credit)
@@ -155,11 +155,11 @@
     speed: float
     rank: float  # in [0, 1): the server is slow where this is below the share of slow servers
     group: Group
-    running: Counter[int] = field(default_factory=Counter)  # keys of requests
+    running: Counter[int] = field(default_factory=Counter)  # number of running requests by key
     busy: int = 0
     queue: list[_Request] = field(default_factory=list)
     releases: list[SendRelease] = field(default_factory=list)
-    times: list[int] = field(default_factory=list)  # since the last report
+    times: list[int] = field(default_factory=list)  # answer times in ms since the last report
 
 
 class KeyWorld:
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -74,7 +74,7 @@
 
 @policy("two choices, 500 ms old")
 class TwoChoices(ByChance):
-    """The emptier one of two servers, by a view that all nodes share but that is old."""
+    """Chooses the less loaded of two random servers, by a shared view of up to ``VIEW_AGE_MS``."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
--- a/tests/standin/__init__.py
+++ b/tests/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Our own stand-in of the users' platform, by its published pages."""
+"""Stand-ins of the users' platform, written from its published documentation."""
--- a/tests/standin/callers.py
+++ b/tests/standin/callers.py
@@ -24,7 +24,7 @@
     status: int = 0
     took_s: float = 0.0
     head: bytes = b""
-    safe: bool = True  # it may run more than once
+    safe: bool = True  # whether it may run more than once
 
 
 @dataclass
--- a/tests/standin/clients.py
+++ b/tests/standin/clients.py
@@ -19,7 +19,7 @@
 
 PAUSE_S = (0.0, 0.02)
 REFUSED_PAUSE_S = 0.05
-ANSWER_MARGIN_S = 2.0  # beyond the deadline, until a client gives up
+ANSWER_MARGIN_S = 2.0  # time after the deadline until a client times out
 CONNECT_LIMIT_S = 4.0
 KEYED_FRACTION = 0.7
 STOPPING_FRACTION = 0.4  # of the connections, while a process is stopping
@@ -58,7 +58,7 @@
 
     ANSWERED = "answered"
     CLOSED = "closed"  # the connection ended before a complete answer
-    SILENT = "silent"  # the client timed out
+    TIMED_OUT = "silent"  # the client timed out
 
 
 @dataclass
@@ -266,4 +266,4 @@
                 return None
         except OSError:
             return End.CLOSED
-        return End.SILENT
+        return End.TIMED_OUT
--- a/tests/standin/fault_injection.py
+++ b/tests/standin/fault_injection.py
@@ -136,7 +136,7 @@
     The names of the fault methods are printed by ``tests.soak``.
     """
 
-    def __init__(self, site, seed, planned, kinds_wanted):
+    def __init__(self, site, seed, planned, enabled):
         self.site = site
         self.planned = planned
         self.random = random.Random(f"{seed} faults")
@@ -153,17 +153,17 @@
             self.kill, self.kill_all, self.freeze, self.freeze, self.stop, self.upstream_ends,
             self.upstream_leaves, self.upstream_joins, self.reconfigure, self.stop_twice,
             self.series, self.hang_up, self.killer, self.killer,
-            *([] if kinds_wanted.sound_store else store_faults),
+            *([] if enabled.sound_store else store_faults),
         ]  # fmt: skip
-        if kinds_wanted.wishes:  # appended, so that seeds of runs without them draw the same faults
+        if enabled.wishes:  # appended, so that seeds of runs without them draw the same faults
             self.kinds += [
                 self.upstream_says_it_leaves, self.upstream_says_it_leaves, self.upstream_rests,
                 self.upstream_rests, self.upstream_reborn, self.upstream_reborn, self.odd_entry,
             ]  # fmt: skip
 
-        if kinds_wanted.crowds:
+        if enabled.crowds:
             self.kinds += [self.crowd, self.crowd, self.crowd, self.crowd]
-        if kinds_wanted.drills:
+        if enabled.drills:
             self.kinds += [self.store_drill] * 3 + [self.upstream_limits] * 2
 
     def run(self):
--- a/tests/unit/test_soak_verdict.py
+++ b/tests/unit/test_soak_verdict.py
@@ -51,7 +51,7 @@
     )
 
 
-@pytest.mark.parametrize("end", [End.CLOSED, End.SILENT])
+@pytest.mark.parametrize("end", [End.CLOSED, End.TIMED_OUT])
 @pytest.mark.parametrize("sent_s", [-0.5, 1.0, 4.5])
 def test_request_that_ran_and_got_no_answer_breaks_the_promise(sent_s, end):
     verdict = judged(request(sent_s, sent_s + 0.9, end), work=(sent_s + 0.1, sent_s + 0.9))
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize(
     ("kept", "end", "stop_s"),
-    [(True, End.CLOSED, STOP_S), (False, End.SILENT, STOP_S), (False, End.CLOSED, None)],
+    [(True, End.CLOSED, STOP_S), (False, End.TIMED_OUT, STOP_S), (False, End.CLOSED, None)],
 )
 def test_other_requests_that_reached_no_upstream_are_to_be_answered_too(kept, end, stop_s):
     own = incarnation(stop_s, code=None)
