--- a/tests/functional/test_odd_entries.py
+++ b/tests/functional/test_odd_entries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.functional.test_gateway import Site, ask, is_ready, start_site, until
-from tests.standin.odd_entries import CHANGES, odd_record
+from tests.standin.malformed_entries import CHANGES, malformed_record
 from tests.standin.upstream import Upstream
 
 SERVICE = "plain"
@@ -25,7 +25,7 @@
 def _put_malformed(site, name, change):
     """Write the malformed entry of a server that would run requests."""
     upstream = site.upstreams[name] = Upstream(name)
-    site.store.put("servers", name, *odd_record(upstream, SERVICE, change))
+    site.store.put("servers", name, *malformed_record(upstream, SERVICE, change))
     return upstream
 
 
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -210,13 +210,13 @@
     task = gevent.spawn(FeedTask(store, recorder.feed(), relay, recorder.failed).run)
     gevent.sleep(0.05)
     base = standin.store.revision
-    assert relay.told == []  # the first listing has no revision to compare with
+    assert relay.published == []  # the first listing has no revision to compare with
     store.interrupt()
     standin.store.remove(KIND, "gone")
     standin.store.put(KIND, "changed", 2)
     standin.store.put(KIND, "new", 1)
     gevent.sleep(0.1)
     task.kill()
-    relayed = [(item.name, item.gone) for row in relay.told for item in row[3]]
+    relayed = [(item.name, item.gone) for row in relay.published for item in row[3]]
     assert sorted(relayed) == [("changed", False), ("gone", True), ("new", False)]
-    assert relay.told[0][1] == base
+    assert relay.published[0][1] == base
--- a/tests/functional/test_reborn_servers.py
+++ b/tests/functional/test_reborn_servers.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ploverhatch.simulation.keys.judge import judge
-from tests.functional.test_servers_that_leave_or_rest import Play, now_s
+from tests.functional.test_servers_that_leave_or_rest import Scenario, now_s
 from tests.standin.site import KEYED, PLAIN, StandinSite
 
 GATEWAYS = 3
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def scenario():
-    running_scenario = Play(StandinSite(GATEWAYS, keyed=4, plain=2))
+    running_scenario = Scenario(StandinSite(GATEWAYS, keyed=4, plain=2))
     running_scenario.begin()
     yield running_scenario
     running_scenario.close()
@@ -33,7 +33,7 @@
 def test_a_holder_that_is_back_under_its_id_gets_keys_again(scenario, elsewhere):
     crashed = scenario.busiest()[1]
     start_s = now_s()
-    restarted = scenario.site.rebirth(crashed, 0.2, elsewhere)
+    restarted = scenario.site.restart_upstream(crashed, 0.2, elsewhere)
     served_s = SERVED_S if elsewhere else SAME_ADDRESS_SERVED_S
     gevent.sleep(max(FIRST_REQUEST_S, served_s) + 2.0)
     scenario.stop_callers()
@@ -46,14 +46,14 @@
     crashed = scenario.busiest()[0]
     other = next(server for server in scenario.upstreams(PLAIN) if server is not crashed)
     for upstream in (crashed, other):
-        upstream.behaviour.rest_s = LONG_BACKOFF_S
+        upstream.behaviour.backoff_s = LONG_BACKOFF_S
     gevent.sleep(0.5)
     crashed.behaviour.leaving = True
     gevent.sleep(0.5)
     start_s = now_s()
-    restarted = scenario.site.rebirth(crashed, 0.2)
+    restarted = scenario.site.restart_upstream(crashed, 0.2)
     gevent.sleep(2.0)
     scenario.stop_callers()
     assert len(restarted.ran) > 20
     assert scenario.served(PLAIN, start_s + 1.2) == 1.0
-    assert other.turned_away
+    assert other.rejected
--- a/tests/functional/test_store_from_a_copy.py
+++ b/tests/functional/test_store_from_a_copy.py
@@ -11,9 +11,9 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.judge import judge as judge_holds
 from tests.standin.callers import Caller
-from tests.standin.drills import OWN_KINDS, come_back
-from tests.standin.play import Play
+from tests.standin.scenario import Scenario
 from tests.standin.site import KEYED, PLAIN, StandinSite, configuration, route
+from tests.standin.store_restore import GATEWAY_KINDS, restore_store
 
 GATEWAYS = 4
 UPSTREAMS = 4
@@ -28,7 +28,7 @@
 @pytest.fixture
 def scenario(request):
     options = getattr(request, "param", {})
-    running_scenario = Play(StandinSite(GATEWAYS, UPSTREAMS, UPSTREAMS), **options)
+    running_scenario = Scenario(StandinSite(GATEWAYS, UPSTREAMS, UPSTREAMS), **options)
     running_scenario.begin()
     yield running_scenario
     running_scenario.close()
@@ -42,7 +42,7 @@
     """Make the store unavailable for ``OUTAGE_S`` seconds and restore it from a snapshot."""
     store.faults.refuse = 503
     gevent.sleep(OUTAGE_S)
-    come_back(store, snapshot, watches_end, servers_after_s)
+    restore_store(store, snapshot, watches_end, servers_after_s)
     store.faults.refuse = 0
 
 
@@ -166,7 +166,7 @@
     leaving = write_changes(scenario)
     gevent.sleep(SNAPSHOT_AGE_S)
     for gateway in scenario.site.gateways:
-        gateway.life.kill()
+        gateway.incarnation.kill()
     restore_after_outage(store, snapshot)
     for gateway in scenario.site.gateways:
         gateway.start()
@@ -177,8 +177,8 @@
 def start_from(scenario, snapshot):
     """Kill each node, restore the store from a snapshot, and start the nodes again."""
     for gateway in scenario.site.gateways:
-        gateway.life.kill()
-    come_back(scenario.site.store, snapshot)
+        gateway.incarnation.kill()
+    restore_store(scenario.site.store, snapshot)
     for gateway in scenario.site.gateways:
         gateway.start()
     gevent.sleep(9.0)
@@ -204,7 +204,7 @@
 # that servers refuse them.
 def test_a_copy_from_before_the_first_key_map_leaves_no_key_unserved(scenario):
     objects, revision = scenario.site.store.copy()
-    without = {key: item for key, item in objects.items() if key[0] not in OWN_KINDS}
+    without = {key: item for key, item in objects.items() if key[0] not in GATEWAY_KINDS}
     leaving = write_changes(scenario)
     gevent.sleep(SNAPSHOT_AGE_S / 2)
     start_from(scenario, (without, revision))
