--- a/ploverhatch/common/under_way.py
+++ b/ploverhatch/common/in_flight.py
@@ -11,7 +11,7 @@
     """The process ends before the request does; raised into the task that serves it."""
 
 
-class RequestUnderWay:
+class InFlightRequest:
     """One request that is being served."""
 
     def __init__(self) -> None:
@@ -32,40 +32,40 @@
             self._over = True  # one end is enough
             self._task.throw(error)
 
-    def leave(self) -> None:
+    def finish(self) -> None:
         """The request has its answer, or will get none."""
         self._over = True
 
 
-class RequestsUnderWay:
+class InFlightRequests:
     """All of one process."""
 
     def __init__(self) -> None:
-        self._requests: set[RequestUnderWay] = set()
+        self._requests: set[InFlightRequest] = set()
 
     def __len__(self) -> int:
         return len(self._requests)
 
     @contextmanager
-    def serve(self) -> Iterator[RequestUnderWay]:
+    def serve(self) -> Iterator[InFlightRequest]:
         """Serve a request of the current task; errors are raised only inside the block."""
-        under_way = RequestUnderWay()
-        self._requests.add(under_way)
+        request = InFlightRequest()
+        self._requests.add(request)
         try:
-            yield under_way
+            yield request
         finally:
-            under_way.leave()
-            self._requests.discard(under_way)
+            request.finish()
+            self._requests.discard(request)
 
     def end_all(self, make_error: Callable[[], BaseException]) -> int:
         """End all that are under way now; return how many these are."""
         requests = list(self._requests)
-        for under_way in requests:
-            under_way.end(make_error())
+        for request in requests:
+            request.end(make_error())
         return len(requests)
 
     def end_overdue(self, now_ms: float, make_error: Callable[[], BaseException]) -> None:
         """End those whose time is over."""
-        for under_way in list(self._requests):
-            if under_way.deadline_ms <= now_ms:
-                under_way.end(make_error())
+        for request in list(self._requests):
+            if request.deadline_ms <= now_ms:
+                request.end(make_error())
--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -15,8 +15,8 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from ploverhatch.common.clock import elapsed_ms
+from ploverhatch.common.in_flight import ProcessEndsError
 from ploverhatch.common.logs import PartLogger
-from ploverhatch.common.under_way import ProcessEndsError
 from ploverhatch.gateway.answer_record import SentAnswer, unacknowledged_bytes
 from ploverhatch.gateway.disconnect import CONTINUE, DisconnectWatch
 from ploverhatch.gateway.messages import (
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -12,9 +12,9 @@
 
 from ploverhatch.common import results
 from ploverhatch.common.clock import elapsed_ms
+from ploverhatch.common.in_flight import InFlightRequests, ProcessEndsError
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.results import RefusedError, Result
-from ploverhatch.common.under_way import ProcessEndsError, RequestsUnderWay
 from ploverhatch.gateway.call import Call
 from ploverhatch.gateway.dialect import Dialect, MalformedRequestError
 from ploverhatch.gateway.directory import Directory
@@ -117,7 +117,7 @@
         self._budget = budget
         self._splitter = ShareSplitter()
         self.planned_stop: PlannedStop | None = None  # Set once the process is told to stop.
-        self._under_way = RequestsUnderWay()
+        self._under_way = InFlightRequests()
         self.sampled_keys: dict[str, list[int]] = {}
         self._quarantine = quarantine or _single_node_quarantine()
         pool.on_removed = self._quarantine.note_server_ended
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -22,6 +22,7 @@
 )
 from ploverhatch.common import results
 from ploverhatch.common.clock import elapsed_ms
+from ploverhatch.common.in_flight import InFlightRequests, ProcessEndsError
 from ploverhatch.common.keyspace import hash_key
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.problem import (
@@ -31,7 +32,6 @@
     problem_reply,
 )
 from ploverhatch.common.results import RefusedError, Result
-from ploverhatch.common.under_way import ProcessEndsError, RequestsUnderWay
 from ploverhatch.node.crash_guard import CrashGuard, GuardedRequest
 from ploverhatch.node.metrics import RouterMetrics
 from ploverhatch.node.records_client import RecordsClient, RecordsUnavailableError
@@ -129,7 +129,7 @@
         self._budget = RetryBudget(limits.retry_budget_percent)
         self._crashes = CrashGuard()
         self._settling: set[gevent.Greenlet] = set()
-        self._under_way = RequestsUnderWay()
+        self._under_way = InFlightRequests()
         self.meter = LoadMeter(elapsed_ms())
 
     # ---- entry ------------------------------------------------------------------
--- a/ploverhatch/simulation/availability.py
+++ b/ploverhatch/simulation/availability.py
@@ -31,7 +31,7 @@
     worst: float
 
 
-def _owner_of_most(cluster: Cluster) -> str:
+def _largest_owner(cluster: Cluster) -> str:
     leader = next(node for node in cluster.nodes.values() if node.core.replica.is_leader)
     owners = [item.server for item in leader.core.replica.state.assignments]
     return max(sorted(set(owners)), key=owners.count)
@@ -39,7 +39,7 @@
 
 def drain_server(cluster: Cluster) -> set[str]:
     """Drain a server by configuration."""
-    name = _owner_of_most(cluster)
+    name = _largest_owner(cluster)
     cluster.platform.servers[name]["drain"] = True
     cluster.platform.generation += 1
     return {name}
@@ -47,14 +47,14 @@
 
 def kill_server(cluster: Cluster) -> set[str]:
     """Kill a server for good."""
-    name = _owner_of_most(cluster)
+    name = _largest_owner(cluster)
     cluster.servers[name].kill()
     return {name}
 
 
 def freeze_server(cluster: Cluster) -> set[str]:
     """Freeze a server."""
-    name = _owner_of_most(cluster)
+    name = _largest_owner(cluster)
     cluster.servers[name].freeze()
     return {name}
 
@@ -126,7 +126,7 @@
     touched: set[str] = set()
     owners: dict[tuple[str, int], str] = {}
 
-    def happen() -> None:
+    def start_event() -> None:
         for key in cluster.all_keys():
             found = cluster.look_up(key, world.random)
             owners[key] = found[0] if found else ""
@@ -137,7 +137,7 @@
         for key in cluster.all_keys():
             _request(cluster, key, answers, failed)
 
-    world.after(EVENT_MS, happen)
+    world.after(EVENT_MS, start_event)
     world.after(EVENT_MS / 2, probe)
     world.run_until(END_MS)
     gaps = []
--- a/ploverhatch/simulation/cluster.py
+++ b/ploverhatch/simulation/cluster.py
@@ -24,7 +24,7 @@
 REPEAT_MS = 500.0
 MAX_REPEATS = 4
 REPEAT_WINDOW_MS = 6000.0
-LONGEST_REQUEST_MS = 2600.0
+MAX_REQUEST_MS = 2600.0
 POLICY = """
 group reads { slices 4; draw share 0.6 from servers; }
 group permits { priority 1; slices 4; draw share 0.4 from servers; }
@@ -53,7 +53,7 @@
         ]
         return [policy, *servers]
 
-    def found(self, expected: int, node_id: str) -> bool:
+    def found_epoch(self, expected: int, node_id: str) -> bool:
         """Found the next epoch by compare-and-set."""
         if self.cell_version != expected:
             return False
@@ -62,7 +62,7 @@
         self.voter_ids = (node_id,)
         return True
 
-    def record(self, epoch: int, voter_ids: tuple[str, ...]) -> bool:
+    def record_voters(self, epoch: int, voter_ids: tuple[str, ...]) -> bool:
         """Record the voters of the current epoch."""
         if epoch != self.epoch:
             return False
@@ -86,7 +86,7 @@
         self.servers: dict[str, SimulatedServer] = {}
         self.outcomes: Counter[str] = Counter()
         self.served: dict[tuple[str, int], float] = {}
-        self._lifetimes: Counter[str] = Counter()
+        self._starts: Counter[str] = Counter()
         self._requests = 0
         self.cut_platform: set[str] = set()
         for number in range(servers):
@@ -101,9 +101,9 @@
 
     def start_node(self, name: str, zone: str) -> None:
         """Start a node process, with nothing remembered."""
-        self._lifetimes[name] += 1
+        self._starts[name] += 1
         node = SimulatedNode(
-            self.world, name, zone, self._lifetimes[name], self, self.timing, self.limits,
+            self.world, name, zone, self._starts[name], self, self.timing, self.limits,
             RATE_ERROR,
         )  # fmt: skip
         self.nodes[name] = node
@@ -111,9 +111,9 @@
 
     def start_server(self, name: str, zone: str) -> None:
         """Start a server process, with nothing remembered."""
-        self._lifetimes[name] += 1
+        self._starts[name] += 1
         self.servers[name] = SimulatedServer(
-            self.world, name, zone, self._lifetimes[name], self.checker, RATE_ERROR
+            self.world, name, zone, self._starts[name], self.checker, RATE_ERROR
         )
 
     def restart_node(self, name: str) -> None:
@@ -195,7 +195,7 @@
         Repeats keep to the window in which callers may repeat: after an epoch
         was lost, claims are refused for as long.
         """
-        until_ms = until_ms or self.world.now_ms + REPEAT_WINDOW_MS - LONGEST_REQUEST_MS
+        until_ms = until_ms or self.world.now_ms + REPEAT_WINDOW_MS - MAX_REQUEST_MS
         name = self.world.random.choice(list(self.nodes))
         node, router = self.nodes[name], self.routers[name]
 
--- a/ploverhatch/simulation/keys/cell.py
+++ b/ploverhatch/simulation/keys/cell.py
@@ -4,10 +4,10 @@
 
 from ploverhatch.sharding.keymap import Holder
 from ploverhatch.sharding.messages import CallOutcome, SendRelease
-from ploverhatch.simulation.keys.judge import judge
 from ploverhatch.simulation.keys.node import CALL_TIMEOUT_MS, LATE_ORDER_MS, SimKeyNode
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS, Journal, SimKeyServer
 from ploverhatch.simulation.keys.store import SimStore
+from ploverhatch.simulation.keys.violations import find_violations
 from ploverhatch.simulation.world import World
 from ploverhatch.state.incarnations import incarnation_id, registered_name
 from ploverhatch.state.servers import ServerRecord
@@ -28,10 +28,10 @@
         self.nodes: dict[str, SimKeyNode] = {}
         self.cuts: set[tuple[str, str]] = set()  # (node, server's life)
         self.evacuated: set[str] = set()  # lives of servers that are to get nothing
-        self.silent: set[str] = set()  # lives that are taken to answer no callers
+        self.unresponsive: set[str] = set()  # lives that are taken to answer no callers
         self.hot_key: int | None = None
-        self.late_share = 0.0
-        self._lives = 0
+        self.late_fraction = 0.0
+        self._starts = 0
         self._stale: dict[str, ServerRecord] = {}  # entries of lives that are over, by name
         self._last_served: dict[int, float] = {}
         for number in range(servers):
@@ -43,16 +43,20 @@
 
     def start_server(self, port: int, name: str = "") -> SimKeyServer:
         """Start a server with a new name, or a life of one that has a name."""
-        self._lives += 1
+        self._starts += 1
         drift = self.world.random.uniform(1.0, MAX_DRIFT)
-        life = incarnation_id(name, FIRST_BORN_MS + self._lives) if name else f"life-{self._lives}"
-        server = SimKeyServer(self.world, self.journal, life, port, drift)
-        self.servers[server.life] = server
+        incarnation = (
+            incarnation_id(name, FIRST_BORN_MS + self._starts) if name else f"life-{self._starts}"
+        )
+        server = SimKeyServer(self.world, self.journal, incarnation, port, drift)
+        self.servers[server.incarnation] = server
         return server
 
-    def rebirth(self, server: SimKeyServer, port: int, down_ms: float, entry_ms: float) -> None:
+    def restart_under_same_name(
+        self, server: SimKeyServer, port: int, down_ms: float, entry_ms: float
+    ) -> None:
         """Crash a server; it starts again under its name, and its entry tells so later."""
-        name = registered_name(server.life)
+        name = registered_name(server.incarnation)
         self._stale[name] = self._record(server)
         server.crash()
 
@@ -73,8 +77,8 @@
 
     def start_node(self, name: str) -> SimKeyNode:
         """Start a node, or start it again."""
-        self._lives += 1
-        node = SimKeyNode(self, name, self._lives)
+        self._starts += 1
+        node = SimKeyNode(self, name, self._starts)
         self.nodes[name] = node
         return node
 
@@ -96,14 +100,14 @@
 
     def _record(self, server: SimKeyServer) -> ServerRecord:
         return ServerRecord(
-            server.life,
+            server.incarnation,
             "service",
             "10.0.0.1",
             server.port,
             "zone",
             2,
             server.draining,
-            evacuated=server.life in self.evacuated,
+            evacuated=server.incarnation in self.evacuated,
         )
 
     def rates(self) -> dict[int, float]:
@@ -126,7 +130,7 @@
         if found is None:
             return CallOutcome.NOT_LISTENING
         # A call names the server, not its life: any life of it takes the call.
-        meant = registered_name(found.life) == registered_name(holder.server_id)
+        meant = registered_name(found.incarnation) == registered_name(holder.server_id)
         return found if meant else CallOutcome.OTHER_INSTANCE
 
     def _listening(self, holder: Holder) -> SimKeyServer | None:
@@ -134,17 +138,17 @@
         up = (server for server in self.servers.values() if server.up)
         return next((server for server in up if server.port == holder.port), None)
 
-    def life_at(self, holder: Holder) -> str:
+    def incarnation_at(self, holder: Holder) -> str:
         """Return the life that listens at a holder's address; empty where none does."""
         found = self._listening(holder)
-        return found.life if found is not None else ""
+        return found.incarnation if found is not None else ""
 
-    def runs_requests(self, holder: Holder) -> SimKeyServer | None:
+    def server_for_requests(self, holder: Holder) -> SimKeyServer | None:
         """Return the server that a request for a holder reaches, which may be a later life."""
         if holder.server_id not in self.servers:
             return None
         found = self._listening(holder)
-        same = found is not None and registered_name(found.life) == registered_name(
+        same = found is not None and registered_name(found.incarnation) == registered_name(
             holder.server_id
         )
         return found if same else self.servers[holder.server_id]
@@ -168,7 +172,7 @@
             if isinstance(reached, CallOutcome):
                 delay = CALL_TIMEOUT_MS if reached is CallOutcome.NO_ANSWER else 1.0
                 self.world.after(delay, lambda: answer(reached))
-            elif self.world.random.random() < self.late_share:
+            elif self.world.random.random() < self.late_fraction:
                 self.world.after(
                     self.world.random.uniform(*LATE_ORDER_MS),
                     lambda: _discard(reached.up and apply(reached, True)),
@@ -198,7 +202,7 @@
                 delay = CALL_TIMEOUT_MS if reached is CallOutcome.NO_ANSWER else 1.0
                 self.world.after(delay, lambda: reply(reached))
                 return
-            lost = self.world.random.random() < self.late_share
+            lost = self.world.random.random() < self.late_fraction
             done = (lambda: None) if lost else (lambda: reply(CallOutcome.DONE))
             reached.release(name.first, name.last, name.token, done)
             self.world.after(2000.0, lambda: reply(CallOutcome.NO_ANSWER))
@@ -217,7 +221,7 @@
 
     def violations(self) -> list[str]:
         """Judge from the servers' own records alone."""
-        return judge(self.journal.holds)
+        return find_violations(self.journal.holds)
 
 
 def _discard(_: object) -> None:
--- a/ploverhatch/simulation/keys/faults.py
+++ b/ploverhatch/simulation/keys/faults.py
@@ -12,10 +12,10 @@
 
 START_MS = 4000.0
 FAULT_MS = 5000.0
-LONGEST_FAULT_MS = 18_000.0
+MAX_FAULT_MS = 18_000.0
 SETTLE_MS = 34_000.0  # longest wait for leases that several lost leaders may have renewed
 CHECK_MS = 3000.0
-LATEST_ENTRY_MS = 1300.0  # servers write their entries so often
+MAX_ENTRY_DELAY_MS = 1300.0  # servers write their entries so often
 STOP_MS = (2600.0, 5400.0)  # from the signal of a planned stop to the end of the process
 
 
@@ -29,7 +29,7 @@
 
 def _some_server(cell: KeyCell) -> str:
     return cell.world.random.choice(
-        sorted(life for life, server in cell.servers.items() if server.up)
+        sorted(incarnation for incarnation, server in cell.servers.items() if server.up)
     )
 
 
@@ -159,18 +159,22 @@
 def rebirth(cell: KeyCell) -> Heal:
     """A server crashes and starts again under its name, twice; its entry lags behind."""
     server = cell.servers[_some_server(cell)]
-    name, chance = registered_name(server.life), cell.world.random
+    name, chance = registered_name(server.incarnation), cell.world.random
 
     def crash(crashed: SimKeyServer) -> float:
-        down_ms, entry_ms = chance.uniform(50, 2000), chance.uniform(0, LATEST_ENTRY_MS)
+        down_ms, entry_ms = chance.uniform(50, 2000), chance.uniform(0, MAX_ENTRY_DELAY_MS)
         port = crashed.port if chance.random() < 0.5 else crashed.port + 100
-        cell.rebirth(crashed, port, down_ms, entry_ms)
+        cell.restart_under_same_name(crashed, port, down_ms, entry_ms)
         return down_ms + entry_ms
 
     def crash_again() -> None:
-        lives = [server for life, server in cell.servers.items() if registered_name(life) == name]
-        if lives[-1].up:
-            crash(lives[-1])
+        incarnations = [
+            server
+            for incarnation, server in cell.servers.items()
+            if registered_name(incarnation) == name
+        ]
+        if incarnations[-1].up:
+            crash(incarnations[-1])
 
     cell.world.after(crash(server) + chance.uniform(100, 6000), crash_again)
     return _nothing
@@ -187,15 +191,23 @@
 
 def cut_server(cell: KeyCell) -> Heal:
     """A server cannot be reached by leaders; requests still reach it."""
-    life = _some_server(cell)
-    return _cut(cell, {(name, life) for name in cell.nodes})
+    incarnation = _some_server(cell)
+    return _cut(cell, {(name, incarnation) for name in cell.nodes})
 
 
 def split_leader(cell: KeyCell) -> Heal:
     """The leader loses the store; only it still reaches some of the servers."""
     leader = _leader_or_some(cell)
-    lives = {_some_server(cell), _some_server(cell)}
-    heal_cut = _cut(cell, {(name, life) for name in cell.nodes if name != leader for life in lives})
+    incarnations = {_some_server(cell), _some_server(cell)}
+    heal_cut = _cut(
+        cell,
+        {
+            (name, incarnation)
+            for name in cell.nodes
+            if name != leader
+            for incarnation in incarnations
+        },
+    )
     cell.store.cut.add(leader)
 
     def heal() -> None:
@@ -216,7 +228,7 @@
 
 def evacuate(cell: KeyCell) -> Heal:
     """About half of the servers are to get nothing for a while, which stays up."""
-    chosen = [life for life, server in cell.servers.items() if server.up]
+    chosen = [incarnation for incarnation, server in cell.servers.items() if server.up]
     cell.evacuated = set(chosen[::2])
 
     def heal() -> None:
@@ -227,20 +239,20 @@
 
 def false_silence(cell: KeyCell) -> Heal:
     """Servers are taken to answer no callers, though they do."""
-    cell.silent = {_some_server(cell), _some_server(cell)}
+    cell.unresponsive = {_some_server(cell), _some_server(cell)}
 
     def heal() -> None:
-        cell.silent = set()
+        cell.unresponsive = set()
 
     return heal
 
 
 def late_orders(cell: KeyCell) -> Heal:
     """Some orders get no answer and are carried out seconds later."""
-    cell.late_share = 0.4
+    cell.late_fraction = 0.4
 
     def heal() -> None:
-        cell.late_share = 0.0
+        cell.late_fraction = 0.0
 
     return heal
 
@@ -307,9 +319,9 @@
     end_ms = START_MS
     for name in names:
         start = START_MS + world.random.uniform(0, FAULT_MS)
-        length = world.random.uniform(500, LONGEST_FAULT_MS)
+        length = world.random.uniform(500, MAX_FAULT_MS)
         end_ms = max(end_ms, start + length)
-        world.after(start - world.now_ms, _bring_about(cell, FAULTS[name], length))
+        world.after(start - world.now_ms, _injection(cell, FAULTS[name], length))
     world.run_until(end_ms + SETTLE_MS)
     check_from_ms = world.now_ms
     world.run_until(check_from_ms + CHECK_MS)
@@ -322,7 +334,7 @@
     )
 
 
-def _bring_about(cell: KeyCell, fault: Fault, length_ms: float) -> Callable[[], None]:
+def _injection(cell: KeyCell, fault: Fault, length_ms: float) -> Callable[[], None]:
     def run() -> None:
         heal = fault(cell)
         cell.world.after(length_ms, heal)
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -36,7 +36,7 @@
 REQUEST_MS = 8.0
 CONNECT_MS = (0.5, 5.0)
 SLOW_CONNECT_MS = (5.0, 300.0)
-SLOW_CONNECT_SHARE = 0.1
+SLOW_CONNECT_FRACTION = 0.1
 CALL_TIMEOUT_MS = 600.0
 LATE_ORDER_MS = (2000.0, 12_000.0)
 MOVES_LIMIT_MS = 1000.0  # for moves under way at a planned stop, as in gateways
@@ -48,12 +48,12 @@
 class SimKeyNode(Process):
     """One life of a node."""
 
-    def __init__(self, cell: "KeyCell", name: str, life: int) -> None:
+    def __init__(self, cell: "KeyCell", name: str, incarnation: int) -> None:
         super().__init__(cell.world, "zone", CLOCK_RATE_ERROR)
         self.cell = cell
         self.name = name
         self.cut_from_servers = False
-        self.state = ElectionState(name, str(life))
+        self.state = ElectionState(name, str(incarnation))
         self.core: LeaderCore | None = None
         self.keymap = KeyMap(SERVICE)
         self.known_ended: set[str] = set()
@@ -61,19 +61,19 @@
         self._connected_to: dict[
             str, str
         ] = {}  # by holder: the life that the kept connection is to
-        self._not_before_ms = 0.0
+        self._no_claim_before_ms = 0.0
         self._busy = False
         self._loading = False
-        self._looked_ms = -1e12
+        self._last_read_ms = -1e12
         self._contact_ms = self.now_ms
-        self._stopping_until_ms: float | None = None  # from a planned stop on: end of its moves
+        self._moves_end_ms: float | None = None  # from a planned stop on: end of its moves
         self.granted: frozenset[int] = frozenset()  # tokens, as the leader tells
         cell.store.watchers[name] = self._on_change
         self._list()
         self._every(TICK_MS, self._tick)
         self._every(REQUEST_MS, self._send_request)
         self._every(election.RENEW_MS, self._elect)
-        self._every(BEACON_MS, self._tell)
+        self._every(BEACON_MS, self._send_beacons)
 
     @property
     def now_ms(self) -> float:
@@ -107,31 +107,31 @@
 
     def stop(self) -> None:
         """Stop as planned: end the moves that were begun, then give the lease back."""
-        self._stopping_until_ms = self.now_ms + MOVES_LIMIT_MS
+        self._moves_end_ms = self.now_ms + MOVES_LIMIT_MS
 
-    def _leave_when_done(self) -> None:
-        if self._stopping_until_ms is None or not self.state.leading:
+    def _release_when_done(self) -> None:
+        if self._moves_end_ms is None or not self.state.leading:
             return
         unfinished = self.core is not None and self.core.has_unfinished_moves
-        if not unfinished or self.now_ms >= self._stopping_until_ms:
-            self._give_back()
+        if not unfinished or self.now_ms >= self._moves_end_ms:
+            self._release_lease()
 
-    def _give_back(self) -> None:
+    def _release_lease(self) -> None:
         lease = election.lease_to_write(self.state, "", self.now_ms, released=True)
         revision = self.state.seen.revision
         self.state = election.stepped_down(self.state)
         self.cell.store.write(self.name, LEASE, lease, revision, lambda result, item: None)
 
     def _elect(self) -> None:
-        if self._stopping_until_ms is not None and not self.state.leading:
+        if self._moves_end_ms is not None and not self.state.leading:
             return
         if self._busy:
             return
         self._busy = True
         if self.state.leading:
             self._write_lease(self.state.seen.revision)
-        elif self.now_ms - self._looked_ms >= election.READ_INTERVAL_MS:
-            self._looked_ms = self.now_ms
+        elif self.now_ms - self._last_read_ms >= election.READ_INTERVAL_MS:
+            self._last_read_ms = self.now_ms
             self.cell.store.read(self.name, LEASE, self._answer(self._lease_read))
         else:
             self._busy = False
@@ -151,7 +151,7 @@
         now_ms = self.now_ms
         if item is not None:
             self._observe(item)
-        if now_ms < self._not_before_ms or not election.may_claim(self.state, now_ms):
+        if now_ms < self._no_claim_before_ms or not election.may_claim(self.state, now_ms):
             return
         self._busy = True
         self._write_lease(item.revision if item else 0)
@@ -224,7 +224,7 @@
 
     # ---- the leader's word ----------------------------------------------------------------
 
-    def _tell(self) -> None:
+    def _send_beacons(self) -> None:
         """Tell the others that this node's map is current, as the relay does."""
         if not self.has_authority or self.core is None:
             return
@@ -238,9 +238,9 @@
         for node in list(self.cell.nodes.values()):
             if node is not self and self.world.random.random() >= BEACON_LOSS:
                 delay_ms = self.world.random.uniform(*BEACON_DELAY_MS)
-                self.world.after(delay_ms, partial(node.hear, *told, self.world.now_ms))
+                self.world.after(delay_ms, partial(node.receive_beacon, *told, self.world.now_ms))
 
-    def hear(
+    def receive_beacon(
         self,
         lease_revision: int,
         renewed_age_ms: float,
@@ -279,7 +279,7 @@
         self.do(take)
 
     def _tick(self) -> None:
-        self._leave_when_done()
+        self._release_when_done()
         if not self.state.leading or self.state.seen.term != self._term:
             self.core = None
             self._term = self.state.seen.term
@@ -293,9 +293,9 @@
         records = [
             record for record in self.cell.records() if record.server_id not in self.known_ended
         ]
-        known = ServiceView(records, self.cell.rates(), {}, unresponsive=self.cell.silent)
+        known = ServiceView(records, self.cell.rates(), {}, unresponsive=self.cell.unresponsive)
         may_change = election.may_change(self.state, self.now_ms)
-        finishing = self._stopping_until_ms is not None
+        finishing = self._moves_end_ms is not None
         store_unavailable = self.now_ms - self.state.renewed_ms >= STORE_UNAVAILABLE_MS
         actions = self.core.tick(
             self.now_ms, {SERVICE: known}, may_change, finishing, store_unavailable
@@ -315,7 +315,7 @@
             elif isinstance(action, ForgetServer):
                 self.known_ended.add(action.server_id)
             elif isinstance(action, Resign):
-                self._not_before_ms = self.now_ms + 6000.0
+                self._no_claim_before_ms = self.now_ms + 6000.0
                 self.state = election.stepped_down(self.state)
             elif isinstance(action, StepDown):
                 self.state = election.stepped_down(self.state)
@@ -342,8 +342,8 @@
             self._execute(core, core.grant_ended(action, outcome, self.now_ms))
 
         def connected() -> None:
-            life = self.cell.life_at(action.holder)
-            broke = self._has_broken(action.holder, life)
+            incarnation = self.cell.incarnation_at(action.holder)
+            broke = self._has_broken(action.holder, incarnation)
             if broke:
                 core.note_connection_closed(action.holder)
             if action.renewal and broke:
@@ -371,11 +371,11 @@
 
         self.later(self._connect_ms(), connected)
 
-    def _has_broken(self, holder: Holder, life: str) -> bool:
+    def _has_broken(self, holder: Holder, incarnation: str) -> bool:
         """Whether the kept connection to a holder has ended since it was used last."""
-        before = self._connected_to.get(holder.server_id, life)
-        self._connected_to[holder.server_id] = life
-        return before != life
+        before = self._connected_to.get(holder.server_id, incarnation)
+        self._connected_to[holder.server_id] = incarnation
+        return before != incarnation
 
     def _send_release(self, core: LeaderCore, action: SendRelease) -> None:
         def ended(outcome: CallOutcome) -> None:
@@ -390,7 +390,7 @@
         self.later(self._connect_ms(), connected)
 
     def _connect_ms(self) -> float:
-        slow = self.world.random.random() < SLOW_CONNECT_SHARE
+        slow = self.world.random.random() < SLOW_CONNECT_FRACTION
         return self.world.random.uniform(*(SLOW_CONNECT_MS if slow else CONNECT_MS))
 
     # ---- requests -------------------------------------------------------------------------
@@ -403,7 +403,7 @@
             return
         if not found.settled and found.token not in self.granted:
             return
-        server = self.cell.runs_requests(found.holder)
+        server = self.cell.server_for_requests(found.holder)
         if server is None:
             return
 
--- a/ploverhatch/simulation/keys/server.py
+++ b/ploverhatch/simulation/keys/server.py
@@ -11,26 +11,26 @@
 from ploverhatch.simulation.world import World
 
 SAMPLE_KEYS = tuple(range(0, KEY_COUNT, KEY_COUNT // 48))
-WORK_MS = (20.0, 250.0)
+SERVICE_MS = (20.0, 250.0)
 
 
 @dataclass
 class Hold:
     """One span of time in which a server's life held a key."""
 
-    life: str
+    incarnation: str
     key: int
     token: int
     since_ms: float
     until_ms: float  # moves as the lease is renewed, and ends early on a release
     late: bool  # taken from an order that was carried out late
-    sure_until_ms: float = 0.0  # the same without renewals that were carried out late
+    proven_until_ms: float = 0.0  # the same without renewals that were carried out late
     starts_ms: list[float] = field(default_factory=list)
 
     def end(self, now_ms: float) -> None:
         """The hold ends, at the latest now."""
         self.until_ms = min(self.until_ms, now_ms)
-        self.sure_until_ms = min(self.sure_until_ms, now_ms)
+        self.proven_until_ms = min(self.proven_until_ms, now_ms)
 
 
 @dataclass
@@ -43,10 +43,12 @@
 class SimKeyServer:
     """One life of a server at an address."""
 
-    def __init__(self, world: World, journal: Journal, life: str, port: int, drift: float) -> None:
+    def __init__(
+        self, world: World, journal: Journal, incarnation: str, port: int, drift: float
+    ) -> None:
         self.world = world
         self.journal = journal
-        self.life = life
+        self.incarnation = incarnation
         self.port = port
         self.drift = drift
         self.up = True
@@ -77,11 +79,11 @@
             hold = self._held.get(key)
             if hold is not None and hold.token == token and hold.until_ms >= now_ms:
                 hold.until_ms = until_ms
-                hold.sure_until_ms = hold.sure_until_ms if late else until_ms
+                hold.proven_until_ms = hold.proven_until_ms if late else until_ms
                 continue
             if hold is not None:
                 hold.end(now_ms)
-            fresh = Hold(self.life, key, token, now_ms, until_ms, late, until_ms)
+            fresh = Hold(self.incarnation, key, token, now_ms, until_ms, late, until_ms)
             self._held[key] = fresh
             self.journal.holds.append(fresh)
         return CallOutcome.DONE
@@ -116,7 +118,7 @@
             return False
         hold.starts_ms.append(self.world.now_ms)
         self._running[key] = self._running.get(key, 0) + 1
-        self.world.after(self.world.random.uniform(*WORK_MS), lambda: self._ended(key))
+        self.world.after(self.world.random.uniform(*SERVICE_MS), lambda: self._ended(key))
         return True
 
     def _ended(self, key: int) -> None:
--- a/ploverhatch/simulation/keys/judge.py
+++ b/ploverhatch/simulation/keys/violations.py
@@ -13,7 +13,7 @@
 OVERLAP_MS = 500.0
 
 
-def judge(holds: Iterable[Hold]) -> list[str]:
+def find_violations(holds: Iterable[Hold]) -> list[str]:
     """Return what was broken: two holders at once, or a token that did not rise."""
     by_key: dict[int, list[Hold]] = defaultdict(list)
     for hold in holds:
@@ -30,15 +30,19 @@
     highest: dict[str, int] = {}
     found = []
     for hold in sorted(holds, key=lambda hold: hold.since_ms):
-        others = [token for life, token in highest.items() if life != hold.life]
+        others = [
+            token for incarnation, token in highest.items() if incarnation != hold.incarnation
+        ]
         if not hold.late and others and hold.token <= max(others):
-            found.append(f"key {hold.key}: {hold.life} took it at token {hold.token}, not above")
-        highest[hold.life] = max(highest.get(hold.life, 0), hold.token)
+            found.append(
+                f"key {hold.key}: {hold.incarnation} took it at token {hold.token}, not above"
+            )
+        highest[hold.incarnation] = max(highest.get(hold.incarnation, 0), hold.token)
     return found
 
 
 def _overlap_violations(first: Hold, second: Hold) -> list[str]:
-    if first.life == second.life:
+    if first.incarnation == second.incarnation:
         return []
     start = max(first.since_ms, second.since_ms)
     end = min(first.until_ms, second.until_ms)
@@ -46,8 +50,11 @@
         return []
     both = all(any(start <= moment < end for moment in hold.starts_ms) for hold in (first, second))
     if both:
-        return [f"key {first.key}: {first.life} and {second.life} both ran requests"]
-    end = min(first.sure_until_ms, second.sure_until_ms)
+        return [f"key {first.key}: {first.incarnation} and {second.incarnation} both ran requests"]
+    end = min(first.proven_until_ms, second.proven_until_ms)
     if end - start > OVERLAP_MS and not first.late and not second.late:
-        return [f"key {first.key}: {first.life} and {second.life} held it {end - start:.0f} ms"]
+        return [
+            f"key {first.key}: {first.incarnation} and {second.incarnation} held it "
+            f"{end - start:.0f} ms"
+        ]
     return []
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -53,11 +53,11 @@
         self.member = wire.Member(node_id=self.node_id, zone=zone, host=name, port=1)
         self.core = ControlCore(self.member, timing, 3, limits)
         self._watch: RecoveryWatch | None = None
-        self._leader_heard_ms = self.clock.read()
+        self._leader_known_ms = self.clock.read()
         self.act(self.core.start(self.clock.read()))
         self.later(world.random.random() * TICK_MS, self._tick)
         self.later(world.random.random() * STATUS_MS, self._report)
-        self.later(world.random.random() * PLATFORM_MS, self._platform)
+        self.later(world.random.random() * PLATFORM_MS, self._poll_platform)
 
     # ---- periodic work ---------------------------------------------------------------
 
@@ -65,25 +65,25 @@
         self.later(TICK_MS, self._tick)
         self.act(self.core.tick(self.clock.read()))
         if self.core.replica.leader_id:
-            self._leader_heard_ms = self.clock.read()
+            self._leader_known_ms = self.clock.read()
 
     def _report(self) -> None:
         self.later(STATUS_MS, self._report)
         status = wire.NodeStatus(member=self.member, applied_index=self.core.replica.state.index)
         for node in self.cluster.nodes.values():
-            self._transmit(node, lambda node=node: node.take_status(status))
+            self._transmit(node, lambda node=node: node.handle_status(status))
 
-    def take_status(self, status: wire.NodeStatus) -> None:
+    def handle_status(self, status: wire.NodeStatus) -> None:
         """Handle another node's report."""
         now_ms = self.clock.read()
         self.core.node_status(status, NodeLoads(now_ms, {}, {}), now_ms)
 
-    def _platform(self) -> None:
-        self.later(PLATFORM_MS, self._platform)
+    def _poll_platform(self) -> None:
+        self.later(PLATFORM_MS, self._poll_platform)
         if not self.cluster.platform_reachable(self.zone):
             return
         if self.leads():
-            self._take_configuration()
+            self._propose_configuration()
             self._record_voters()
         else:
             self._consider_founding()
@@ -92,7 +92,7 @@
         """Tell whether this node leads and may act."""
         return self.core.replica.has_lease(self.clock.read())
 
-    def _take_configuration(self) -> None:
+    def _propose_configuration(self) -> None:
         platform = self.cluster.platform
         if platform.generation > self.core.replica.state.configuration.generation:
             change = wire.ConfigurationChange(
@@ -106,7 +106,7 @@
             self.act(self.core.epoch_lost())
             return
         voter_ids = tuple(item.node_id for item in membership.voters)
-        if platform.record(membership.epoch, voter_ids):
+        if platform.record_voters(membership.epoch, voter_ids):
             self.core.cell_recorded(frozenset(voter_ids))
 
     # ---- founding --------------------------------------------------------------------
@@ -117,7 +117,7 @@
         record = CellRecord(platform.cell_version, platform.epoch, platform.voter_ids)
         if self._watch is None or self._watch.record != record:
             self._watch = RecoveryWatch(self.node_id, record)
-        if now_ms - self._leader_heard_ms < LEADERLESS_MS and record.version:
+        if now_ms - self._leader_known_ms < LEADERLESS_MS and record.version:
             return
         known = tuple(self.core.replica.voters)
         evidence = {
@@ -125,7 +125,7 @@
             for voter in dict.fromkeys((*record.voter_ids, *known))
             if voter != self.node_id
         }
-        if self._watch.observe(evidence, known, now_ms) and platform.found(
+        if self._watch.observe(evidence, known, now_ms) and platform.found_epoch(
             record.version, self.node_id
         ):
             survived = self.node_id in record.voter_ids
@@ -153,7 +153,7 @@
 
     # ---- messages and actions ----------------------------------------------------------
 
-    def take(self, sender: str, message: Any) -> None:
+    def handle_message(self, sender: str, message: Any) -> None:
         """Handle a consensus message."""
         self.act(self.core.peer_message(sender, message, self.clock.read()))
 
@@ -192,14 +192,14 @@
     def _send(self, recipient: str, message: Any) -> None:
         target = self.cluster.nodes.get(recipient.split("/", maxsplit=1)[0])
         if target is not None and target.node_id == recipient:
-            self._transmit(target, lambda: target.take(self.node_id, message))
+            self._transmit(target, lambda: target.handle_message(self.node_id, message))
 
     def _call_backend(self, action: CallBackend) -> None:
-        call, open_call = action.call, [True]
+        call, pending = action.call, [True]
 
         def end(reply: SyncReply | None) -> None:
-            if open_call:
-                open_call.clear()
+            if pending:
+                pending.clear()
                 actions = self.core.sync_ended(
                     action.leadership, call.server, call.request, reply, self.clock.read()
                 )
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -106,12 +106,12 @@
         if self._node.clock.read() >= until_ms:
             done(None)
             return
-        open_call = [True]
+        pending = [True]
 
         def end(result: ClaimResult | None) -> None:
-            if not open_call:
+            if not pending:
                 return
-            open_call.clear()
+            pending.clear()
             if result is None:
                 self._node.later(PAUSE_MS, lambda: self._submit(command, until_ms, done))
             else:
@@ -169,13 +169,15 @@
         request_id = f"{request.claim_id}/{len(request.attempts)}"
         request.attempts.append(request_id)
         read_ms, server_ms = self._clocks.get(server.name, (now_ms, server.clock.read()))
-        left_ms = request.state.deadline_ms - now_ms
-        not_after = server_ms + (now_ms - read_ms) + left_ms if request.idempotency_key else 1e18
-        open_call = [True]
+        remaining_ms = request.state.deadline_ms - now_ms
+        not_after = (
+            server_ms + (now_ms - read_ms) + remaining_ms if request.idempotency_key else 1e18
+        )
+        pending = [True]
 
         def end(outcome: AttemptEnd | None, refusal: Refusal) -> None:
-            if open_call:
-                open_call.clear()
+            if pending:
+                pending.clear()
                 self._ended(request, server, request_id, outcome, refusal)
 
         def reply(refusal: Refusal, clock_ms: float) -> None:
@@ -213,11 +215,11 @@
     def _try_cancel(
         self, request: PendingRequest, server: SimulatedServer, request_id: str
     ) -> None:
-        open_call = [True]
+        pending = [True]
 
         def end(outcome: AttemptEnd) -> None:
-            if open_call:
-                open_call.clear()
+            if pending:
+                pending.clear()
                 self._after(request, outcome, Refusal.NONE)
 
         def cancel() -> None:
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -102,7 +102,7 @@
         self.frozen = False
         self._backlog: list[Task] = []
         self._suspended_at_ms: float | None = None
-        self._stood_ms = 0.0  # in suspensions that are over
+        self._past_suspensions_ms = 0.0  # in suspensions that are over
 
     def do(self, task: Task) -> None:
         """Run a task in this process, when it runs at all."""
@@ -115,23 +115,25 @@
 
     def later(self, delay_ms: float, task: Task) -> None:
         """Run a task in this process after a delay by its timers."""
-        self._wait_steadily(delay_ms, self.stood_ms, task)
+        self._wait_awake(delay_ms, self.suspended_ms, task)
 
-    def _wait_steadily(self, delay_ms: float, known_ms: float, task: Task) -> None:
+    def _wait_awake(self, delay_ms: float, known_ms: float, task: Task) -> None:
         def due() -> None:
-            stood_ms = self.stood_ms
-            if stood_ms > known_ms:
-                self._wait_steadily(stood_ms - known_ms, stood_ms, task)
+            suspended_ms = self.suspended_ms
+            if suspended_ms > known_ms:
+                self._wait_awake(suspended_ms - known_ms, suspended_ms, task)
             else:
                 self.do(task)
 
         self.world.after(delay_ms, due)
 
     @property
-    def stood_ms(self) -> float:
+    def suspended_ms(self) -> float:
         """For how long its machine was suspended so far."""
         since_ms = self._suspended_at_ms
-        return self._stood_ms + (0.0 if since_ms is None else self.world.now_ms - since_ms)
+        return self._past_suspensions_ms + (
+            0.0 if since_ms is None else self.world.now_ms - since_ms
+        )
 
     def kill(self) -> None:
         """End the process with all its memory."""
@@ -150,7 +152,7 @@
 
     def thaw(self) -> None:
         """Continue the process."""
-        self._stood_ms, self._suspended_at_ms = self.stood_ms, None
+        self._past_suspensions_ms, self._suspended_at_ms = self.suspended_ms, None
         self.frozen = False
         backlog, self._backlog = self._backlog, []
         for task in backlog:
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -19,8 +19,8 @@
 from gevent import GreenletExit, socket
 
 from ploverhatch.common.clock import elapsed_ms
+from ploverhatch.common.in_flight import InFlightRequests
 from ploverhatch.common.problem import json_reply
-from ploverhatch.common.under_way import RequestsUnderWay
 from ploverhatch.emulator.platform import PlatformEmulator
 from ploverhatch.gateway import keymap_codec
 from ploverhatch.gateway.elector import Elector
@@ -421,7 +421,7 @@
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     keeper = dispatcher_of(cluster, HOLDER)
     asker = next(node for node in cluster.nodes if node is not keeper)
-    requests = RequestsUnderWay()
+    requests = InFlightRequests()
 
     def serve():
         with requests.serve():
--- a/tests/functional/test_reborn_servers.py
+++ b/tests/functional/test_reborn_servers.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 
-from ploverhatch.simulation.keys.judge import judge
+from ploverhatch.simulation.keys.violations import find_violations
 from tests.functional.test_servers_that_leave_or_rest import Play, now_s
 from tests.standin.site import KEYED, PLAIN, StandinSite
 
@@ -39,7 +39,7 @@
     play.stop_callers()
     assert reborn.ran and reborn.work[0].start_s < start_s + max(RUNS_S, served_s)
     assert play.served(KEYED, start_s + served_s) == 1.0
-    assert judge(play.site.journal.holds) == []
+    assert find_violations(play.site.journal.holds) == []
 
 
 def test_what_a_life_said_does_not_bind_the_next_one(play):
--- a/tests/functional/test_servers_that_leave_or_rest.py
+++ b/tests/functional/test_servers_that_leave_or_rest.py
@@ -13,7 +13,7 @@
 import pytest
 
 from ploverhatch.common.clock import elapsed_ms
-from ploverhatch.simulation.keys.judge import judge
+from ploverhatch.simulation.keys.violations import find_violations
 from tests.standin.play import Play
 from tests.standin.site import KEYED, PLAIN, RECORD_S, StandinSite
 from tests.standin.wishes import DRAIN_S, broken_rests, late_to_leaving
@@ -198,4 +198,4 @@
         KEYED, start_s + LEASE_EXPIRY_S, start_s + LEASE_EXPIRY_S + MEASURED_S
     )
     assert scenario.served(KEYED, back_s) >= SERVED, scenario.unserved(KEYED, back_s)
-    assert judge(scenario.site.journal.holds) == []
+    assert find_violations(scenario.site.journal.holds) == []
--- a/tests/functional/test_store_from_a_copy.py
+++ b/tests/functional/test_store_from_a_copy.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ploverhatch.common.clock import elapsed_ms
-from ploverhatch.simulation.keys.judge import judge as judge_holds
+from ploverhatch.simulation.keys.violations import find_violations
 from tests.standin.callers import Caller
 from tests.standin.drills import OWN_KINDS, come_back
 from tests.standin.play import Play
@@ -81,7 +81,7 @@
         assert late == [], f"{len(late)} reached {upstream.server_id}"
     for service in (PLAIN, KEYED):
         assert play.served(service, start_s, end_s) >= SERVED, play.unserved(service, start_s)
-    assert judge_holds(play.site.journal.holds) == []
+    assert find_violations(play.site.journal.holds) == []
 
 
 # A gateway that knew a later revision than the store's took nothing new from it.
@@ -153,7 +153,7 @@
     be_away(store, copy)
     judge(play, leaving, news_s)
     gevent.sleep(4.0)
-    assert judge_holds(play.site.journal.holds) == []
+    assert find_violations(play.site.journal.holds) == []
 
 
 # Each node, the leader too, is killed while the store is away, and starts from the copy.
--- a/tests/standin/verdict.py
+++ b/tests/standin/verdict.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ploverhatch.simulation.keys.judge import judge
+from ploverhatch.simulation.keys.violations import find_violations
 from tests.standin.callers import HELD
 from tests.standin.clients import End
 from tests.standin.limits import over_limit
@@ -93,7 +93,7 @@
             found.append(f"{name} was answered {status} and ran")
         if status == 200 and body != b"answer of " + by_name.get(name, "?").encode():
             found.append(f"{name} got another's answer")
-    return found + judge(site.journal.holds)
+    return found + find_violations(site.journal.holds)
 
 
 def wishes_broken(site, load, faults, verdict):
--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -53,7 +53,7 @@
 
 
 def steady_clock(self):
-    return self.clock.read() - self.stood_ms
+    return self.clock.read() - self.suspended_ms
 
 
 MUTATIONS = {
--- a/tests/unit/test_under_way.py
+++ b/tests/unit/test_under_way.py
@@ -3,7 +3,7 @@
 import gevent
 from gevent.event import Event
 
-from ploverhatch.common.under_way import ProcessEndsError, RequestsUnderWay
+from ploverhatch.common.in_flight import InFlightRequests, ProcessEndsError
 from ploverhatch.gateway.messages import DeadlineOverError
 
 
@@ -33,7 +33,7 @@
 
 
 def test_a_request_that_waits_is_ended_once():
-    requests = RequestsUnderWay()
+    requests = InFlightRequests()
     task = Task(requests)
     assert requests.end_all(ProcessEndsError) == 1
     requests.end_overdue(200.0, DeadlineOverError)
@@ -45,7 +45,7 @@
 
 
 def test_a_request_that_is_over_when_the_error_comes_is_not_ended():
-    requests = RequestsUnderWay()
+    requests = InFlightRequests()
     task = Task(requests)
     task.finish.set()  # its task runs before the error is raised
     assert requests.end_all(ProcessEndsError) == 1
@@ -54,7 +54,7 @@
 
 
 def test_only_what_is_overdue_is_ended():
-    requests = RequestsUnderWay()
+    requests = InFlightRequests()
     early, late = Task(requests, 100.0), Task(requests, 300.0)
     requests.end_overdue(200.0, DeadlineOverError)
     gevent.sleep(0.01)
