--- a/ploverhatch/common/code_id.py
+++ b/ploverhatch/common/code_id.py
@@ -1,4 +1,4 @@
-"""Names the code that a process runs, so that its log tells which landing wrote it."""
+"""An id of the code that a process runs, so that its log shows which version wrote it."""
 
 import os
 from importlib import import_module
@@ -8,24 +8,25 @@
 UNKNOWN = "-"
 _PACKAGE = Path(__file__).parent.parent
 _CACHE = "__pycache__"
-# Not from hashlib, which maps OpenSSL's library: 3.7 MB a process, measured by import. By
-# name, since type checkers don't know this part of the standard library.
+# hashlib would load the OpenSSL library, which takes 3.7 MB in each process. The module is
+# imported by name, since type checkers don't know this part of the standard library.
 _sha1 = import_module("_sha1").sha1
 
 
 def code_id() -> str:
-    """Return the id that git gives this package's folder: ``git rev-parse COMMIT:ploverhatch``.
+    """Return the first digits of ``git rev-parse COMMIT:ploverhatch``, git's id of the package.
 
-    It reads each file of the package once, 1.1 MB in 6 ms.
+    Each call reads all files of the package: 1.1 MB, which takes 6 ms. The id is ``UNKNOWN``
+    where the files can't be read.
     """
     try:
         return _tree(str(_PACKAGE)).hex()[:SHOWN_DIGITS]
     except OSError:
-        return UNKNOWN  # the package isn't a folder of files
+        return UNKNOWN  # for example, when the package is imported from a zip archive
 
 
 def _tree(folder: str) -> bytes:
-    """Return git's id of a folder: of its entries' modes, names and ids, in order."""
+    """Return git's id of a folder: the hash of its entries' modes, names and ids, in order."""
     rows = []
     for entry in os.scandir(folder):
         if entry.is_dir():
--- a/ploverhatch/common/in_flight.py
+++ b/ploverhatch/common/in_flight.py
@@ -1,4 +1,4 @@
-"""The requests that are being served, each of which may be ended from outside."""
+"""Requests in flight, each of which another task may end with an error."""
 
 import math
 from collections.abc import Callable, Iterator
@@ -8,37 +8,41 @@
 
 
 class ProcessEndsError(BaseException):
-    """The process ends before the request does; raised into the task that serves it."""
+    """Raised in the task that serves a request when the process exits before it is answered."""
 
 
 class InFlightRequest:
-    """One request that is being served."""
+    """A request that the current task serves.
+
+    ``deadline_ms`` is in elapsed time, and infinite until it is known.
+    """
 
     def __init__(self) -> None:
-        self.deadline_ms = math.inf  # once it is known
+        self.deadline_ms = math.inf
         self._task = gevent.getcurrent()
         self._over = False
 
     def end(self, error: BaseException) -> None:
-        """Have an error raised where its task waits, unless the request is over by then.
+        """Raise an error in the request's task, unless the request is finished by then.
 
-        It is raised some moments later. Meanwhile the task may have gone on to the answer, which
-        an error would cut, or to the next request of the connection: it is asked last thing.
+        The event loop raises the error in its next iteration. By then the task may be writing
+        the answer, which the error would truncate, or serving the next request of the
+        connection. So the check whether the request is finished comes just before the error.
         """
         gevent.get_hub().loop.run_callback(self._throw, error)
 
     def _throw(self, error: BaseException) -> None:
         if not self._over:
-            self._over = True  # one end is enough
+            self._over = True  # a request is ended only once
             self._task.throw(error)
 
     def finish(self) -> None:
-        """The request has its answer, or will get none."""
+        """Note that the request has its answer, or will get none."""
         self._over = True
 
 
 class InFlightRequests:
-    """All of one process."""
+    """All requests in flight of one process."""
 
     def __init__(self) -> None:
         self._requests: set[InFlightRequest] = set()
@@ -48,7 +52,7 @@
 
     @contextmanager
     def serve(self) -> Iterator[InFlightRequest]:
-        """Serve a request of the current task; errors are raised only inside the block."""
+        """Register a request of the current task; it can be ended only inside the block."""
         request = InFlightRequest()
         self._requests.add(request)
         try:
@@ -58,14 +62,14 @@
             self._requests.discard(request)
 
     def end_all(self, make_error: Callable[[], BaseException]) -> int:
-        """End all that are under way now; return how many these are."""
+        """End all requests in flight; return their number."""
         requests = list(self._requests)
         for request in requests:
             request.end(make_error())
         return len(requests)
 
     def end_overdue(self, now_ms: float, make_error: Callable[[], BaseException]) -> None:
-        """End those whose time is over."""
+        """End the requests whose deadline has passed."""
         for request in list(self._requests):
             if request.deadline_ms <= now_ms:
                 request.end(make_error())
--- a/ploverhatch/common/keyspace.py
+++ b/ploverhatch/common/keyspace.py
@@ -1,7 +1,7 @@
-"""The hashed key space: 64-bit hashes of (group, key), split in ranges.
+"""The hashed key space: 64-bit hashes of (group, key), split into ranges.
 
-A slice is an inclusive range ``[first, last]`` of hashes of one group. A hot
-key may be a slice of its own (``first == last``).
+A slice is an inclusive range ``[first, last]`` of the hashes of one group. A hot
+key may have a slice of its own (``first == last``).
 """
 
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, order=True)
 class SliceRange:
-    """Hash range of one group, both ends included."""
+    """A range of hashes of one group, both ends included."""
 
     group: str
     first: int
     last: int
 
     def contains(self, key_hash: int) -> bool:
-        """Tell whether a hash falls in this range."""
+        """Return whether a hash lies in this range."""
         return self.first <= key_hash <= self.last
 
 
@@ -31,7 +31,7 @@
 
 
 def even_ranges(group: str, count: int) -> list[SliceRange]:
-    """Split the whole hash space of a group in ``count`` even ranges."""
+    """Split the whole hash space of a group into ``count`` ranges of equal size."""
     bounds = [(MAX_HASH + 1) * position // count for position in range(count + 1)]
     return [
         SliceRange(group, first, following - 1)
--- a/ploverhatch/common/log_output.py
+++ b/ploverhatch/common/log_output.py
@@ -1,7 +1,7 @@
-"""Writes log lines to standard output without ever holding the process up.
+"""Writes log lines to standard output without blocking the process.
 
-Lines wait in a bounded buffer; a task writes them as fast as the reader takes
-them. What does not fit is counted, and the count is told in the next line.
+Lines are queued in a bounded buffer, and a task writes them as fast as the reader consumes
+them. Lines that do not fit are dropped and counted; a log line then reports the count.
 """
 
 import logging
@@ -20,11 +20,14 @@
 
 CAPACITY = 2000  # lines
 LINES_AT_ONCE = 64
-LAST_LINES_S = 0.4  # how long the end of the process may wait for the reader
+CLOSE_TIMEOUT_S = 0.4  # how long the exit of the process may wait for the reader
 
 
 class BufferedOutput(logging.Handler):
-    """Handler with a bounded buffer."""
+    """A log handler that writes to a non-blocking file descriptor from a bounded buffer.
+
+    ``capacity`` is the maximum number of buffered lines; ``node`` is named in each line.
+    """
 
     def __init__(self, descriptor: int, node: str, capacity: int = CAPACITY) -> None:
         super().__init__()
@@ -34,9 +37,9 @@
         self._descriptor = descriptor
         self._capacity = capacity
         self._lines: deque[str] = deque()
-        self._data = b""  # what is being written
-        self._dropped = 0  # since the last line that told
-        self.dropped = 0  # in all
+        self._data = b""  # encoded lines that are being written
+        self._dropped = 0  # lines dropped since the last line that reported a count
+        self.dropped = 0  # lines dropped in total
         self._task: gevent.Greenlet | None = None
 
     @override
@@ -63,17 +66,17 @@
 
     def _write_all(self) -> None:
         try:
-            while self._take():
+            while self._encode_next():
                 written = gevent_os.nb_write(self._descriptor, self._data)
                 self._data = self._data[written:]
         except OSError:
             self._lines.clear()
-            self._data = b""  # nobody reads: the lines are lost, the process goes on
+            self._data = b""  # the reader is gone: the lines are lost, the process goes on
         finally:
             self._task = None
 
-    def _take(self) -> bool:
-        """Encode the next lines when the last ones are written; false when none are left."""
+    def _encode_next(self) -> bool:
+        """Encode the next lines once the previous ones are written; false if none are left."""
         if not self._data:
             lines = [self._lines.popleft() for _ in range(min(LINES_AT_ONCE, len(self._lines)))]
             self._data = "".join(f"{line}\n" for line in lines).encode()
@@ -81,27 +84,27 @@
 
     @override
     def close(self) -> None:
-        """Write what is left, for a bounded time, when the process ends.
+        """Write the remaining lines, for ``CLOSE_TIMEOUT_S`` at most, when the process exits.
 
-        It waits without the event loop, which may have ended.
+        This doesn't use the event loop, which may have ended already.
         """
         with suppress(OSError):
-            self._write_last(elapsed_ms() + LAST_LINES_S * 1000)
+            self._write_remaining(elapsed_ms() + CLOSE_TIMEOUT_S * 1000)
         super().close()
 
-    def _write_last(self, end_ms: float) -> None:
+    def _write_remaining(self, end_ms: float) -> None:
         poll = select.poll()
-        while self._take():
+        while self._encode_next():
             poll.register(self._descriptor, select.POLLOUT)
-            left_ms = end_ms - elapsed_ms()
-            if left_ms <= 0 or not poll.poll(left_ms):
+            remaining_ms = end_ms - elapsed_ms()
+            if remaining_ms <= 0 or not poll.poll(remaining_ms):
                 return
             with suppress(BlockingIOError):
                 self._data = self._data[os.write(self._descriptor, self._data) :]
 
 
 def start(node: str) -> None:
-    """Send the log of this process to standard output, level info."""
+    """Send the log of this process to standard output, at level ``INFO``."""
     descriptor = sys.stdout.fileno()
     gevent_os.make_nonblocking(descriptor)
     logger = logging.getLogger("absl")
--- a/ploverhatch/common/problem.py
+++ b/ploverhatch/common/problem.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457) for refusals and failures."""
+"""Problem documents (RFC 9457) in answers to requests that were refused or failed."""
 
 import json
 import math
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class HttpReply:
-    """Status, header fields and body of an answer."""
+    """Status, header fields and body of an HTTP answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -43,7 +43,13 @@
     retry_after_s: float | None = None,
     extra: tuple[tuple[str, str], ...] = (),
 ) -> HttpReply:
-    """Return a whole answer; ``Retry-After`` is in whole seconds, rounded up."""
+    """Return an answer with a problem document.
+
+    :param detail: explanation of this occurrence; left out of the document if empty.
+    :param retry_after_s: time after which a retry makes sense. ``Retry-After`` states it in whole
+        seconds, rounded up, at least 1; the document in milliseconds.
+    :param extra: further header fields.
+    """
     body = problem_body(result, detail, retry_after_s)
     headers = [
         ("Content-Type", CONTENT_TYPE),
@@ -59,7 +65,7 @@
 def json_reply(
     document: object, status: int = 200, extra: tuple[tuple[str, str], ...] = ()
 ) -> HttpReply:
-    """Return a JSON answer."""
+    """Return an answer with a JSON body."""
     body = json.dumps(document).encode()
     headers = (("Content-Type", "application/json"), ("Content-Length", str(len(body))))
     return HttpReply(status, (*headers, *extra), body)
--- a/ploverhatch/common/results.py
+++ b/ploverhatch/common/results.py
@@ -1,8 +1,7 @@
 """Numbered result codes of the callers' and operators' interfaces.
 
-Each code states its HTTP status, whether the request ran, and whether the
-same request may be tried again. ``docs/RESULT-CODES.md`` lists the table and
-a test compares both.
+Each code has an HTTP status, states whether the request ran, and whether the same request may
+be retried. ``docs/RESULT-CODES.md`` lists the table, and a test compares both.
 """
 
 from dataclasses import dataclass
@@ -19,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """One row of the result table."""
+    """One row of the table of results."""
 
     code: int
     name: str
@@ -38,7 +37,10 @@
 
 
 class RefusedError(Exception):
-    """Ends a request with a result and, maybe, a time to come back."""
+    """Ends a request with a result.
+
+    ``retry_after_s`` is the time after which the caller may retry, in seconds; 0 if unknown.
+    """
 
     def __init__(self, result: Result, detail: str = "", retry_after_s: float = 0.0) -> None:
         super().__init__(result.name)
--- a/ploverhatch/common/timing.py
+++ b/ploverhatch/common/timing.py
@@ -1,8 +1,7 @@
 """Time bounds of the control protocols, in milliseconds of elapsed time.
 
-No decision reads a wall clock. ``DRIFT`` bounds how far two elapsed-time
-clocks may diverge, as a fraction; every wait for another process's clock is
-lengthened by it.
+No decision reads a wall clock. ``DRIFT`` bounds how far the rates of two elapsed clocks may
+differ, as a fraction; a wait that depends on another process's clock is lengthened by it.
 """
 
 from dataclasses import dataclass
@@ -14,8 +13,8 @@
 class ControlTiming:
     """Intervals of elections and leases.
 
-    ``lease_ms`` bounds how long a lost server keeps its keys unavailable;
-    ``election_ms`` must leave a new leader time to renew within it.
+    ``lease_ms`` bounds how long the keys of a lost server stay unavailable; ``election_ms`` must
+    be short enough for a new leader to renew leases before they expire.
     """
 
     tick_ms: float = 20.0
@@ -30,14 +29,14 @@
 
     @property
     def leader_lease_ms(self) -> float:
-        """Span after a heartbeat in which a majority elects nobody else."""
+        """Time after a heartbeat during which a majority elects no other leader."""
         return self.election_ms * (1 - DRIFT)
 
     @property
     def lease_bound_ms(self) -> float:
-        """Span after which a lease of ``lease_ms`` has surely lapsed.
+        """Time after which a lease of ``lease_ms`` has expired by any clock within ``DRIFT``.
 
-        A request that began just before the lease lapsed may still execute;
-        ``execution_grace_ms`` lets it end before the key has a new owner.
+        A request that started just before the lease expired may still run;
+        ``execution_grace_ms`` lets it finish before the key has a new owner.
         """
         return self.lease_ms * (1 + DRIFT) + self.execution_grace_ms
--- a/ploverhatch/settings/deployment.py
+++ b/ploverhatch/settings/deployment.py
@@ -1,8 +1,8 @@
-"""Description of a whole deployment, for the demo, load and experiments.
+"""Description of a whole deployment, for the demo, the load generator and experiments.
 
-It names zones, back ends by group and the policy file; the emulators and the
-load tool are set up from it. Nodes themselves do not read it. The delays and
-``connection_ms`` describe a site; the emulators do not impose them yet.
+It names the zones, the back ends of each group and the policy file. The emulators and the load
+generator are configured from it; nodes do not read it. The delays and ``connection_ms`` describe
+a site; the emulators do not impose them.
 """
 
 from pydantic import Field
@@ -11,7 +11,7 @@
 
 
 class UpstreamSection(Section):
-    """Back ends of one kind, spread over the zones in turn."""
+    """Back ends of one kind, assigned to the zones in turn."""
 
     name: str
     count: int = Field(ge=1, le=10_000)
@@ -27,7 +27,7 @@
     """Synthetic requests of one route."""
 
     method: str
-    path: str  # with {key}
+    path: str  # contains "{key}"
     rate: float = Field(gt=0)
     keys: int = Field(ge=1)
     skew: float = Field(default=1.0, ge=0)
@@ -35,7 +35,7 @@
 
 
 class Deployment(Section):
-    """One deployment."""
+    """A whole deployment."""
 
     name: str
     zones: tuple[str, ...]
--- a/ploverhatch/settings/loader.py
+++ b/ploverhatch/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads TOML files into typed settings and reports every fault at once."""
+"""Reads TOML files into typed settings and reports all errors at once."""
 
 import tomllib
 from pathlib import Path
@@ -12,21 +12,22 @@
 
 
 class SettingsError(Exception):
-    """The settings are not usable; the message lists all faults."""
+    """The settings are invalid; the message lists all errors."""
 
 
 def load_model(model: type[Model], path: str | Path) -> Model:
     """Read a file as ``model``.
 
-    :raises SettingsError: naming file, key and accepted range of each fault.
+    :raises SettingsError: names the file, the key and the accepted range of each error.
     """
     return validate(model, read_toml(path), str(path))
 
 
 def load_settings(path: str | Path | None, overrides: dict[str, Any]) -> Settings:
-    """Read node settings; flags of the command line override the file.
+    """Read the settings of a node; command-line options override the file.
 
-    :param overrides: ``{"section.key": value}``; ``None`` values are unset.
+    :param overrides: ``{"section.key": value}``; ``None`` stands for an option that isn't given.
+    :raises SettingsError: if the file can't be read, or the settings are invalid.
     """
     document = read_toml(path) if path else {}
     for dotted, value in overrides.items():
@@ -38,7 +39,10 @@
 
 
 def read_toml(path: str | Path) -> dict[str, Any]:
-    """Parse a TOML file."""
+    """Parse a TOML file.
+
+    :raises SettingsError: if the file can't be read, or isn't valid TOML.
+    """
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -48,15 +52,18 @@
 
 
 def validate(model: type[Model], document: dict[str, Any], name: str) -> Model:
-    """Check a parsed document against a model."""
+    """Check a parsed document against a model; ``name`` stands for it in errors.
+
+    :raises SettingsError: if the document doesn't match the model.
+    """
     try:
         return model.model_validate(document)
     except ValidationError as error:
-        rows = [_fault(name, dict(item)) for item in error.errors(include_url=False)]
+        rows = [_error_line(name, dict(item)) for item in error.errors(include_url=False)]
         raise SettingsError("\n".join(rows)) from error
 
 
-def _fault(name: str, item: dict[str, Any]) -> str:
+def _error_line(name: str, item: dict[str, Any]) -> str:
     key = ".".join(str(part) for part in item["loc"])
     given = item.get("input")
     shown = "" if isinstance(given, dict) else f" (given: {given!r})"
--- a/ploverhatch/settings/model.py
+++ b/ploverhatch/settings/model.py
@@ -1,19 +1,19 @@
 """Typed settings of a node. Units are part of the names.
 
-Port 0 lets the system choose; the node prints its ports when it is ready.
+Port 0 lets the system choose a port; the node prints its ports when it is ready.
 """
 
 from pydantic import BaseModel, ConfigDict, Field
 
 
 class Section(BaseModel):
-    """A table of the settings file; unknown keys are refused."""
+    """A table of the settings file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class NodeSection(Section):
-    """Who this process is and where it listens."""
+    """Identity of the node, and the addresses it listens on."""
 
     name: str = Field(min_length=1, max_length=64)
     zone: str = Field(min_length=1, max_length=64)
@@ -27,9 +27,9 @@
     """The cell this node belongs to."""
 
     name: str = "cell-0"
-    seeds: tuple[str, ...] = ()  # host:port of nodes to ask first
+    seeds: tuple[str, ...] = ()  # host:port of nodes to contact at start
     voters: int = Field(default=3, ge=1, le=7)
-    children: int = Field(default=16, ge=1, le=256)  # observers that a node feeds
+    children: int = Field(default=16, ge=1, le=256)  # observers that a node sends updates to
 
 
 class PlatformSection(Section):
@@ -42,7 +42,7 @@
 
 
 class LimitsSection(Section):
-    """Bounds on what callers may use."""
+    """Bounds on the resources that callers may use."""
 
     body_bytes: int = Field(default=1 << 20, ge=0, le=64 << 20)
     queue_per_server: int = Field(default=256, ge=1, le=100_000)
@@ -66,7 +66,7 @@
 
 
 class AdminSection(Section):
-    """Operators' access. The file holds lines ``role token``."""
+    """Access of operators. Each line of the file is ``ROLE TOKEN``."""
 
     tokens_file: str = ""
 
--- a/tests/unit/test_documents.py
+++ b/tests/unit/test_documents.py
@@ -1,4 +1,4 @@
-"""Pages that must agree with the code."""
+"""Documentation pages that must agree with the code."""
 
 import re
 from pathlib import Path
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: each with its test, command and seed, what was seen, and issue."""
+"""The list of known failures: each entry has a test, a command, an observation and an issue."""
 
 import re
 
@@ -30,7 +30,7 @@
 
 
 def test_each_listed_test_is_there():
-    """A line that names none passes over nothing, and hides that its fault has no test."""
+    """A line whose test doesn't exist hides that no test covers its fault."""
     for test in read_known_red(KNOWN_RED.read_text()):
         path, name = test.split("::", 1)
         source = (ROOT / path).read_text()
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: samples load, faults are all reported at once."""
+"""Settings: the samples load, and all errors are reported at once."""
 
 from pathlib import Path
 
--- a/tests/unit/test_under_way.py
+++ b/tests/unit/test_under_way.py
@@ -1,4 +1,4 @@
-"""An error thrown from outside ends a request, but not what its task does afterwards."""
+"""An error from another task ends a request, but not what its own task does afterwards."""
 
 import gevent
 from gevent.event import Event
@@ -8,7 +8,7 @@
 
 
 class Task:
-    """Serves one request until ``finish`` is set, then does something else."""
+    """Serves one request until ``finish`` is set, then goes on with other work."""
 
     def __init__(self, requests, deadline_ms=100.0):
         self._requests = requests
