--- a/ploverhatch/admin/__init__.py
+++ b/ploverhatch/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Administration API."""
+"""The administration API of a node."""
--- a/ploverhatch/admin/api.py
+++ b/ploverhatch/admin/api.py
@@ -1,7 +1,7 @@
-"""Administration API: HTTP/JSON over the configuration objects and the cell.
+"""Administration API: configuration objects and the state of the cell over HTTP and JSON.
 
-Reads are served from the node's own view, so they work while the platform's
-store is away. Changes go to the store under ``If-Match``.
+Reads are served from the node's own view, so they work while the platform's store is
+unavailable. Changes are written to the store under the condition of ``If-Match``.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 class AdminApi:
-    """Requests of operators to one node."""
+    """Serves the requests of operators to one node."""
 
     def __init__(self, node: AdministeredNode, tokens: TokenList) -> None:
         self._node = node
@@ -33,7 +33,7 @@
         self._changes = ChangeApplier(node.store)
 
     def handle(self, environ: Environ) -> HttpReply:
-        """Serve one request."""
+        """Serve one request; health, readiness and metrics need no token."""
         path, query = request_target(environ)
         method = environ["REQUEST_METHOD"]
         public = self._handle_public(path)
@@ -137,7 +137,7 @@
         else:
             outcome = self._put(kind, name, read_json(environ), expected)
         LOG.info(
-            "Change.", method=method, kind=kind, name=name, expected=expected,
+            "Change of an object handled.", method=method, kind=kind, name=name, expected=expected,
             result=outcome.result.name, version=outcome.version,
         )  # fmt: skip
         return _outcome_reply(outcome)
@@ -151,7 +151,7 @@
 
 
 def _expected_version(environ: Environ) -> int | None:
-    """Read ``If-Match: "N"``, or zero for ``If-None-Match: *``."""
+    """Return N of ``If-Match: "N"``, zero for ``If-None-Match: *``, else ``None``."""
     if environ.get("HTTP_IF_NONE_MATCH") == "*":
         return 0
     found = _VERSION.fullmatch(environ.get("HTTP_IF_MATCH", ""))
--- a/ploverhatch/admin/changes.py
+++ b/ploverhatch/admin/changes.py
@@ -1,8 +1,8 @@
-"""Changes of configuration objects: checked, compare-and-set, resolved.
+"""Checks changes of configuration objects and writes them to the store by compare-and-set.
 
-A change whose answer the store lost is resolved by the operation's identity:
-read back, and repeated under the same condition, which can take effect once
-at most. Only when that fails is the operator told "unknown".
+If the store's answer to a change is lost, the object is read back and compared by the operation's
+id, and the change is repeated under the same condition, so it takes effect at most once. The
+outcome is "unknown" only if that fails too.
 """
 
 import secrets
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class ChangeOutcome:
-    """How a change ended; ``version`` is the object's, when known."""
+    """Outcome of a change; ``version`` is the object's version, or 0 if unknown."""
 
     result: Result
     version: int = 0
@@ -43,7 +43,10 @@
 
 
 def check_body(kind: str, name: str, body: Any, servers: ServerLabels) -> str:
-    """Return what is wrong with an object's body, or an empty string."""
+    """Return the first error of an object's body, or an empty string.
+
+    :param servers: labels of each configured server, by its name.
+    """
     if not isinstance(body, dict):
         return "the body must be a JSON object"
     if kind == KIND_POLICY:
@@ -80,13 +83,13 @@
 
 
 class ChangeApplier:
-    """Writes one object at a time to the platform's store."""
+    """Writes configuration objects to the platform's store, one at a time."""
 
     def __init__(self, store: PlatformStore) -> None:
         self._store = store
 
     def put(self, kind: str, name: str, body: dict[str, Any], expected: int) -> ChangeOutcome:
-        """Write an object at version ``expected`` (0: it must be absent)."""
+        """Write an object if its version is ``expected``; 0 means that it must be absent."""
         operation = secrets.token_hex(8)
         try:
             stored = self._store.put(kind, name, body, expected, operation)
@@ -107,7 +110,7 @@
                 if current is not None and current.operation == operation:
                     return ChangeOutcome(results.CHANGE_ACCEPTED, current.version)
                 if (current.version if current else 0) != expected:
-                    # Ours may have been stored and then replaced.
+                    # This change may have been stored and replaced since.
                     return ChangeOutcome(results.CHANGE_UNKNOWN, detail="replaced meanwhile")
                 stored = self._store.put(kind, name, body, expected, operation)
                 return ChangeOutcome(results.CHANGE_ACCEPTED, stored.version)
@@ -116,7 +119,7 @@
         return ChangeOutcome(results.CHANGE_UNKNOWN, detail="the store does not answer")
 
     def delete(self, kind: str, name: str, expected: int) -> ChangeOutcome:
-        """Delete an object at a version."""
+        """Delete an object if its version is ``expected``."""
         try:
             revision = self._store.delete(kind, name, expected, secrets.token_hex(8))
         except VersionConflictError as error:
--- a/ploverhatch/admin/explain.py
+++ b/ploverhatch/admin/explain.py
@@ -1,4 +1,4 @@
-"""Explains what a request or key matches, and why."""
+"""Explains which route, owner and servers a request or key matches."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def explain_request(view: View, method: str, path: str) -> dict[str, Any]:
-    """Explain a request by method and path."""
+    """Return the route that a method and path match, and the explanation of its key."""
     bare, _, query = path.partition("?")
     match = view.policy.match(method, bare) if view.policy else None
     if match is None:
@@ -29,7 +29,7 @@
 
 
 def explain_key(view: View, group: str, key: str) -> dict[str, Any]:
-    """Explain who owns a key, under which token, and which servers may."""
+    """Return the owner of a key, its token, and the servers that are allowed to own it."""
     if view.policy is None or group not in view.policy.groups:
         return {"group": group, "reason": "no such group"}
     key_hash = hash_key(group, key)
--- a/ploverhatch/admin/node_view.py
+++ b/ploverhatch/admin/node_view.py
@@ -1,4 +1,4 @@
-"""What the administration API needs of the node it serves."""
+"""Interfaces of the node that the administration API uses."""
 
 from typing import Any, Protocol
 
@@ -14,15 +14,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests can be routed."""
+        """Whether the node can route requests."""
 
     @property
     def policy(self) -> PolicyTable | None:
-        """The policy in force."""
+        """The policy in force, or ``None`` before the first configuration."""
 
     @property
     def servers(self) -> dict[str, ServerSpec]:
-        """Configured servers."""
+        """The configured servers by name."""
 
     @property
     def state(self) -> ReplicatedState:
@@ -30,25 +30,25 @@
 
 
 class RouterQueues(Protocol):
-    """The router's part."""
+    """The router of the node."""
 
     def queues(self) -> Any:
         """Return the queues by server."""
 
 
 class RenderedMetrics(Protocol):
-    """The node's figures."""
+    """The metrics of the node."""
 
     def render(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the Prometheus text format."""
 
 
 class AdministeredNode(Protocol):
-    """One node, as its administration API sees it."""
+    """The node that the administration API serves."""
 
     @property
     def view(self) -> View:
-        """The node's view."""
+        """The node's view of the cell."""
 
     @property
     def store(self) -> PlatformStore:
@@ -60,14 +60,14 @@
 
     @property
     def metrics(self) -> RenderedMetrics:
-        """The figures."""
+        """The metrics."""
 
     @property
     def leaving(self) -> bool:
         """Whether the node is stopping."""
 
     def report(self) -> wire.ClusterReport:
-        """Return what the node knows of its cell."""
+        """Return the node's report on its cell."""
 
     def update_gauges(self) -> None:
-        """Refresh gauges before they are read."""
+        """Update the gauges before the metrics are rendered."""
--- a/ploverhatch/admin/tokens.py
+++ b/ploverhatch/admin/tokens.py
@@ -1,4 +1,4 @@
-"""Operators' bearer tokens: read from a file, compared in constant time."""
+"""Bearer tokens of operators, read from a file and compared in constant time."""
 
 import hmac
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class Role(IntEnum):
-    """What a token allows; a higher role includes the lower."""
+    """Permissions of a token; a higher role includes the lower ones."""
 
     NONE = 0
     READ = 1
@@ -19,27 +19,31 @@
 
 @dataclass(frozen=True)
 class TokenList:
-    """Known tokens. An empty list allows nothing."""
+    """The valid tokens with their roles. An empty list permits nothing."""
 
     tokens: tuple[tuple[Role, str], ...] = ()
 
     def role_of(self, authorization: str) -> Role:
-        """Return the role of an ``Authorization`` header's token."""
+        """Return the role of the token in an ``Authorization`` header."""
         scheme, _, token = authorization.partition(" ")
-        given = token.strip().encode() if scheme.lower() == "bearer" else b""
+        presented = token.strip().encode() if scheme.lower() == "bearer" else b""
         found = Role.NONE
-        for role, known in self.tokens:  # all are compared, whatever matches
-            if hmac.compare_digest(given, known.encode()):
+        for role, known in self.tokens:  # no early exit: the time must not show which one matched
+            if hmac.compare_digest(presented, known.encode()):
                 found = max(found, role)
         return found
 
 
 class TokenFileError(ValueError):
-    """A line of the token file is not ``read TOKEN`` or ``operate TOKEN``."""
+    """A line of the token file is neither ``read TOKEN`` nor ``operate TOKEN``."""
 
 
 def load_tokens(path: str) -> TokenList:
-    """Read a token file; an empty path gives an empty list."""
+    """Read a token file; an empty path stands for an empty list.
+
+    :raises TokenFileError: if a line is malformed; the message has its number.
+    :raises OSError: if the file can't be read.
+    """
     if not path:
         return TokenList()
     tokens = []
--- a/ploverhatch/cli/bench.py
+++ b/ploverhatch/cli/bench.py
@@ -1,4 +1,4 @@
-"""``ploverhatch bench``: measured slopes of the control costs."""
+"""``ploverhatch bench``: measures how the costs of the control plane grow with the size."""
 
 import json
 from dataclasses import asdict
--- a/ploverhatch/cli/ctl.py
+++ b/ploverhatch/cli/ctl.py
@@ -1,4 +1,4 @@
-"""``ploverhatch ctl``: administer a running cell through any node."""
+"""``ploverhatch ctl``: administers a running cell through any of its nodes."""
 
 import json
 import sys
@@ -20,7 +20,7 @@
 
 
 class AdminClient:
-    """Calls one node's administration API."""
+    """Calls the administration API of one node; ``address`` is ``host:port``."""
 
     def __init__(self, address: str, token: str) -> None:
         host, _, port = address.rpartition(":")
@@ -30,7 +30,7 @@
     def call(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> HttpAnswer:
-        """Send one request; exits with a message when it can not be sent."""
+        """Send one request; exit with a message if it can't be sent or its answer is lost."""
         payload = b"" if body is None else json.dumps(body).encode()
         fields = {"Authorization": f"Bearer {self._token}", **(headers or {})}
         try:
@@ -43,7 +43,7 @@
             sys.exit(EXIT_UNKNOWN)
 
     def read(self, path: str) -> Any:
-        """Read a JSON document, or exit with the problem."""
+        """Return the JSON document at a path, or print the problem and exit."""
         answer = self.call("GET", path)
         if answer.status != 200:
             fail(answer)
@@ -51,7 +51,7 @@
 
 
 def fail(answer: HttpAnswer) -> NoReturn:
-    """Print a problem document and exit by its outcome."""
+    """Print a problem document and exit with the code for its outcome."""
     problem = answer.json()
     code, title = problem.get("code"), problem.get("title")
     click.echo(f"{code} {title} {problem.get('detail', '')}", err=True)
@@ -172,7 +172,7 @@
 
 
 def _wait_in_force(client: AdminClient, generation: int) -> None:
-    """Wait until every node reports a generation, or list those behind."""
+    """Wait until every node reports a generation; after ``WAIT_LIMIT_S`` list the others."""
     end_ms = elapsed_ms() + WAIT_LIMIT_S * 1000
     behind: list[str] = []
     while elapsed_ms() < end_ms:
@@ -181,7 +181,7 @@
         if nodes and not behind:
             click.echo(f"in force on {len(nodes)} nodes")
             return
-        time.sleep(0.1)  # pause between polls, bounded by WAIT_LIMIT_S
+        time.sleep(0.1)
     click.echo(f"behind: {', '.join(behind) or 'no leader is known'}", err=True)
     sys.exit(EXIT_FAILURE)
 
--- a/ploverhatch/cli/demo.py
+++ b/ploverhatch/cli/demo.py
@@ -1,4 +1,4 @@
-"""``ploverhatch demo``: a whole deployment in one process, under load."""
+"""``ploverhatch demo``: runs a whole deployment in one process, under load."""
 
 import secrets
 import sys
@@ -28,7 +28,7 @@
 
 
 def start_nodes(emulated: EmulatedDeployment, tokens_file: str) -> list[Node]:
-    """Start the nodes of a deployment; the first one is the others' seed."""
+    """Start the nodes of a deployment; the first node is the seed of the others."""
     deployment = emulated.deployment
     nodes: list[Node] = []
     for number in range(deployment.nodes_per_zone * len(deployment.zones)):
@@ -46,7 +46,10 @@
 
 
 def wait_until_serving(nodes: list[Node], groups: int, limit_s: float = READY_LIMIT_S) -> bool:
-    """Wait until every node routes, all voters are chosen, all slices owned."""
+    """Wait until all nodes route, the cell has all voters, and all slices have owners.
+
+    :returns: false if ``limit_s`` passes first.
+    """
     end_ms = elapsed_ms() + limit_s * 1000
     while elapsed_ms() < end_ms:
         if all(_serving(node, groups) for node in nodes):
--- a/ploverhatch/cli/emulator.py
+++ b/ploverhatch/cli/emulator.py
@@ -1,8 +1,8 @@
-"""``ploverhatch emulator``: stand-ins of the platform and the back ends."""
+"""``ploverhatch emulator``: emulators of the platform and the back ends."""
 
 import click
 
-from ploverhatch.cli.running import run_until_signal, say_ready, start_logging
+from ploverhatch.cli.running import print_ready, run_until_signal, start_logging
 from ploverhatch.emulator.backend import BackendBehaviour, BackendEmulator
 from ploverhatch.emulator.hop import BareHop
 from ploverhatch.emulator.platform import PlatformEmulator
@@ -10,7 +10,7 @@
 
 @click.group()
 def emulator() -> None:
-    """Run stand-ins for trials and tests."""
+    """Run emulators for trials and tests."""
 
 
 @emulator.command()
@@ -20,7 +20,7 @@
     """Run the platform's object API and machine list."""
     start_logging(False)
     service = PlatformEmulator((host, port))
-    say_ready(port=service.server.port)
+    print_ready(port=service.server.port)
     run_until_signal(service.close)
 
 
@@ -36,7 +36,7 @@
     start_logging(False)
     behaviour = BackendBehaviour(slots=slots, service_ms=service_ms, cold_ms=cold_ms)
     service = BackendEmulator(name, (host, port), behaviour)
-    say_ready(name=name, port=service.port)
+    print_ready(name=name, port=service.port)
     run_until_signal(service.close)
 
 
@@ -48,5 +48,5 @@
     """Run a hop without any routing, the baseline of `benchmarks/hop.py`."""
     start_logging(False)
     service = BareHop((host, port), (host, target_port))
-    say_ready(port=service.port)
+    print_ready(port=service.port)
     run_until_signal(service.close)
--- a/ploverhatch/cli/experiment.py
+++ b/ploverhatch/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``ploverhatch experiment``: placement against baselines, with a report."""
+"""``ploverhatch experiment``: compares slice placement with baselines and writes a report."""
 
 from pathlib import Path
 
--- a/ploverhatch/cli/experiment_keys.py
+++ b/ploverhatch/cli/experiment_keys.py
@@ -1,4 +1,4 @@
-"""``ploverhatch experiment-keys``: placement of keys on noisy servers, in virtual time."""
+"""``ploverhatch experiment-keys``: key placement on noisy servers, in virtual time."""
 
 from pathlib import Path
 
@@ -10,11 +10,13 @@
 
 
 @click.command("experiment-keys")
-@click.option("--seeds", default=2, show_default=True, help="Plays of each, with other luck.")
+@click.option(
+    "--seeds", default=2, show_default=True, help="Runs of each situation, with different seeds."
+)
 @click.option("--situation", type=click.Choice(sorted(SITUATIONS)), multiple=True)
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for report and plot.")
 def experiment_keys(seeds: int, situation: tuple[str, ...], out: str | None) -> None:
-    """Play claims of the shifted deployment by several ways to place keys."""
+    """Simulate the load of the shifted deployment under several strategies of key placement."""
     rows = [
         KeyRow(name, way, KeyWorld(change(SITUATIONS[name], seed)).run())
         for name in (situation or SITUATIONS)
--- a/ploverhatch/cli/experiment_slots.py
+++ b/ploverhatch/cli/experiment_slots.py
@@ -1,4 +1,4 @@
-"""``ploverhatch experiment-slots``: shared slots against other ways to choose a server."""
+"""``ploverhatch experiment-slots``: compares shared slots with other policies of server choice."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -10,8 +10,10 @@
 from ploverhatch.experiment.slots_world import SlotScenario, World
 
 LOADS = (0.5, 0.7, 0.85, 1.0, 1.2)
-SIZES = {10: 4, 100: 34, 1000: 343}  # nodes and servers, as on the large deployment
-LARGEST_CHEAPEST = 100  # nodes: beyond it, a view a node and server takes too long here
+SIZES = {10: 4, 100: 34, 1000: 343}  # servers by nodes, in the ratio of the large deployment
+# The "cheapest" policies keep a view of each server in each node, which takes too long to
+# simulate with more nodes than this.
+MAX_NODES_CHEAPEST = 100
 
 
 @click.command("experiment-slots")
@@ -19,13 +21,13 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for report and plot.")
 def experiment_slots(nodes: tuple[str, ...], seed: int, out: str | None) -> None:
-    """Play claims of the large deployment in virtual time and print a table."""
+    """Simulate the load of the large deployment under each policy and print a table."""
     rows = [
-        _play(replace(SlotScenario(), nodes=size, servers=SIZES[size], load=load, seed=seed), name)
+        _run(replace(SlotScenario(), nodes=size, servers=SIZES[size], load=load, seed=seed), name)
         for size in (map(int, nodes) if nodes else SIZES)
         for load in LOADS
         for name in POLICIES
-        if size <= LARGEST_CHEAPEST or not name.startswith("cheapest")
+        if size <= MAX_NODES_CHEAPEST or not name.startswith("cheapest")
     ]
     table = markdown(rows)
     click.echo(table)
@@ -36,7 +38,7 @@
         (folder / "report.md").write_text(f"{table}\n![slots](slots.png)\n", encoding="utf-8")
 
 
-def _play(scenario: SlotScenario, name: str) -> SlotRow:
+def _run(scenario: SlotScenario, name: str) -> SlotRow:
     world = World(scenario)
     tally = world.run(POLICIES[name](world).take)
     return SlotRow(scenario, name, tally)
--- a/ploverhatch/cli/explain_request.py
+++ b/ploverhatch/cli/explain_request.py
@@ -1,4 +1,4 @@
-"""``ploverhatch explain-request``: one request, from the logs of all nodes."""
+"""``ploverhatch explain-request``: explains one request from the logs of all nodes."""
 
 import re
 import sys
@@ -10,14 +10,14 @@
 from ploverhatch.common.results import RESULTS
 
 FIELD = re.compile(r"(\w+)=(\S+)")
-BELIEF_PARTS = ("[leader]", "[elector]", "[directory]", "[feed]")
-WINDOW_LINES = 12
-TAKEN = re.compile(r"\[callers\] Answers taken\. requests=(\S+)")
+CONTEXT_PARTS = ("[leader]", "[elector]", "[directory]", "[feed]")
+MAX_CONTEXT_LINES = 12
+ANSWERS_TAKEN = re.compile(r"\[callers\] Answers taken\. requests=(\S+)")
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line; ``position`` is where it stands among all that were read."""
+    """A parsed log line; ``position`` is its index in the log."""
 
     position: int
     text: str
@@ -25,7 +25,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> list[LogLine]:
-    """Parse log lines, in the order they came."""
+    """Parse the lines of a log."""
     return [
         LogLine(position, text.rstrip("\n"), dict(FIELD.findall(text)))
         for position, text in enumerate(texts)
@@ -33,43 +33,46 @@
 
 
 def explain(request_id: str, lines: list[LogLine]) -> list[str]:
-    """Return what is known of a request, or nothing."""
-    told = []
+    """Return an explanation of a request in lines; empty if no log line names it."""
+    rows = []
     for line in lines:
         if line.fields.get("request") == request_id:
-            tell = next((tell for mark, tell in STORIES.items() if mark in line.text), _story)
-            told += [line.text, *tell(line)]
-            told += ["what the nodes believed around then:"]
-            told += [f"  {other.text}" for other in _beliefs(line, lines)]
+            describe = next(
+                (found for mark, found in DESCRIPTIONS.items() if mark in line.text),
+                _describe_answer,
+            )
+            rows += [line.text, *describe(line)]
+            rows += ["what the nodes believed around then:"]
+            rows += [f"  {other.text}" for other in _context(line, lines)]
         elif (status := _taken_status(request_id, line.text)) is not None:
-            told += [line.text.partition(" requests=")[0]]
-            told += [f"  answer: {status}, taken by the caller while the process was stopping"]
-    return told
+            rows += [line.text.partition(" requests=")[0]]
+            rows += [f"  answer: {status}, taken by the caller while the process was stopping"]
+    return rows
 
 
 def _taken_status(request_id: str, text: str) -> str | None:
-    """Return the status of a request that a line on many taken answers names."""
-    found = TAKEN.search(text)
+    """Return the status of a request that an "Answers taken." line lists, else ``None``."""
+    found = ANSWERS_TAKEN.search(text)
     statuses = dict(entry.rsplit(":", 1) for entry in found[1].split("|")) if found else {}
     return statuses.get(request_id)
 
 
-Story = Callable[[LogLine], list[str]]
-STORIES: dict[str, Story] = {}  # by what a line holds
+Description = Callable[[LogLine], list[str]]
+DESCRIPTIONS: dict[str, Description] = {}  # by a text that the line contains
 
 
-def story(mark: str) -> Callable[[Story], Story]:
-    """Register how a kind of line is told."""
+def description(mark: str) -> Callable[[Description], Description]:
+    """Register a function that describes the lines that contain a text."""
 
-    def register(tell: Story) -> Story:
-        STORIES[mark] = tell
-        return tell
+    def register(describe: Description) -> Description:
+        DESCRIPTIONS[mark] = describe
+        return describe
 
     return register
 
 
-@story("[callers] Answer not taken.")
-def _untaken(line: LogLine) -> list[str]:
+@description("[callers] Answer not taken.")
+def _describe_untaken(line: LogLine) -> list[str]:
     fields = line.fields
     return [
         f"  answer: {fields.get('status')}, written whole; {fields.get('unacknowledged')} of "
@@ -77,13 +80,13 @@
     ]
 
 
-@story("[callers] Request without answer.")
-def _unanswered(line: LogLine) -> list[str]:
+@description("[callers] Request without answer.")
+def _describe_unanswered(line: LogLine) -> list[str]:
     cause = line.text.partition(" cause=")[2].rpartition(" took_ms=")[0]
     return [f"  no whole answer left, after {line.fields.get('took_ms')} ms: {cause}"]
 
 
-def _story(line: LogLine) -> list[str]:
+def _describe_answer(line: LogLine) -> list[str]:
     fields = line.fields
     result = RESULTS.get(int(fields.get("result", "0")))
     rows = [f"  answer: {fields.get('status')} after {fields.get('took_ms')} ms"]
@@ -105,35 +108,35 @@
     return rows
 
 
-def _beliefs(line: LogLine, lines: list[LogLine]) -> list[LogLine]:
-    """Return the nearest earlier lines about the servers and keys concerned."""
+def _context(line: LogLine, lines: list[LogLine]) -> list[LogLine]:
+    """Return the last earlier lines about the request's service and servers, or leadership."""
     attempts = line.fields.get("attempts", "-")
     servers = {part.partition("@")[0] for part in attempts.split("|")} - {"-"}
     service = line.fields.get("service", "-")
     near = [
         other
         for other in lines[: line.position]
-        if any(part in other.text for part in BELIEF_PARTS)
+        if any(part in other.text for part in CONTEXT_PARTS)
         and (
             other.fields.get("service") == service
             or servers & {other.fields.get("server"), other.fields.get("to")}
             or "Leadership" in other.text
         )
     ]
-    return near[-WINDOW_LINES:]
+    return near[-MAX_CONTEXT_LINES:]
 
 
 @click.command("explain-request")
 @click.argument("request_id")
 @click.argument("logs", nargs=-1, required=True, type=click.File("r"))
 def explain_request(request_id: str, logs: tuple[Iterable[str], ...]) -> None:
-    """Tell what happened to a request: who took it, what was believed, each attempt.
+    """Explain a request: its answer, each attempt, and what the nodes knew at the time.
 
     LOGS are the logs of the nodes, each in order of time. Exit code 1 when no
-    line names the request: then it went the ordinary way, or was never read.
+    line names the request: it was served without incident, or never read.
     """
-    told = [row for log in logs for row in explain(request_id, read_lines(log))]
-    if not told:
+    rows = [row for log in logs for row in explain(request_id, read_lines(log))]
+    if not rows:
         click.echo("no line names this request: it was ordinary, or was never read", err=True)
         sys.exit(1)
-    click.echo("\n".join(told))
+    click.echo("\n".join(rows))
--- a/ploverhatch/cli/explain_stops.py
+++ b/ploverhatch/cli/explain_stops.py
@@ -1,4 +1,4 @@
-"""``ploverhatch explain-stops``: what planned stops left behind, from the logs of all nodes."""
+"""``ploverhatch explain-stops``: unanswered work of planned stops, from the logs of all nodes."""
 
 import re
 import sys
@@ -17,25 +17,25 @@
 
 @dataclass
 class Stops:
-    """What the logs tell of planned stops."""
+    """Planned stops that the logs show."""
 
-    ended: list[tuple[str, dict[str, str]]] = field(default_factory=list)  # node, figures
-    unfinished: set[str] = field(default_factory=set)  # nodes that stop, and may have been killed
-    killed: list[str] = field(default_factory=list)  # nodes that began to stop and started anew
-    cut: list[str] = field(default_factory=list)  # requests that the end of a process cut
+    ended: list[tuple[str, dict[str, str]]] = field(default_factory=list)  # node, log fields
+    unfinished: set[str] = field(default_factory=set)  # nodes whose stop has no end in the log
+    killed: list[str] = field(default_factory=list)  # nodes that started again before that end
+    cut: list[str] = field(default_factory=list)  # requests in flight when a process exited
 
     @property
     def busy(self) -> list[str]:
-        """Nodes that ended with requests under way."""
+        """Nodes that stopped with requests in flight."""
         return [node for node, figures in self.ended if figures.get("busy", "0") != "0"]
 
     @property
     def clean(self) -> bool:
-        """Whether every stop answered all that it had taken, in its time."""
+        """Whether every stop finished in time and answered all accepted requests."""
         return not (self.busy or self.cut or self.killed)
 
-    def take(self, text: str) -> None:
-        """Take a log line."""
+    def add_line(self, text: str) -> None:
+        """Count a log line; the lines of a node must come in order of time."""
         found = NODE.search(text)
         node = found[1] if found else "-"
         if STOPPING in text:
@@ -55,17 +55,17 @@
     stops = Stops()
     for log in logs:
         for text in log:
-            stops.take(text)
+            stops.add_line(text)
     return stops
 
 
 @click.command("explain-stops")
 @click.argument("logs", nargs=-1, required=True, type=click.File("r"))
 def explain_stops(logs: tuple[Iterable[str], ...]) -> None:
-    """Tell what each planned stop left behind.
+    """Report on the planned stops of nodes.
 
-    LOGS are the logs of the nodes. Exit code 1 when one ended with requests under way, cut
-    one, or was killed before it ended.
+    LOGS are the logs of the nodes, each in order of time. Exit code 1 when a stop ended with
+    requests in flight, cut a request, or was killed before it ended.
     """
     stops = read_stops(logs)
     for node, figures in stops.ended:
--- a/ploverhatch/cli/gateway.py
+++ b/ploverhatch/cli/gateway.py
@@ -1,4 +1,4 @@
-"""``ploverhatch gateway``: run one gateway process by hand."""
+"""``ploverhatch gateway``: runs one gateway process from the command line."""
 
 import sys
 
@@ -19,9 +19,9 @@
 )
 @click.option("--check", is_flag=True, help="Only check the settings.")
 def gateway(settings: str, check: bool) -> None:
-    """Run one gateway: it serves callers, and may lead.
+    """Run one gateway, which serves callers and may become the leader.
 
-    SIGTERM stops it as planned; SIGHUP reads the settings again.
+    SIGTERM starts a planned stop; SIGHUP reads the settings again.
     """
     try:
         if check:
--- a/ploverhatch/cli/load.py
+++ b/ploverhatch/cli/load.py
@@ -1,4 +1,4 @@
-"""``ploverhatch load``: bounded traffic against running routers."""
+"""``ploverhatch load``: sends traffic to running routers for a bounded time."""
 
 import ipaddress
 import sys
@@ -27,7 +27,7 @@
 @click.option("--scale", default=1.0, show_default=True, help="Factor on all rates.")
 @click.option("--seed", default=1, show_default=True)
 def load(settings: str, router: tuple[str, ...], duration: float, scale: float, seed: int) -> None:
-    """Send a deployment's traffic and print what callers saw.
+    """Send a deployment's traffic and print a summary of the answers.
 
     Traffic goes to loopback addresses only.
     """
--- a/ploverhatch/cli/node.py
+++ b/ploverhatch/cli/node.py
@@ -1,11 +1,11 @@
-"""``ploverhatch node``: run one node."""
+"""``ploverhatch node``: runs one node."""
 
 import sys
 
 import click
 
 from ploverhatch.admin.tokens import TokenFileError
-from ploverhatch.cli.running import run_until_signal, say_ready, start_logging
+from ploverhatch.cli.running import print_ready, run_until_signal, start_logging
 from ploverhatch.node.process import Node
 from ploverhatch.settings.loader import SettingsError, load_settings
 
@@ -35,9 +35,10 @@
     tokens_file: str | None,
     verbose: bool,
 ) -> None:
-    """Run one node: it routes, observes, and may vote.
+    """Run one node, which routes requests and may become a voter of its cell.
 
-    SIGTERM stops it as planned: duties are handed on, requests in flight end.
+    SIGTERM starts a planned stop: other nodes take over its duties, and requests in
+    flight are answered first.
     """
     start_logging(verbose)
     overrides = {
@@ -57,7 +58,7 @@
         click.echo(str(error), err=True)
         sys.exit(2)
     running.start()
-    say_ready(
+    print_ready(
         node=running.node_id,
         port=running.member.port,
         http_port=running.member.http_port,
--- a/ploverhatch/cli/platform_gateway.py
+++ b/ploverhatch/cli/platform_gateway.py
@@ -1,7 +1,7 @@
-"""Runs a gateway process on the users' platform.
+"""Entry point of a gateway process on the platform.
 
-This entry point leaves ``click`` out: memory is priced on these machines, and
-the platform passes no arguments. ``ploverhatch gateway`` is the same by hand.
+It doesn't import ``click``, since memory is priced on these machines and the platform passes no
+arguments. ``ploverhatch gateway`` does the same from the command line.
 """
 
 import gc
@@ -20,9 +20,9 @@
 
 
 def run(path: str) -> None:
-    """Run until stopped.
+    """Run a gateway until it is stopped.
 
-    :raises SettingsFileError: when the settings are wrong.
+    :raises SettingsFileError: if the settings are invalid.
     """
     source = SettingsFile(path)
     settings = source.read()
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """Run with the settings file that the platform names."""
+    """Run with the settings file that the platform's environment variable names."""
     path = os.environ.get(names.SETTINGS_VARIABLE, "")
     try:
         run(path)
--- a/ploverhatch/cli/policy.py
+++ b/ploverhatch/cli/policy.py
@@ -1,4 +1,4 @@
-"""``ploverhatch policy``: check, print and explain policies offline."""
+"""``ploverhatch policy``: checks, prints and explains policies without a running cell."""
 
 import sys
 from pathlib import Path
@@ -49,7 +49,7 @@
 @click.argument("method")
 @click.argument("target")
 def explain(path: str, method: str, target: str) -> None:
-    """Tell what a request would match, and why."""
+    """Show the route, group and key that a request would match."""
     bare, _, query = target.partition("?")
     match = _compile(path).table.match(method.upper(), bare)
     if match is None:
--- a/ploverhatch/cli/running.py
+++ b/ploverhatch/cli/running.py
@@ -1,4 +1,4 @@
-"""Shared by commands that run until a signal: logging, readiness, signals."""
+"""Logging, the ready line and signals of the commands that run until they are stopped."""
 
 import gc
 import json
@@ -11,11 +11,11 @@
 from absl import flags, logging
 from gevent.event import Event
 
-YOUNG_OBJECTS = 20_000
+YOUNG_OBJECTS = 20_000  # allocations before a collection of the youngest generation
 
 
 def start_logging(verbose: bool) -> None:
-    """Log to standard error; the ready line alone goes to standard output."""
+    """Log to standard error; only the ready line goes to standard output."""
     flags.FLAGS.mark_as_parsed()  # click parses the command line, not absl
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO if verbose else logging.WARNING)
@@ -23,26 +23,26 @@
 
 
 def tune_collector() -> None:
-    """Keep full garbage collections rare: they pause all requests.
+    """Make full garbage collections rare, since they pause all requests.
 
-    What exists after start-up lives on and is not looked at again.
+    Objects that exist after start-up are exempt from later collections.
     """
     gc.collect()
     gc.freeze()
     gc.set_threshold(YOUNG_OBJECTS, 20, 100)
 
 
-def say_ready(**fields: object) -> None:
-    """Print one JSON line that tells ports and identities; start-up is over."""
+def print_ready(**fields: object) -> None:
+    """Print the ready line: a JSON object with ``fields``, such as ports and ids."""
     tune_collector()
     click.echo(json.dumps({"ready": True, **fields}))
     sys.stdout.flush()
 
 
 def run_until_signal(on_stop: Callable[[], bool]) -> None:
-    """Wait for SIGTERM or SIGINT, stop as planned, and exit.
+    """Wait for SIGTERM or SIGINT, call ``on_stop``, and exit the process.
 
-    Exit code 0 when the stop was clean, else 1.
+    The exit code is 0 if ``on_stop`` returns true, else 1.
     """
     stopping = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/ploverhatch/cli/simulate.py
+++ b/ploverhatch/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``ploverhatch simulate``: run fault schedules under virtual time."""
+"""``ploverhatch simulate``: runs fault schedules in virtual time."""
 
 import sys
 from collections import Counter
@@ -12,9 +12,9 @@
 @click.option("--seeds", default="0:20", show_default=True, help="FIRST:LAST, last excluded.")
 @click.option("--fault", multiple=True, type=click.Choice(sorted(FAULTS)), help="Only these.")
 def simulate(seeds: str, fault: tuple[str, ...]) -> None:
-    """Run one schedule of faults per seed; a failing seed replays exactly.
+    """Run one schedule of faults per seed; a failing seed can be replayed exactly.
 
-    Exit code 1 when a promise was broken or a key was not served again.
+    Exit code 1 when an invariant was violated or a key was not served again.
     """
     first, _, last = seeds.partition(":")
     outcomes: Counter[str] = Counter()
--- a/ploverhatch/cli/simulate_keys.py
+++ b/ploverhatch/cli/simulate_keys.py
@@ -1,4 +1,4 @@
-"""``ploverhatch simulate-keys``: fault schedules on who holds which keys."""
+"""``ploverhatch simulate-keys``: runs fault schedules of key ownership in virtual time."""
 
 import sys
 
@@ -11,10 +11,10 @@
 @click.option("--seeds", default="0:20", show_default=True, help="FIRST:LAST, last excluded.")
 @click.option("--fault", multiple=True, type=click.Choice(sorted(FAULTS)), help="Only these.")
 def simulate_keys(seeds: str, fault: tuple[str, ...]) -> None:
-    """Run one schedule of faults per seed under virtual time.
+    """Run one schedule of faults per seed in virtual time.
 
-    A failing seed replays exactly. Exit code 1 when two servers held a key, a
-    token did not rise, or a key was not served again.
+    A failing seed can be replayed exactly. Exit code 1 when two servers held a key
+    at once, a token did not rise, or a key was not served again.
     """
     first, _, last = seeds.partition(":")
     numbers = range(int(first), int(last))
--- a/tests/functional/test_platform_contract.py
+++ b/tests/functional/test_platform_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the platform adapter, with its faults in a table."""
+"""Contract of the adapter to the platform's store, including its failures."""
 
 import gevent
 import pytest
@@ -91,7 +91,7 @@
 
 
 class DownOnceLost(PlatformFaults):
-    """Faults that take the store down in the same step that loses an answer."""
+    """Faults under which the store goes down as soon as it loses an answer."""
 
     def __setattr__(self, name, value):
         lost = name == "lose_answers" and value < getattr(self, name, 0)
