--- a/ploverhatch/simulation/__init__.py
+++ b/ploverhatch/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The decision code under virtual time and a simulated network."""
+"""Simulation of the decision code in virtual time, on a simulated network."""
--- a/ploverhatch/simulation/availability.py
+++ b/ploverhatch/simulation/availability.py
@@ -1,8 +1,7 @@
-"""How long keys are unavailable after one event, in virtual time.
+"""Simulates for how long keys are unavailable after an event, in virtual time.
 
-Every key is requested every 10 ms through a node that the event spares; the
-unavailable time of a key is its longest pause between answers around the
-event, less that interval.
+Each key is requested every 10 ms through a node that is up and not cut off. The unavailable time
+of a key is the longest interval between two answers after the event, less 10 ms.
 """
 
 from collections.abc import Callable
@@ -21,7 +20,10 @@
 
 @dataclass(frozen=True)
 class Unavailability:
-    """Unavailable times of the keys that the event touched, in ms."""
+    """Unavailable times of the keys that an event affects, in milliseconds.
+
+    ``keys`` counts these keys over all runs, and ``failed`` the failed requests for any key.
+    """
 
     event: str
     keys: int
@@ -46,7 +48,7 @@
 
 
 def kill_server(cluster: Cluster) -> set[str]:
-    """Kill a server for good."""
+    """Kill a server permanently."""
     name = _largest_owner(cluster)
     cluster.servers[name].kill()
     return {name}
@@ -60,20 +62,20 @@
 
 
 def kill_leader(cluster: Cluster) -> set[str]:
-    """Kill the control leader for good; all keys count."""
+    """Kill the control leader permanently; all keys are affected."""
     name = next(name for name, node in cluster.nodes.items() if node.core.replica.is_leader)
     cluster.nodes[name].kill()
     return set(cluster.servers)
 
 
 def kill_leader_and_server(cluster: Cluster) -> set[str]:
-    """Kill the control leader and a server at once."""
+    """Kill the control leader and a server at the same time."""
     kill_leader(cluster)
     return kill_server(cluster)
 
 
 def lose_zone(cluster: Cluster) -> set[str]:
-    """Cut a zone off both ways; the keys of its servers count."""
+    """Cut a zone off in both directions; the keys of its servers are affected."""
     cut_zone(cluster)
     zone = next(source for source, _ in cluster.world.faults.cuts)
     isolated = {
@@ -100,13 +102,13 @@
 
 
 def measure(event: str, seeds: range) -> Unavailability:
-    """Run an event once per seed."""
+    """Simulate an event, one of ``EVENTS``, once per seed."""
     gaps: list[float] = []
     failed = 0
     for seed in seeds:
-        more, lost = _run(event, seed)
-        gaps += more
-        failed += lost
+        run_gaps, run_failed = _run(event, seed)
+        gaps += run_gaps
+        failed += run_failed
     values = numpy.array(gaps or [0.0])
     return Unavailability(
         event=event,
@@ -123,14 +125,14 @@
     world = cluster.world
     answers: dict[tuple[str, int], list[float]] = {}
     failed = [0]
-    touched: set[str] = set()
+    affected: set[str] = set()
     owners: dict[tuple[str, int], str] = {}
 
     def start_event() -> None:
         for key in cluster.all_keys():
             found = cluster.look_up(key, world.random)
             owners[key] = found[0] if found else ""
-        touched.update(EVENTS[event](cluster))
+        affected.update(EVENTS[event](cluster))
 
     def probe() -> None:
         world.after(PROBE_MS, probe)
@@ -142,7 +144,7 @@
     world.run_until(END_MS)
     gaps = []
     for key, moments in answers.items():
-        if owners[key] in touched:
+        if owners[key] in affected:
             around = [moment for moment in sorted(moments) if moment > EVENT_MS - 500]
             pauses = [later - earlier for earlier, later in zip(around, around[1:], strict=False)]
             gaps.append(max(0.0, max(pauses) - PROBE_MS))
@@ -156,12 +158,12 @@
     failed: list[int],
 ) -> None:
     cuts = cluster.world.faults.cuts
-    spared = [
+    usable = [
         name
         for name, node in cluster.nodes.items()
         if node.alive and not all((node.zone, other) in cuts for other in _others(node.zone))
     ]
-    name = cluster.world.random.choice(spared)
+    name = cluster.world.random.choice(usable)
 
     def answered(_result: str, outcome: Outcome) -> None:
         if outcome is Outcome.DONE:
--- a/ploverhatch/simulation/checker.py
+++ b/ploverhatch/simulation/checker.py
@@ -1,7 +1,7 @@
-"""Independent judge of a simulated run.
+"""Checks the invariants of a simulated run, independently of the code under test.
 
-It sees what the servers executed, what the log committed, what callers were
-told and which configuration each node had; it uses no state of the decisions.
+The checker receives executions at the servers, committed log entries, answers to callers and the
+configurations of the nodes. It uses no state of the decision code.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass
 class Run:
-    """One execution on a server. ``ended_ms`` is open while it runs."""
+    """One execution of a request on a server; ``ended_ms`` is infinite while it runs."""
 
     server: str
     boot_id: str
@@ -25,7 +25,7 @@
 
 @dataclass
 class Checker:
-    """Collects violations as sentences."""
+    """Collects violations of invariants as sentences."""
 
     violations: list[str] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
@@ -38,7 +38,7 @@
     _leaders: dict[tuple[int, int], str] = field(default_factory=dict)
 
     def started(self, run: Run) -> None:
-        """A server began to execute a request."""
+        """Note that a server started to execute a request."""
         self.runs.append(run)
         for other in self._open.get(run.key, []):
             if other.boot_id != run.boot_id:
@@ -55,21 +55,21 @@
             self._fault(run, f"{run.request_id} ran after it was answered not-run")
 
     def ended(self, run: Run, now_ms: float) -> None:
-        """An execution ended, or its server was killed or frozen."""
+        """Note that an execution ended, or that its server was killed or frozen."""
         run.ended_ms = now_ms
         running = self._open.get(run.key, [])
         if run in running:
             running.remove(run)
 
     def answered_not_run(self, request_ids: list[str], now_ms: float) -> None:
-        """A caller was told that none of these attempts ran or will run."""
+        """Note that a caller's answer states that none of these attempts ran or will run."""
         ran = {run.request_id for run in self.runs} & set(request_ids)
         if ran:
             self.violations.append(f"{now_ms:.1f}: {sorted(ran)} ran, answered not-run")
         self._refused.update(request_ids)
 
     def committed(self, node: str, epoch: int, entry: wire.LogEntry, now_ms: float) -> None:
-        """A node applied an entry."""
+        """Note that a node applied a committed entry."""
         identity = (epoch, int(entry.index))
         value = (int(entry.term), int(entry.kind), bytes(entry.payload))
         known = self._entries.setdefault(identity, value)
@@ -77,13 +77,13 @@
             self.violations.append(f"{now_ms:.1f}: {node} committed another entry at {identity}")
 
     def leading(self, node: str, epoch: int, term: int, now_ms: float) -> None:
-        """A node became leader of a term."""
+        """Note that a node became the leader of a term."""
         known = self._leaders.setdefault((epoch, term), node)
         if known != node:
             self.violations.append(f"{now_ms:.1f}: {known} and {node} lead term {term}")
 
     def configured(self, process: str, generation: int, now_ms: float) -> None:
-        """A process has a configuration in force."""
+        """Note the configuration that a process has in force."""
         known = self._generations.get(process, 0)
         if generation < known:
             self.violations.append(
--- a/ploverhatch/simulation/cluster.py
+++ b/ploverhatch/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: platform, nodes, servers, callers, faults."""
+"""A simulated deployment: the platform, nodes, servers and callers."""
 
 import json
 import random
@@ -33,7 +33,7 @@
 
 @dataclass
 class SimulatedPlatform:
-    """The platform's store: cell object and configuration, linearizable."""
+    """The platform's store with the cell object and the configuration; it is linearizable."""
 
     up: bool = True
     generation: int = 1
@@ -54,7 +54,10 @@
         return [policy, *servers]
 
     def found_epoch(self, expected: int, node_id: str) -> bool:
-        """Found the next epoch by compare-and-set."""
+        """Start the next epoch with one voter if the cell object has version ``expected``.
+
+        :returns: whether the epoch was started.
+        """
         if self.cell_version != expected:
             return False
         self.cell_version += 1
@@ -63,7 +66,7 @@
         return True
 
     def record_voters(self, epoch: int, voter_ids: tuple[str, ...]) -> bool:
-        """Record the voters of the current epoch."""
+        """Store the voters of an epoch; false if the epoch is not the current one."""
         if epoch != self.epoch:
             return False
         if voter_ids != self.voter_ids:
@@ -73,7 +76,7 @@
 
 
 class Cluster:
-    """All simulated processes, and the callers."""
+    """All simulated processes and the callers of one run."""
 
     def __init__(self, seed: int, nodes: int = 5, servers: int = 4) -> None:
         self.world = World(seed)
@@ -100,7 +103,7 @@
     # ---- processes ---------------------------------------------------------------------
 
     def start_node(self, name: str, zone: str) -> None:
-        """Start a node process, with nothing remembered."""
+        """Start a node process with no state."""
         self._starts[name] += 1
         node = SimulatedNode(
             self.world, name, zone, self._starts[name], self, self.timing, self.limits,
@@ -110,30 +113,33 @@
         self.routers[name] = SimulatedRouter(node, self)
 
     def start_server(self, name: str, zone: str) -> None:
-        """Start a server process, with nothing remembered."""
+        """Start a server process with no state."""
         self._starts[name] += 1
         self.servers[name] = SimulatedServer(
             self.world, name, zone, self._starts[name], self.checker, RATE_ERROR
         )
 
     def restart_node(self, name: str) -> None:
-        """Kill a node and start its successor at once."""
+        """Kill a node and start it again immediately, with no state."""
         zone = self.nodes[name].zone
         self.nodes[name].kill()
         self.start_node(name, zone)
 
     def restart_server(self, name: str) -> None:
-        """Kill a server and start its successor at once."""
+        """Kill a server and start it again immediately, with no state."""
         zone = self.servers[name].zone
         self.servers[name].kill()
         self.start_server(name, zone)
 
     def platform_reachable(self, zone: str) -> bool:
-        """Tell whether nodes of a zone reach the platform."""
+        """Return whether the nodes of a zone reach the platform."""
         return self.platform.up and zone not in self.cut_platform
 
     def change_configuration(self) -> None:
-        """Make an operator's change: toggle the drain of some server."""
+        """Change the configuration as an operator would: toggle the drain of a random server.
+
+        At most one server is drained at a time.
+        """
         name = self.world.random.choice(sorted(self.platform.servers))
         body = self.platform.servers[name]
         drained = sum(bool(item.get("drain")) for item in self.platform.servers.values())
@@ -143,14 +149,14 @@
     # ---- lookups of routers ------------------------------------------------------------
 
     def supposed_leader(self, chooser: random.Random) -> SimulatedNode | None:
-        """Return a node that says it leads, or any node now and then."""
+        """Return a node that considers itself the leader, or sometimes any node."""
         leaders = [node for node in self.nodes.values() if node.core.replica.is_leader]
         if leaders and chooser.random() < 0.9:
             return chooser.choice(leaders)
         return chooser.choice(list(self.nodes.values()))
 
     def look_up(self, key: tuple[str, int], chooser: random.Random) -> tuple[str, int] | None:
-        """Return owner and token of a key as some node sees it."""
+        """Return the owner and token of a key as known to a random node."""
         node = chooser.choice(list(self.nodes.values()))
         found = node.core.replica.state.assignments.find(*key)
         return (found.server, found.token) if found and found.server else None
@@ -167,7 +173,7 @@
         self._send(key, f"once-{self._requests}" if once else "", MAX_REPEATS)
 
     def all_keys(self) -> list[tuple[str, int]]:
-        """Return every key that callers use."""
+        """Return all keys that callers use."""
         return [
             (group, hash_key(group, f"k{number}"))
             for group in ("permits", "reads")
@@ -190,10 +196,10 @@
         repeats: int,
         until_ms: float = 0.0,
     ) -> None:
-        """Send through some node; repeat with the same key unless it is done.
+        """Send a request through a random node and repeat it under its idempotency key on failure.
 
-        Repeats keep to the window in which callers may repeat: after an epoch
-        was lost, claims are refused for as long.
+        Callers may repeat a request only within ``REPEAT_WINDOW_MS``: after the loss of an epoch
+        claims are refused for that time, so that no repeat runs twice.
         """
         until_ms = until_ms or self.world.now_ms + REPEAT_WINDOW_MS - MAX_REQUEST_MS
         name = self.world.random.choice(list(self.nodes))
--- a/ploverhatch/simulation/faults.py
+++ b/ploverhatch/simulation/faults.py
@@ -1,4 +1,7 @@
-"""Fault schedules: named faults, alone or together, and random ones."""
+"""Fault schedules: named faults, alone or combined, and random schedules.
+
+A fault changes the cluster and returns a function that ends the fault, or ``None``.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,51 +12,51 @@
 Fault = Callable[[Cluster], Callable[[], None] | None]
 
 
-def _some_node(cluster: Cluster) -> str:
+def _random_node(cluster: Cluster) -> str:
     return cluster.world.random.choice(sorted(cluster.nodes))
 
 
 def _leader(cluster: Cluster) -> str:
     leaders = [name for name, node in cluster.nodes.items() if node.core.replica.is_leader]
-    return leaders[0] if leaders else _some_node(cluster)
+    return leaders[0] if leaders else _random_node(cluster)
 
 
-def _some_server(cluster: Cluster) -> str:
+def _random_server(cluster: Cluster) -> str:
     return cluster.world.random.choice(sorted(cluster.servers))
 
 
 def kill_node(cluster: Cluster) -> None:
-    """Kill a node; its successor starts with nothing."""
-    cluster.restart_node(_some_node(cluster))
+    """Kill a node and start it again with no state."""
+    cluster.restart_node(_random_node(cluster))
 
 
 def kill_leader(cluster: Cluster) -> None:
-    """Kill the leader; its successor starts with nothing."""
+    """Kill the leader and start it again with no state."""
     cluster.restart_node(_leader(cluster))
 
 
 def freeze_node(cluster: Cluster) -> Callable[[], None]:
-    """Pause a node and let it go on later."""
-    node = cluster.nodes[_some_node(cluster)]
+    """Pause a node and resume it later."""
+    node = cluster.nodes[_random_node(cluster)]
     node.freeze()
     return node.thaw
 
 
 def freeze_leader(cluster: Cluster) -> Callable[[], None]:
-    """Pause the leader and let it go on later."""
+    """Pause the leader and resume it later."""
     node = cluster.nodes[_leader(cluster)]
     node.freeze()
     return node.thaw
 
 
 def kill_server(cluster: Cluster) -> None:
-    """Kill a server; its successor starts with nothing."""
-    cluster.restart_server(_some_server(cluster))
+    """Kill a server and start it again with no state."""
+    cluster.restart_server(_random_server(cluster))
 
 
 def freeze_server(cluster: Cluster) -> Callable[[], None]:
-    """Pause a server and let it go on as if nothing had happened."""
-    server = cluster.servers[_some_server(cluster)]
+    """Pause a server and resume it later with its state."""
+    server = cluster.servers[_random_server(cluster)]
     server.freeze()
     return server.thaw
 
@@ -68,20 +71,20 @@
 
 
 def cut_zone(cluster: Cluster) -> Callable[[], None]:
-    """Cut a zone off from the others, both ways."""
+    """Cut a zone off from the others, in both directions."""
     zone = cluster.world.random.choice(ZONES)
     others = [other for other in ZONES if other != zone]
     return _cut(cluster, {pair for other in others for pair in ((zone, other), (other, zone))})
 
 
 def cut_one_way(cluster: Cluster) -> Callable[[], None]:
-    """Lose what one zone sends to another."""
+    """Lose all messages from one zone to another, in one direction."""
     source, target = cluster.world.random.sample(ZONES, 2)
     return _cut(cluster, {(source, target)})
 
 
 def platform_down(cluster: Cluster) -> Callable[[], None]:
-    """Take the platform's store away."""
+    """Make the platform's store unavailable."""
     cluster.platform.up = False
 
     def heal() -> None:
@@ -91,7 +94,7 @@
 
 
 def lossy_network(cluster: Cluster) -> Callable[[], None]:
-    """Lose, repeat and hold back messages."""
+    """Lose, duplicate and delay messages."""
     faults = cluster.world.faults
     faults.loss, faults.repeat, faults.late = 0.05, 0.05, 0.02
 
@@ -102,12 +105,12 @@
 
 
 def change_configuration(cluster: Cluster) -> None:
-    """Make an operator's change."""
+    """Change the configuration as an operator would."""
     cluster.change_configuration()
 
 
 def lose_all_voters(cluster: Cluster) -> None:
-    """Kill every node at once, which is past what the cell tolerates."""
+    """Kill all nodes at once, which is more than the cell tolerates without a new epoch."""
     for name in sorted(cluster.nodes):
         cluster.restart_node(name)
 
@@ -133,7 +136,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """How a run ended."""
+    """The result of a run. ``runs`` counts executions, ``outcomes`` answers by result name."""
 
     seed: int
     violations: tuple[str, ...]
@@ -143,7 +146,7 @@
 
     @property
     def clean(self) -> bool:
-        """Tell whether nothing was violated and every key is served again."""
+        """Whether no invariant was violated and every key is served again."""
         return not self.violations and not self.unserved
 
 
@@ -161,7 +164,7 @@
 
 
 def run_faults(seed: int, names: tuple[str, ...]) -> Verdict:
-    """Inject the named faults close together, twice, and judge the run."""
+    """Inject the named faults close together, twice, and return the verdict."""
     cluster = Cluster(seed)
     world = cluster.world
     for round_number in range(2):
@@ -173,7 +176,7 @@
 
 
 def run_seed(seed: int) -> Verdict:
-    """Inject random faults for a while and judge the run."""
+    """Inject 3 to 13 random faults and return the verdict."""
     cluster = Cluster(seed)
     world = cluster.world
     count = world.random.randrange(3, 14)
@@ -187,7 +190,7 @@
 
 
 def _finish(cluster: Cluster, seed: int) -> Verdict:
-    """Let faults end, heal everything, and see whether all keys are served."""
+    """Run until the faults have ended, then check whether every key is served again."""
     world = cluster.world
     world.run_until(SETTLE_MS + FAULTY_MS)
     cluster.platform.up = True
--- a/ploverhatch/simulation/keys/cell.py
+++ b/ploverhatch/simulation/keys/cell.py
@@ -1,4 +1,4 @@
-"""A whole simulated cell, and the independent judgement of what it did."""
+"""A simulated cell of nodes, servers and a store, with an independent check of its invariants."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class KeyCell:
-    """Nodes, servers and a store under one seed."""
+    """Nodes, servers and a store of one run; all random draws depend on the seed."""
 
     def __init__(self, seed: int, nodes: int = 4, servers: int = 5) -> None:
         self.world = World(seed)
@@ -26,13 +26,13 @@
         self.journal = Journal()
         self.servers: dict[str, SimKeyServer] = {}
         self.nodes: dict[str, SimKeyNode] = {}
-        self.cuts: set[tuple[str, str]] = set()  # (node, server's life)
-        self.evacuated: set[str] = set()  # lives of servers that are to get nothing
-        self.unresponsive: set[str] = set()  # lives that are taken to answer no callers
+        self.cuts: set[tuple[str, str]] = set()  # (node, incarnation of a server)
+        self.evacuated: set[str] = set()  # incarnations that must not hold keys
+        self.unresponsive: set[str] = set()  # incarnations reported as unresponsive
         self.hot_key: int | None = None
         self.late_fraction = 0.0
         self._starts = 0
-        self._stale: dict[str, ServerRecord] = {}  # entries of lives that are over, by name
+        self._stale: dict[str, ServerRecord] = {}  # entries of ended incarnations, by name
         self._last_served: dict[int, float] = {}
         for number in range(servers):
             self.start_server(port=9000 + number)
@@ -42,7 +42,7 @@
     # ---- members ------------------------------------------------------------------------
 
     def start_server(self, port: int, name: str = "") -> SimKeyServer:
-        """Start a server with a new name, or a life of one that has a name."""
+        """Start a server under a new name, or a new incarnation of the server ``name``."""
         self._starts += 1
         drift = self.world.random.uniform(1.0, MAX_DRIFT)
         incarnation = (
@@ -55,7 +55,10 @@
     def restart_under_same_name(
         self, server: SimKeyServer, port: int, down_ms: float, entry_ms: float
     ) -> None:
-        """Crash a server; it starts again under its name, and its entry tells so later."""
+        """Crash a server and start it again under its name after ``down_ms``.
+
+        Its entry in the store shows the ended incarnation for ``entry_ms`` longer.
+        """
         name = registered_name(server.incarnation)
         self._stale[name] = self._record(server)
         server.crash()
@@ -63,9 +66,9 @@
         def start() -> None:
             fresh = self.start_server(port, name)
             fresh.recorded = False
-            self.world.after(entry_ms, lambda: tell(fresh))
+            self.world.after(entry_ms, lambda: update_entry(fresh))
 
-        def tell(fresh: SimKeyServer) -> None:
+        def update_entry(fresh: SimKeyServer) -> None:
             self._stale.pop(name, None)
             fresh.recorded = True
 
@@ -76,21 +79,21 @@
         return lambda: _discard(self.start_server(port))
 
     def start_node(self, name: str) -> SimKeyNode:
-        """Start a node, or start it again."""
+        """Start a node with no state, for the first time or again."""
         self._starts += 1
         node = SimKeyNode(self, name, self._starts)
         self.nodes[name] = node
         return node
 
     def kill_node(self, name: str, down_ms: float) -> None:
-        """Kill a node; it starts again, with nothing, after a while."""
+        """Kill a node and start it again with no state after ``down_ms``."""
         if not self.nodes[name].alive:
             return  # it is down already, and will start again
         self.nodes[name].kill()
         self.world.after(down_ms, lambda: _discard(self.start_node(name)))
 
     def records(self) -> list[ServerRecord]:
-        """Return what servers have registered; a crashed one is gone after a while."""
+        """Return the entries of servers in the store, some of them of ended incarnations."""
         present = [
             self._record(server)
             for server in self.servers.values()
@@ -111,14 +114,14 @@
         )
 
     def rates(self) -> dict[int, float]:
-        """Return requests a second by key, with a hot one if there is one."""
+        """Return requests per second by key; the hot key, if any, has ``HOT_RATE``."""
         rates = dict.fromkeys(SAMPLE_KEYS, 1.0)
         if self.hot_key is not None:
             rates[self.hot_key] = HOT_RATE
         return rates
 
     def leader(self) -> str | None:
-        """Return the name of a node that leads."""
+        """Return the name of a node with a leader's authority, or ``None``."""
         return next((name for name, node in self.nodes.items() if node.has_authority), None)
 
     # ---- calls to servers -----------------------------------------------------------------
@@ -129,9 +132,9 @@
         found = self._listening(holder)
         if found is None:
             return CallOutcome.NOT_LISTENING
-        # A call names the server, not its life: any life of it takes the call.
-        meant = registered_name(found.incarnation) == registered_name(holder.server_id)
-        return found if meant else CallOutcome.OTHER_INSTANCE
+        # A call names the server, not its incarnation, so any incarnation of it accepts the call.
+        same = registered_name(found.incarnation) == registered_name(holder.server_id)
+        return found if same else CallOutcome.OTHER_INSTANCE
 
     def _listening(self, holder: Holder) -> SimKeyServer | None:
         """Return the server at a holder's address."""
@@ -139,12 +142,12 @@
         return next((server for server in up if server.port == holder.port), None)
 
     def incarnation_at(self, holder: Holder) -> str:
-        """Return the life that listens at a holder's address; empty where none does."""
+        """Return the incarnation that listens at a holder's address; empty if none does."""
         found = self._listening(holder)
         return found.incarnation if found is not None else ""
 
     def server_for_requests(self, holder: Holder) -> SimKeyServer | None:
-        """Return the server that a request for a holder reaches, which may be a later life."""
+        """Return the server that requests for a holder reach, possibly a later incarnation."""
         if holder.server_id not in self.servers:
             return None
         found = self._listening(holder)
@@ -154,7 +157,7 @@
         return found if same else self.servers[holder.server_id]
 
     def can_connect(self, node: SimKeyNode, holder: Holder) -> bool:
-        """Whether something answers at a holder's address."""
+        """Return whether a server accepts connections at a holder's address."""
         reached = self._reach(node, holder)
         return reached not in {CallOutcome.NO_ANSWER, CallOutcome.NOT_LISTENING}
 
@@ -165,7 +168,10 @@
         apply: Callable[[SimKeyServer, bool], CallOutcome],
         answer: Callable[[CallOutcome], None],
     ) -> None:
-        """Carry a grant to a server; some are carried out late and not answered."""
+        """Deliver a grant to a server.
+
+        A fraction ``late_fraction`` of the grants is applied late and not answered.
+        """
 
         def arrive() -> None:
             reached = self._reach(node, holder)
@@ -187,7 +193,7 @@
     def deliver_release(
         self, node: SimKeyNode, action: SendRelease, answer: Callable[[CallOutcome], None]
     ) -> None:
-        """Carry a release to a server."""
+        """Deliver a release to a server; a fraction ``late_fraction`` gets no answer in time."""
         name = action.range_id
         answered: list[CallOutcome] = []
 
@@ -209,20 +215,20 @@
 
         self.world.after(self.world.random.uniform(0.2, 2.0), arrive)
 
-    # ---- judgement ------------------------------------------------------------------------
+    # ---- checks ---------------------------------------------------------------------------
 
     def served(self, key: int) -> None:
-        """A server started a request."""
+        """Note that a server started a request on a key."""
         self._last_served[key] = self.world.now_ms
 
     def unserved(self, since_ms: float) -> list[int]:
-        """Return the keys on which no request was started lately."""
+        """Return the keys on which no request was started since a time."""
         return [key for key in SAMPLE_KEYS if self._last_served.get(key, -1.0) < since_ms]
 
     def violations(self) -> list[str]:
-        """Judge from the servers' own records alone."""
+        """Return the violations that the servers' own records show."""
         return find_violations(self.journal.holds)
 
 
 def _discard(_: object) -> None:
-    """Make a task of a call whose value nobody needs."""
+    """Discard a value, so that a call with a result can serve as a task."""
--- a/ploverhatch/simulation/keys/faults.py
+++ b/ploverhatch/simulation/keys/faults.py
@@ -1,4 +1,7 @@
-"""Faults of the key simulation: named, alone, in pairs, or at random."""
+"""Faults of the key simulation, and schedules of named or random faults.
+
+A fault changes the cell and returns a function that ends the fault.
+"""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -13,10 +16,10 @@
 START_MS = 4000.0
 FAULT_MS = 5000.0
 MAX_FAULT_MS = 18_000.0
-SETTLE_MS = 34_000.0  # longest wait for leases that several lost leaders may have renewed
+SETTLE_MS = 34_000.0  # bounds the wait for leases that several lost leaders may have renewed
 CHECK_MS = 3000.0
-MAX_ENTRY_DELAY_MS = 1300.0  # servers write their entries so often
-STOP_MS = (2600.0, 5400.0)  # from the signal of a planned stop to the end of the process
+MAX_ENTRY_DELAY_MS = 1300.0  # servers write their entries at least this often
+STOP_MS = (2600.0, 5400.0)  # from the signal of a planned stop to the exit of the process
 
 
 def _some_node(cell: KeyCell) -> str:
@@ -50,7 +53,7 @@
 
 
 def stop_leader(cell: KeyCell) -> Heal:
-    """Stop the leader as planned; its process ends some time later, and starts again."""
+    """Start a planned stop of the leader; its process exits later and starts again."""
     name = _leader_or_some(cell)
     node = cell.nodes[name]
     node.stop()
@@ -71,21 +74,21 @@
 
 
 def freeze_leader(cell: KeyCell) -> Heal:
-    """Pause the leader and let it go on later."""
+    """Pause the leader and resume it later."""
     node = cell.nodes[_leader_or_some(cell)]
     node.freeze()
     return node.thaw
 
 
 def suspend_leader(cell: KeyCell) -> Heal:
-    """The leader's machine is suspended, and its timers stand still with it."""
+    """Suspend the leader's machine, which stops its timers too."""
     node = cell.nodes[_leader_or_some(cell)]
     node.suspend()
     return node.thaw
 
 
 def suspend_all(cell: KeyCell) -> Heal:
-    """All machines are suspended, one after the other, for as long each."""
+    """Suspend all machines at random times within 2 s, and resume them likewise."""
     nodes = list(cell.nodes.values())
     for node in nodes:
         cell.world.after(cell.world.random.uniform(0, 2000.0), node.suspend)
@@ -116,7 +119,7 @@
 
 
 def store_down(cell: KeyCell) -> Heal:
-    """The store does not answer."""
+    """Make the store unavailable."""
     cell.store.faults.down = True
 
     def heal() -> None:
@@ -126,7 +129,7 @@
 
 
 def store_slow(cell: KeyCell) -> Heal:
-    """The store answers slowly."""
+    """Make the store answer slowly."""
     before = cell.store.faults.delay_ms
     cell.store.faults.delay_ms = 300.0
 
@@ -137,7 +140,7 @@
 
 
 def store_loses_answers(cell: KeyCell) -> Heal:
-    """Some writes are done and not answered, some of them seconds later."""
+    """Leave some writes unanswered; in some runs they are applied seconds later."""
     cell.store.faults.lost = 0.35
     cell.store.faults.late = cell.world.random.random() < 0.6
 
@@ -148,7 +151,7 @@
 
 
 def restart_server(cell: KeyCell) -> Heal:
-    """A server crashes; a new life starts at its address."""
+    """Crash a server; a server with a new name starts at its address."""
     server = cell.servers[_some_server(cell)]
     server.crash()
     delay = cell.world.random.uniform(50, 4000)
@@ -157,7 +160,7 @@
 
 
 def rebirth(cell: KeyCell) -> Heal:
-    """A server crashes and starts again under its name, twice; its entry lags behind."""
+    """Crash a server and restart it under its name, twice; its entry in the store is late."""
     server = cell.servers[_some_server(cell)]
     name, chance = registered_name(server.incarnation), cell.world.random
 
@@ -190,13 +193,13 @@
 
 
 def cut_server(cell: KeyCell) -> Heal:
-    """A server cannot be reached by leaders; requests still reach it."""
+    """Cut a server off from all nodes as leaders; requests still reach it."""
     incarnation = _some_server(cell)
     return _cut(cell, {(name, incarnation) for name in cell.nodes})
 
 
 def split_leader(cell: KeyCell) -> Heal:
-    """The leader loses the store; only it still reaches some of the servers."""
+    """Cut the leader off from the store, and all other nodes off from up to two servers."""
     leader = _leader_or_some(cell)
     incarnations = {_some_server(cell), _some_server(cell)}
     heal_cut = _cut(
@@ -218,7 +221,7 @@
 
 
 def drain_server(cell: KeyCell) -> Heal:
-    """A server announces that it leaves, and ends later."""
+    """Have a server announce that it is leaving and exit later; another one replaces it."""
     server = cell.servers[_some_server(cell)]
     server.draining = True
     cell.world.after(4000.0, server.crash)
@@ -227,7 +230,7 @@
 
 
 def evacuate(cell: KeyCell) -> Heal:
-    """About half of the servers are to get nothing for a while, which stays up."""
+    """Evacuate about half of the servers, which stay up."""
     chosen = [incarnation for incarnation, server in cell.servers.items() if server.up]
     cell.evacuated = set(chosen[::2])
 
@@ -238,7 +241,7 @@
 
 
 def false_silence(cell: KeyCell) -> Heal:
-    """Servers are taken to answer no callers, though they do."""
+    """Report up to two servers as unresponsive, although they answer."""
     cell.unresponsive = {_some_server(cell), _some_server(cell)}
 
     def heal() -> None:
@@ -248,7 +251,7 @@
 
 
 def late_orders(cell: KeyCell) -> Heal:
-    """Some orders get no answer and are carried out seconds later."""
+    """Leave some grants and releases unanswered; such grants are applied seconds later."""
     cell.late_fraction = 0.4
 
     def heal() -> None:
@@ -258,7 +261,7 @@
 
 
 def hot_key(cell: KeyCell) -> Heal:
-    """One key gets most of the traffic."""
+    """Report most of the traffic for one key."""
     cell.hot_key = cell.world.random.choice(sorted(cell.rates()))
 
     def heal() -> None:
@@ -297,7 +300,7 @@
 
 @dataclass(frozen=True)
 class KeyVerdict:
-    """What a schedule showed."""
+    """The result of a schedule. ``unserved`` holds the keys that were not served again."""
 
     seed: int
     faults: tuple[str, ...]
@@ -307,12 +310,12 @@
 
     @property
     def clean(self) -> bool:
-        """No promise broken, and every key served again."""
+        """Whether no invariant was violated and every key was served again."""
         return not self.violations and not self.unserved
 
 
 def run_schedule(seed: int, names: Sequence[str]) -> KeyVerdict:
-    """Bring about faults at random moments, heal them, and judge."""
+    """Inject faults at random times, end them, and return the verdict."""
     cell = KeyCell(seed)
     world = cell.world
     world.run_until(START_MS)
@@ -343,7 +346,7 @@
 
 
 def run_seed(seed: int) -> KeyVerdict:
-    """Run one to five faults that the seed draws."""
+    """Run a schedule of one to five random faults."""
     world = KeyCell(seed, nodes=0, servers=0).world
     count = world.random.randint(1, 5)
     names = [world.random.choice(sorted(FAULTS)) for _ in range(count)]
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -1,4 +1,4 @@
-"""A simulated node: the product's decisions, with virtual time around them."""
+"""A simulated node: the decision code of a gateway in virtual time."""
 
 from dataclasses import replace
 from functools import partial
@@ -39,14 +39,14 @@
 SLOW_CONNECT_FRACTION = 0.1
 CALL_TIMEOUT_MS = 600.0
 LATE_ORDER_MS = (2000.0, 12_000.0)
-MOVES_LIMIT_MS = 1000.0  # for moves under way at a planned stop, as in gateways
+MOVES_LIMIT_MS = 1000.0  # for unfinished moves at a planned stop, as in gateways
 BEACON_MS = 250.0
 BEACON_LOSS = 0.1
 BEACON_DELAY_MS = (0.2, 3.0)
 
 
 class SimKeyNode(Process):
-    """One life of a node."""
+    """One incarnation of a node."""
 
     def __init__(self, cell: "KeyCell", name: str, incarnation: int) -> None:
         super().__init__(cell.world, "zone", CLOCK_RATE_ERROR)
@@ -58,16 +58,16 @@
         self.keymap = KeyMap(SERVICE)
         self.known_ended: set[str] = set()
         self._term = 0
-        self._connected_to: dict[
-            str, str
-        ] = {}  # by holder: the life that the kept connection is to
+        # By holder: the incarnation at the other end of the open connection.
+        self._connected_to: dict[str, str] = {}
         self._no_claim_before_ms = 0.0
         self._busy = False
         self._loading = False
         self._last_read_ms = -1e12
         self._contact_ms = self.now_ms
-        self._moves_end_ms: float | None = None  # from a planned stop on: end of its moves
-        self.granted: frozenset[int] = frozenset()  # tokens, as the leader tells
+        # The time limit of the moves, once a planned stop has begun.
+        self._moves_end_ms: float | None = None
+        self.granted: frozenset[int] = frozenset()  # tokens that the leader has granted
         cell.store.watchers[name] = self._on_change
         self._list()
         self._every(TICK_MS, self._tick)
@@ -77,7 +77,7 @@
 
     @property
     def now_ms(self) -> float:
-        """This node's own elapsed clock."""
+        """The time by this node's own elapsed clock, in milliseconds."""
         return self.clock.read()
 
     def _every(self, period_ms: float, task: Task) -> None:
@@ -88,7 +88,7 @@
         self.later(self.world.random.uniform(0, period_ms), run)
 
     def _list(self) -> None:
-        """Read the map when the node starts; changes are told by a watch."""
+        """Read the key map when the node starts; a watch delivers later changes."""
 
         def listed(result: StoreResult, item: StoredItem | None) -> None:
             if result is not StoreResult.DONE:
@@ -102,11 +102,11 @@
 
     @property
     def has_authority(self) -> bool:
-        """Whether grants may be sent right now."""
+        """Whether this node may send grants as the leader now."""
         return election.has_authority(self.state, self.now_ms)
 
     def stop(self) -> None:
-        """Stop as planned: end the moves that were begun, then give the lease back."""
+        """Start a planned stop: finish the moves that were begun, then release the lease."""
         self._moves_end_ms = self.now_ms + MOVES_LIMIT_MS
 
     def _release_when_done(self) -> None:
@@ -203,7 +203,7 @@
         self.state = election.stepped_down(self.state)
 
     def _start_leading(self) -> None:
-        """Read the map, then lead with a core of its own for this term."""
+        """Read the key map, then lead with a new core for this term."""
         core, term = LeaderCore(), self.state.seen.term
         self._connected_to.clear()
 
@@ -222,10 +222,10 @@
         self._loading = True
         self.cell.store.read(self.name, SERVICE, self._answer(loaded))
 
-    # ---- the leader's word ----------------------------------------------------------------
+    # ---- beacons of the leader ------------------------------------------------------------
 
     def _send_beacons(self) -> None:
-        """Tell the others that this node's map is current, as the relay does."""
+        """Send the leader's lease, map revision and granted tokens to all other nodes."""
         if not self.has_authority or self.core is None:
             return
         self._contact_ms = self.now_ms
@@ -234,11 +234,11 @@
         self.granted = self.core.granted(SERVICE)
         promoted = self.core.promoted(SERVICE)
         self._note_promoted(map_revision, promoted)
-        told = (self.state.seen.revision, renewed_age_ms, map_revision, self.granted, promoted)
+        beacon = (self.state.seen.revision, renewed_age_ms, map_revision, self.granted, promoted)
         for node in list(self.cell.nodes.values()):
             if node is not self and self.world.random.random() >= BEACON_LOSS:
                 delay_ms = self.world.random.uniform(*BEACON_DELAY_MS)
-                self.world.after(delay_ms, partial(node.receive_beacon, *told, self.world.now_ms))
+                self.world.after(delay_ms, partial(node.receive_beacon, *beacon, self.world.now_ms))
 
     def receive_beacon(
         self,
@@ -249,21 +249,21 @@
         promoted: frozenset[int],
         sent_ms: float,
     ) -> None:
-        """Take a beacon; a paused process reads it late and knows how old it is."""
+        """Apply a beacon; a process that was paused applies it late and accounts for its age."""
 
-        def take() -> None:
+        def apply() -> None:
             if lease_revision < self.state.relayed_revision:
                 return
-            said_ms = self.now_ms - (self.world.now_ms - sent_ms)
+            own_sent_ms = self.now_ms - (self.world.now_ms - sent_ms)
             self.state = election.observe_renewal(
-                self.state, lease_revision, said_ms - renewed_age_ms
+                self.state, lease_revision, own_sent_ms - renewed_age_ms
             )
             self.granted = granted
             self._note_promoted(map_revision, promoted)
             if self.keymap.revision >= map_revision:
-                self._contact_ms = max(self._contact_ms, said_ms)
+                self._contact_ms = max(self._contact_ms, own_sent_ms)
 
-        self.do(take)
+        self.do(apply)
 
     def _note_promoted(self, map_revision: int, tokens: frozenset[int]) -> None:
         if self.keymap.revision == map_revision:
@@ -272,11 +272,11 @@
     # ---- leading --------------------------------------------------------------------------
 
     def _on_change(self, name: str, item: StoredItem) -> None:
-        def take() -> None:
+        def apply() -> None:
             if name == SERVICE and item.revision > self.keymap.revision:
                 self.keymap = replace(item.value, revision=item.revision)
 
-        self.do(take)
+        self.do(apply)
 
     def _tick(self) -> None:
         self._release_when_done()
@@ -352,10 +352,10 @@
             if not self.cell.can_connect(self, action.holder):
                 ended(CallOutcome.NO_ANSWER)  # nothing was sent
                 return
-            right = self.has_authority and core.may_send(
+            permitted = self.has_authority and core.may_send(
                 action.holder, action.range_id, action.renewal
             )
-            if not right:
+            if not permitted:
                 ended(CallOutcome.NOT_SENT)
                 return
             core.grant_sent(action.holder, self.now_ms)
@@ -372,7 +372,7 @@
         self.later(self._connect_ms(), connected)
 
     def _has_broken(self, holder: Holder, incarnation: str) -> bool:
-        """Whether the kept connection to a holder has ended since it was used last."""
+        """Return whether the open connection to a holder has closed since its last use."""
         before = self._connected_to.get(holder.server_id, incarnation)
         self._connected_to[holder.server_id] = incarnation
         return before != incarnation
--- a/ploverhatch/simulation/keys/server.py
+++ b/ploverhatch/simulation/keys/server.py
@@ -1,6 +1,6 @@
-"""A simulated server that holds keys under leases, and a record of what it did.
+"""A simulated server that holds keys under leases, and a record of its holds.
 
-Keys are followed at sample points, since every call is about a whole range.
+Only a sample of the keys is recorded, since every call concerns a whole range of keys.
 """
 
 from collections.abc import Callable
@@ -16,32 +16,32 @@
 
 @dataclass
 class Hold:
-    """One span of time in which a server's life held a key."""
+    """A period in which one incarnation of a server held a key."""
 
     incarnation: str
     key: int
     token: int
     since_ms: float
-    until_ms: float  # moves as the lease is renewed, and ends early on a release
-    late: bool  # taken from an order that was carried out late
-    proven_until_ms: float = 0.0  # the same without renewals that were carried out late
+    until_ms: float  # extended as the lease is renewed, shortened by a release
+    late: bool  # whether it began with a grant that was applied late
+    proven_until_ms: float = 0.0  # like until_ms, without renewals that were applied late
     starts_ms: list[float] = field(default_factory=list)
 
     def end(self, now_ms: float) -> None:
-        """The hold ends, at the latest now."""
+        """End the hold now, unless it ended earlier."""
         self.until_ms = min(self.until_ms, now_ms)
         self.proven_until_ms = min(self.proven_until_ms, now_ms)
 
 
 @dataclass
 class Journal:
-    """What all servers did, for the checker."""
+    """The holds of all servers, for the check of exclusive ownership."""
 
     holds: list[Hold] = field(default_factory=list)
 
 
 class SimKeyServer:
-    """One life of a server at an address."""
+    """One incarnation of a server at an address."""
 
     def __init__(
         self, world: World, journal: Journal, incarnation: str, port: int, drift: float
@@ -53,13 +53,13 @@
         self.drift = drift
         self.up = True
         self.draining = False
-        self.recorded = True  # whether its entry is that of this life
+        self.recorded = True  # whether the entry in the store is that of this incarnation
         self._seen: dict[int, int] = {}
         self._held: dict[int, Hold] = {}
         self._running: dict[int, int] = {}
 
     def crash(self) -> None:
-        """End at once."""
+        """End the process, and with it all holds."""
         self.up = False
         for hold in self._held.values():
             hold.end(self.world.now_ms)
@@ -68,7 +68,7 @@
     def grant(
         self, first: int, last: int, token: int, hold_ms: float, late: bool = False
     ) -> CallOutcome:
-        """Take keys, or refuse when a higher token was seen."""
+        """Accept a grant of keys, or refuse it if a higher token was seen for one of them."""
         keys = [key for key in SAMPLE_KEYS if first <= key <= last]
         if any(self._seen.get(key, 0) > token for key in keys):
             return CallOutcome.REFUSED
@@ -89,10 +89,12 @@
         return CallOutcome.DONE
 
     def release(self, first: int, last: int, token: int, answer: Callable[[], None]) -> None:
-        """Stop new work on keys; answer when what runs on them has ended."""
+        """Refuse new requests on keys; answer when the running ones have ended."""
         keys = [key for key in SAMPLE_KEYS if first <= key <= last]
         for key in keys:
-            self._seen[key] = max(self._seen.get(key, 0), token)  # as measured, see docs
+            self._seen[key] = max(
+                self._seen.get(key, 0), token
+            )  # as the servers of the platform do
             hold = self._held.pop(key, None)
             if hold is not None:
                 hold.end(self.world.now_ms)
@@ -105,14 +107,14 @@
             answer()
 
     def holding(self, key: int) -> Hold | None:
-        """Return the present hold of a key, or ``None``."""
+        """Return the current hold of a key, or ``None``."""
         hold = self._held.get(key)
         if not self.up or hold is None or hold.until_ms <= self.world.now_ms:
             return None
         return hold
 
     def request(self, key: int) -> bool:
-        """Run a request if the key is held; false when it is not."""
+        """Start a request if the key is held; false if it isn't."""
         hold = self.holding(key)
         if hold is None:
             return False
--- a/ploverhatch/simulation/keys/store.py
+++ b/ploverhatch/simulation/keys/store.py
@@ -1,4 +1,4 @@
-"""A simulated store with compare-and-set, and the ways in which it fails."""
+"""A simulated store with compare-and-set, and its faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,27 +13,27 @@
 
 
 class StoreResult(Enum):
-    """How a call ended for its caller."""
+    """Result of a call to the store."""
 
     DONE = "done"
     CONFLICT = "conflict"
-    FAILED = "failed"  # nothing was done
-    UNKNOWN = "unknown"  # it may have been done, or be done later
+    FAILED = "failed"  # the call had no effect
+    UNKNOWN = "unknown"  # the write may have been applied, or be applied later
 
 
 @dataclass
 class StoreFaults:
-    """Faults in force."""
+    """The faults in force."""
 
     down: bool = False
     delay_ms: float = ANSWER_MS
-    lost: float = 0.0  # share of writes that are done and not answered
-    late: bool = False  # such writes are done seconds later
+    lost: float = 0.0  # fraction of writes that are applied but not answered
+    late: bool = False  # whether those writes are applied seconds later
 
 
 @dataclass(frozen=True)
 class StoredItem:
-    """One object."""
+    """A stored object with the revision of its last change."""
 
     value: Any
     revision: int
@@ -43,14 +43,14 @@
 
 
 class SimStore:
-    """Objects by name; every change raises one counter of revisions."""
+    """Objects by name; all changes take their revisions from one counter."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.faults = StoreFaults()
         self.items: dict[str, StoredItem] = {}
         self.revision = 0
-        self.cut: set[str] = set()  # nodes that are cut off
+        self.cut: set[str] = set()  # nodes that can't reach the store
         self.watchers: dict[str, Callable[[str, StoredItem], None]] = {}
 
     def _reachable(self, node: str) -> bool:
@@ -70,7 +70,7 @@
         self.world.after(delay, serve)
 
     def write(self, node: str, name: str, value: Any, revision: int, answer: Answer) -> None:
-        """Write one object if it is at ``revision``; 0: if there is none."""
+        """Write one object if its revision is ``revision``; 0 means that it must be absent."""
 
         def serve() -> None:
             if not self._reachable(node):
@@ -111,7 +111,7 @@
         def deliver() -> None:
             if self._reachable(node):
                 watcher(name, item)
-            else:  # a watch goes on where it broke off
+            else:  # a watch that breaks is resumed from the last change it delivered
                 self.world.after(500.0, deliver)
 
         return deliver
--- a/ploverhatch/simulation/keys/violations.py
+++ b/ploverhatch/simulation/keys/violations.py
@@ -1,7 +1,7 @@
-"""Judges who held which keys, from the servers' own records alone.
+"""Checks exclusive ownership of keys by the servers' own records alone.
 
-Independent of the product's decisions; used by the simulation and by the soak
-over real processes.
+The check is independent of the decision code. The simulation uses it, and so does the soak test
+with real processes.
 """
 
 from collections import defaultdict
@@ -14,14 +14,17 @@
 
 
 def find_violations(holds: Iterable[Hold]) -> list[str]:
-    """Return what was broken: two holders at once, or a token that did not rise."""
+    """Return the violations: two holders of a key at once, or a token that did not rise.
+
+    An overlap of up to ``OVERLAP_MS`` is tolerated unless both holders started requests in it.
+    """
     by_key: dict[int, list[Hold]] = defaultdict(list)
     for hold in holds:
         by_key[hold.key].append(hold)
     found = []
-    for of_key in by_key.values():
-        found += _token_violations(of_key)
-        for first, second in combinations(of_key, 2):
+    for key_holds in by_key.values():
+        found += _token_violations(key_holds)
+        for first, second in combinations(key_holds, 2):
             found += _overlap_violations(first, second)
     return found
 
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -1,4 +1,4 @@
-"""Simulated node: the control core under virtual time, with a platform task."""
+"""A simulated node: the control core in virtual time, with tasks around it."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -33,7 +33,7 @@
 
 
 class SimulatedNode(Process):
-    """One node process lifetime."""
+    """One incarnation of a node process."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
             self._consider_founding()
 
     def leads(self) -> bool:
-        """Tell whether this node leads and may act."""
+        """Return whether this node leads and may act as the leader."""
         return self.core.replica.has_lease(self.clock.read())
 
     def _propose_configuration(self) -> None:
@@ -109,7 +109,7 @@
         if platform.record_voters(membership.epoch, voter_ids):
             self.core.cell_recorded(frozenset(voter_ids))
 
-    # ---- founding --------------------------------------------------------------------
+    # ---- start of an epoch ---------------------------------------------------------------
 
     def _consider_founding(self) -> None:
         now_ms = self.clock.read()
@@ -158,11 +158,11 @@
         self.act(self.core.peer_message(sender, message, self.clock.read()))
 
     def submit(self, proposal: Proposal) -> None:
-        """Commit a command for a router."""
+        """Propose a command of a router."""
         self.act(self.core.propose([proposal], self.clock.read()))
 
     def act(self, actions: list[CoreAction]) -> None:
-        """Carry out the core's actions."""
+        """Execute the actions of the core."""
         for action in actions:
             match action:
                 case Send(recipient, message):
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -1,7 +1,7 @@
-"""Simulated router: attempts and records under virtual time.
+"""A simulated router: attempts and idempotency records in virtual time.
 
-Its lookups are stale on purpose: with some probability it uses an owner it
-saw long ago, as a router does that was paused or cut off.
+Some lookups are stale on purpose: with probability ``STALE_LOOKUP`` the router uses an owner
+that it found earlier, as a router does that was paused or cut off.
 """
 
 from collections.abc import Callable
@@ -32,10 +32,10 @@
 
 @dataclass
 class PendingRequest:
-    """One caller's request at one router."""
+    """A caller's request at a router."""
 
     key: tuple[str, int]
-    idempotency_key: str  # empty: repeatable
+    idempotency_key: str  # empty if the request may run more than once
     claim_id: str
     state: RequestState
     answer: Answer
@@ -44,7 +44,7 @@
 
 
 class SimulatedRouter:
-    """Serves requests inside one node process."""
+    """Serves requests inside a node process."""
 
     def __init__(self, node: SimulatedNode, cluster: "Cluster") -> None:
         self._node = node
@@ -54,7 +54,7 @@
         self._clocks: dict[str, tuple[float, float]] = {}
 
     def serve(self, key: tuple[str, int], idempotency_key: str, answer: Answer) -> None:
-        """Serve one request; runs in the node's process."""
+        """Serve a request; must be called in the node's process."""
         now_ms = self._node.clock.read()
         state = RequestState(
             once=bool(idempotency_key),
@@ -102,7 +102,7 @@
         until_ms: float,
         done: Callable[[ClaimResult | None], None],
     ) -> None:
-        """Send a command to a supposed leader until it is answered or too late."""
+        """Send a command to the supposed leader, repeatedly until an answer or ``until_ms``."""
         if self._node.clock.read() >= until_ms:
             done(None)
             return
--- a/ploverhatch/simulation/server.py
+++ b/ploverhatch/simulation/server.py
@@ -1,4 +1,4 @@
-"""Simulated back end: the grant book under virtual time, with executions."""
+"""A simulated back end: the grant book in virtual time, and executions of requests."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 
 
 class SimulatedServer(Process):
-    """One server process lifetime."""
+    """One incarnation of a server process."""
 
     def __init__(
         self, world: World, name: str, zone: str, boot: int, checker: Checker, rate_error: float
@@ -26,12 +26,12 @@
         self._seen: set[str] = set()
 
     def kill(self) -> None:
-        """End the process; what runs ends with it."""
+        """End the process and all executions in it."""
         super().kill()
         self._interrupt()
 
     def freeze(self) -> None:
-        """Pause the process; nothing executes while it is paused."""
+        """Pause the process; its executions count as ended for the checker."""
         super().freeze()
         self._interrupt()
 
@@ -40,11 +40,11 @@
             self._checker.ended(run, self.world.now_ms)
 
     def sync(self, request: SyncRequest, reply: Callable[[SyncReply], None]) -> None:
-        """Handle a leader's call."""
+        """Handle a call of a leader."""
         reply(self.book.sync(request, self.clock.read()))
 
     def cancel(self, request_id: str) -> bool:
-        """Cancel a request; true if it never ran nor will."""
+        """Cancel a request; true if it neither ran nor will run."""
         if request_id in self._seen:
             return False
         self._cancelled.add(request_id)
@@ -59,7 +59,7 @@
         not_after_ms: float,
         reply: Callable[[Refusal, float], None],
     ) -> None:
-        """Judge a request and run it; ``reply`` gets the refusal and our clock."""
+        """Execute a request or refuse it; ``reply`` gets the refusal and this server's clock."""
         now_ms = self.clock.read()
         if request_id in self._cancelled:
             reply(Refusal.CANCELLED, now_ms)
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -1,7 +1,7 @@
-"""Virtual time, and a network that delays, loses, repeats and cuts.
+"""Virtual time, and a simulated network that delays, loses, duplicates and blocks messages.
 
-Everything random comes from one generator seeded per run, so a seed replays
-exactly. Times are milliseconds of true time.
+All random draws of a run come from one seeded generator, so a run can be replayed exactly by its
+seed. Times are in milliseconds of virtual time, which the clocks of processes only approximate.
 """
 
 import heapq
@@ -14,17 +14,17 @@
 
 @dataclass
 class NetworkFaults:
-    """Probabilities and cuts in force."""
+    """Probabilities of message faults, and blocked pairs of zones."""
 
     loss: float = 0.0
     repeat: float = 0.0
-    late: float = 0.0  # message held back for long, as by a paused sender
+    late: float = 0.0  # delayed by up to ``late_ms``, as by a paused sender
     late_ms: float = 4000.0
     cuts: set[tuple[str, str]] = field(default_factory=set)  # (from zone, to zone)
 
 
 class World:
-    """The event queue."""
+    """The event queue, the network and the random generator of one run."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -37,12 +37,12 @@
         self.local_delay_ms = 0.1
 
     def after(self, delay_ms: float, task: Task) -> None:
-        """Run a task later."""
+        """Run a task after a delay in virtual time."""
         self._sequence += 1
         heapq.heappush(self._queue, (self.now_ms + delay_ms, self._sequence, task))
 
     def run_until(self, end_ms: float) -> None:
-        """Run all tasks due before ``end_ms``."""
+        """Run all tasks that are due by ``end_ms``."""
         while self._queue and self._queue[0][0] <= end_ms:
             self.now_ms, _, task = heapq.heappop(self._queue)
             task()
@@ -51,10 +51,10 @@
     def transmit(
         self, source_zone: str, target_zone: str, deliver: Task, repeatable: bool = True
     ) -> None:
-        """Carry a message between zones, subject to the faults.
+        """Deliver a message between zones, subject to the faults.
 
-        :param repeatable: false for what travels on one stream of its own and
-            so can be lost or late, but not arrive twice.
+        :param repeatable: false for a message on a stream of its own, which can be lost or
+            delayed, but never arrives twice.
         """
         self.messages += 1
         if (source_zone, target_zone) in self.faults.cuts:
@@ -74,7 +74,7 @@
 
 
 class Clock:
-    """A process's elapsed clock: own offset, and a rate within the drift bound."""
+    """The elapsed clock of a process, with a random offset and a rate within the drift bound."""
 
     def __init__(self, world: World, rate_error: float) -> None:
         self._world = world
@@ -82,16 +82,15 @@
         self._offset = world.random.uniform(1e5, 1e7)
 
     def read(self) -> float:
-        """Return the clock's value; the time of a suspension counts."""
+        """Return the clock's value in milliseconds, including the time of suspensions."""
         return self._world.now_ms * self._rate + self._offset
 
 
 class Process:
-    """Something that can be killed, frozen and thawed.
+    """A simulated process that can be killed, frozen and thawed.
 
-    While frozen, what happens to it waits; thawed, it goes on as if nothing
-    had happened. A process whose machine is suspended is frozen, and its timers
-    stand still too: thawed, each is late by as long as it stood.
+    The tasks of a frozen process are queued and run when it is thawed. A process whose machine
+    is suspended is frozen too, and its timers stop: each is late by the time of the suspension.
     """
 
     def __init__(self, world: World, zone: str, rate_error: float) -> None:
@@ -102,10 +101,10 @@
         self.frozen = False
         self._backlog: list[Task] = []
         self._suspended_at_ms: float | None = None
-        self._past_suspensions_ms = 0.0  # in suspensions that are over
+        self._past_suspensions_ms = 0.0  # total of the suspensions that are over
 
     def do(self, task: Task) -> None:
-        """Run a task in this process, when it runs at all."""
+        """Run a task in this process: at once, when it is thawed, or never if it was killed."""
         if not self.alive:
             return
         if self.frozen:
@@ -114,7 +113,7 @@
             task()
 
     def later(self, delay_ms: float, task: Task) -> None:
-        """Run a task in this process after a delay by its timers."""
+        """Run a task in this process after a delay by its timers, which stop in suspensions."""
         self._wait_awake(delay_ms, self.suspended_ms, task)
 
     def _wait_awake(self, delay_ms: float, known_ms: float, task: Task) -> None:
@@ -129,14 +128,14 @@
 
     @property
     def suspended_ms(self) -> float:
-        """For how long its machine was suspended so far."""
+        """For how long the machine has been suspended in total."""
         since_ms = self._suspended_at_ms
         return self._past_suspensions_ms + (
             0.0 if since_ms is None else self.world.now_ms - since_ms
         )
 
     def kill(self) -> None:
-        """End the process with all its memory."""
+        """End the process; its queued tasks are dropped."""
         self.alive = False
         self._backlog.clear()
 
@@ -145,13 +144,13 @@
         self.frozen = True
 
     def suspend(self) -> None:
-        """Pause the process with its machine."""
+        """Pause the process by a suspension of its machine, which stops its timers too."""
         self.freeze()
         if self._suspended_at_ms is None:
             self._suspended_at_ms = self.world.now_ms
 
     def thaw(self) -> None:
-        """Continue the process."""
+        """Resume the process and run its queued tasks."""
         self._past_suspensions_ms, self._suspended_at_ms = self.suspended_ms, None
         self.frozen = False
         backlog, self._backlog = self._backlog, []
--- a/tests/unit/test_golden_sessions.py
+++ b/tests/unit/test_golden_sessions.py
@@ -1,8 +1,7 @@
-"""Golden files of whole sessions: what happened to one key, in order.
+"""Golden files of simulated sessions: the events that concern one key, in order.
 
-Recorded from the simulation, without times and with tokens numbered by first
-use, so that only a change of behaviour changes a file. To accept one, run with
-UPDATE_GOLDEN=1 and read the difference.
+The files contain no times, and tokens are numbered by first use, so that only a change of
+behaviour changes a file. To accept a change, run with UPDATE_GOLDEN=1 and read the difference.
 """
 
 import os
@@ -33,7 +32,7 @@
 
 
 class Session:
-    """Records commits, grants, revokes and runs that concern one key."""
+    """Records the commits, grants, revocations and runs that concern one key."""
 
     def __init__(self, seed):
         self.lines = []
@@ -45,7 +44,7 @@
     def token(self, value):
         return f"t{self.tokens.setdefault(value, len(self.tokens) + 1)}"
 
-    def say(self, line):
+    def record(self, line):
         if not self.lines or self.lines[-1] != line:
             self.lines.append(line)
 
@@ -57,7 +56,7 @@
             inside = item.group == group and item.first <= key_hash <= item.last
             if inside and entry.index not in self.seen:
                 self.seen.add(entry.index)
-                self.say(f"commit  {item.server or 'nobody'} owns the slice")
+                self.record(f"commit  {item.server or 'nobody'} owns the slice")
 
     def synced(self, server, request, reply):
         group, key_hash = self.key
@@ -65,21 +64,21 @@
             return
         for span in request.revokes:
             if span.group == group and span.contains(key_hash):
-                self.say(f"revoke  {server.name}")
+                self.record(f"revoke  {server.name}")
         for grant in request.grants:
             if grant.range.group == group and grant.range.contains(key_hash):
-                self.say(f"grant   {server.name} {self.token(grant.token)}")
+                self.record(f"grant   {server.name} {self.token(grant.token)}")
         if request.full and not any(
             grant.range.group == group and grant.range.contains(key_hash)
             for grant in request.grants
         ):
-            self.say(f"replace {server.name} holds nothing of the key")
+            self.record(f"replace {server.name} holds nothing of the key")
 
     def ran(self, run):
         if run.key == self.key:
-            self.say(f"run     {run.server} {self.token(run.token)}")
+            self.record(f"run     {run.server} {self.token(run.token)}")
 
-    def play(self, steps, end_ms=9000.0):
+    def run(self, steps, end_ms=9000.0):
         real_publish, real_sync = SimulatedNode._published, SimulatedServer.sync
         real_started = Checker.started
         session = self
@@ -105,13 +104,13 @@
             mock.patch.object(Checker, "started", started),
         ):
             for at_ms, step in steps:
-                self.cluster.world.after(at_ms, lambda step=step: self.take(step))
+                self.cluster.world.after(at_ms, lambda step=step: self.run_step(step))
             self.cluster.world.run_until(end_ms)
         assert self.cluster.checker.violations == []
         return "\n".join([*self.lines, ""])
 
-    def take(self, step):
-        self.say(f"-- {step.__name__.replace('_', ' ')}")
+    def run_step(self, step):
+        self.record(f"-- {step.__name__.replace('_', ' ')}")
         step(self.cluster, self.owner())
 
     def owner(self):
@@ -165,7 +164,7 @@
 @pytest.mark.parametrize("name", sorted(SESSIONS))
 def test_session(name):
     end_ms = 14_000.0 if name == "loss-of-all-nodes" else 9000.0
-    compare(f"session-{name}.txt", Session(5).play(SESSIONS[name], end_ms))
+    compare(f"session-{name}.txt", Session(5).run(SESSIONS[name], end_ms))
 
 
 @pytest.mark.parametrize("name", ["uplands", "gauteng-east"])
--- a/tests/unit/test_simulation.py
+++ b/tests/unit/test_simulation.py
@@ -1,8 +1,8 @@
-"""The fault table: promises under faults, alone and in pairs, by simulation.
+"""Invariants under simulated faults, alone and in pairs.
 
-Each run is judged by an independent checker for exclusive ownership,
-durability of committed entries, at most one run, honest refusals and
-configuration that never goes back; and every key must be served again.
+An independent checker verifies in each run that keys have one owner, committed entries are
+durable, requests with an idempotency key run at most once, requests that were answered as not run
+don't run, and no process goes back to an older configuration. Every key must be served again.
 """
 
 from itertools import combinations
@@ -14,11 +14,12 @@
 
 NAMES = sorted(FAULTS)
 PAIRS = list(combinations(NAMES, 2))
-# Seeds that once broke a promise. The list of faults has grown since, so most of
-# them run other schedules now; test_found_faults.py holds the faults themselves.
+# Seeds under which an invariant was once violated. The list of faults has grown since, so most
+# of them run other schedules now; test_found_faults.py reproduces the faults directly.
 FOUND = [181, 183, 240, 414, 1423, 1541, 2887, 3061]
 RANDOM_SEEDS = range(12)
-# Faults and seeds whose schedules need a mechanism; others: the random seeds.
+# Faults and seeds whose schedules show a violation when the mechanism is switched off. The
+# mechanisms that aren't listed here are tested with the random seeds.
 NEEDED_UNDER = {
     "earlier leaders not fenced": (("freeze_server", "freeze_leader", "lossy_network"), (4, 11)),
     "leader acts without a quorum": (("cut_zone", "freeze_server"), (2, 4, 5, 6)),
