--- a/ploverhatch/simulation/cluster.py
+++ b/ploverhatch/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: platform, nodes, servers, callers, faults."""
+"""A simulated deployment: the platform, nodes, servers and callers."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 REPEAT_MS = 500.0
 MAX_REPEATS = 4
 REPEAT_WINDOW_MS = 6000.0
-LONGEST_REQUEST_MS = 2600.0
+MAX_REQUEST_MS = 2600.0
 POLICY = """
 group reads { slices 4; draw share 0.6 from servers; }
 group permits { priority 1; slices 4; draw share 0.4 from servers; }
@@ -33,7 +33,7 @@
 
 @dataclass
 class SimulatedPlatform:
-    """The platform's store: cell object and configuration, linearizable."""
+    """The platform's store with the cell object and the configuration; it is linearizable."""
 
     up: bool = True
     generation: int = 1
@@ -53,8 +53,11 @@
         ]
         return [policy, *servers]
 
-    def found(self, expected: int, node_id: str) -> bool:
-        """Found the next epoch by compare-and-set."""
+    def found_epoch(self, expected: int, node_id: str) -> bool:
+        """Start the next epoch with one voter if the cell object has version ``expected``.
+
+        :returns: whether the epoch was started.
+        """
         if self.cell_version != expected:
             return False
         self.cell_version += 1
@@ -62,8 +65,8 @@
         self.voter_ids = (node_id,)
         return True
 
-    def record(self, epoch: int, voter_ids: tuple[str, ...]) -> bool:
-        """Record the voters of the current epoch."""
+    def record_voters(self, epoch: int, voter_ids: tuple[str, ...]) -> bool:
+        """Store the voters of an epoch; false if the epoch is not the current one."""
         if epoch != self.epoch:
             return False
         if voter_ids != self.voter_ids:
@@ -73,7 +76,7 @@
 
 
 class Cluster:
-    """All simulated processes, and the callers."""
+    """All simulated processes and the callers of one run."""
 
     def __init__(self, seed: int, nodes: int = 5, servers: int = 4) -> None:
         self.world = World(seed)
@@ -86,7 +89,7 @@
         self.servers: dict[str, SimulatedServer] = {}
         self.outcomes: Counter[str] = Counter()
         self.served: dict[tuple[str, int], float] = {}
-        self._lifetimes: Counter[str] = Counter()
+        self._starts: Counter[str] = Counter()
         self._requests = 0
         self.cut_platform: set[str] = set()
         for number in range(servers):
@@ -100,40 +103,43 @@
     # ---- processes ---------------------------------------------------------------------
 
     def start_node(self, name: str, zone: str) -> None:
-        """Start a node process, with nothing remembered."""
-        self._lifetimes[name] += 1
+        """Start a node process with no state."""
+        self._starts[name] += 1
         node = SimulatedNode(
-            self.world, name, zone, self._lifetimes[name], self, self.timing, self.limits,
+            self.world, name, zone, self._starts[name], self, self.timing, self.limits,
             RATE_ERROR,
         )  # fmt: skip
         self.nodes[name] = node
         self.routers[name] = SimulatedRouter(node, self)
 
     def start_server(self, name: str, zone: str) -> None:
-        """Start a server process, with nothing remembered."""
-        self._lifetimes[name] += 1
+        """Start a server process with no state."""
+        self._starts[name] += 1
         self.servers[name] = SimulatedServer(
-            self.world, name, zone, self._lifetimes[name], self.checker, RATE_ERROR
+            self.world, name, zone, self._starts[name], self.checker, RATE_ERROR
         )
 
     def restart_node(self, name: str) -> None:
-        """Kill a node and start its successor at once."""
+        """Kill a node and start it again immediately, with no state."""
         zone = self.nodes[name].zone
         self.nodes[name].kill()
         self.start_node(name, zone)
 
     def restart_server(self, name: str) -> None:
-        """Kill a server and start its successor at once."""
+        """Kill a server and start it again immediately, with no state."""
         zone = self.servers[name].zone
         self.servers[name].kill()
         self.start_server(name, zone)
 
     def platform_reachable(self, zone: str) -> bool:
-        """Tell whether nodes of a zone reach the platform."""
+        """Return whether the nodes of a zone reach the platform."""
         return self.platform.up and zone not in self.cut_platform
 
     def change_configuration(self) -> None:
-        """Make an operator's change: toggle the drain of some server."""
+        """Change the configuration as an operator would: toggle the drain of a random server.
+
+        At most one server is drained at a time.
+        """
         name = self.world.random.choice(sorted(self.platform.servers))
         body = self.platform.servers[name]
         drained = sum(bool(item.get("drain")) for item in self.platform.servers.values())
@@ -143,14 +149,14 @@
     # ---- lookups of routers ------------------------------------------------------------
 
     def supposed_leader(self, chooser: random.Random) -> SimulatedNode | None:
-        """Return a node that says it leads, or any node now and then."""
+        """Return a node that considers itself the leader, or sometimes any node."""
         leaders = [node for node in self.nodes.values() if node.core.replica.is_leader]
         if leaders and chooser.random() < 0.9:
             return chooser.choice(leaders)
         return chooser.choice(list(self.nodes.values()))
 
     def look_up(self, key: tuple[str, int], chooser: random.Random) -> tuple[str, int] | None:
-        """Return owner and token of a key as some node sees it."""
+        """Return the owner and token of a key as known to a random node."""
         node = chooser.choice(list(self.nodes.values()))
         found = node.core.replica.state.assignments.find(*key)
         return (found.server, found.token) if found and found.server else None
@@ -167,7 +173,7 @@
         self._send(key, f"once-{self._requests}" if once else "", MAX_REPEATS)
 
     def all_keys(self) -> list[tuple[str, int]]:
-        """Return every key that callers use."""
+        """Return all keys that callers use."""
         return [
             (group, hash_key(group, f"k{number}"))
             for group in ("permits", "reads")
@@ -190,12 +196,12 @@
         repeats: int,
         until_ms: float = 0.0,
     ) -> None:
-        """Send through some node; repeat with the same key unless it is done.
+        """Send a request through a random node and repeat it under its idempotency key on failure.
 
-        Repeats keep to the window in which callers may repeat: after an epoch
-        was lost, claims are refused for as long.
+        Callers may repeat a request only within ``REPEAT_WINDOW_MS``: after the loss of an epoch
+        claims are refused for that time, so that no repeat runs twice.
         """
-        until_ms = until_ms or self.world.now_ms + REPEAT_WINDOW_MS - LONGEST_REQUEST_MS
+        until_ms = until_ms or self.world.now_ms + REPEAT_WINDOW_MS - MAX_REQUEST_MS
         name = self.world.random.choice(list(self.nodes))
         node, router = self.nodes[name], self.routers[name]
 
--- a/tests/functional/test_reborn_servers.py
+++ b/tests/functional/test_reborn_servers.py
@@ -9,7 +9,7 @@
 import gevent
 import pytest
 
-from ploverhatch.simulation.keys.judge import judge
+from ploverhatch.simulation.keys.violations import find_violations
 from tests.functional.test_servers_that_leave_or_rest import Scenario, now_s
 from tests.standin.site import KEYED, PLAIN, StandinSite
 
@@ -39,7 +39,7 @@
     scenario.stop_callers()
     assert restarted.ran and restarted.work[0].start_s < start_s + max(FIRST_REQUEST_S, served_s)
     assert scenario.served(KEYED, start_s + served_s) == 1.0
-    assert judge(scenario.site.journal.holds) == []
+    assert find_violations(scenario.site.journal.holds) == []
 
 
 def test_notices_of_an_incarnation_do_not_apply_to_the_next_one(scenario):
--- a/tests/functional/test_store_from_a_copy.py
+++ b/tests/functional/test_store_from_a_copy.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ploverhatch.common.clock import elapsed_ms
-from ploverhatch.simulation.keys.judge import judge as judge_holds
+from ploverhatch.simulation.keys.violations import find_violations
 from tests.standin.callers import Caller
 from tests.standin.scenario import Scenario
 from tests.standin.site import KEYED, PLAIN, StandinSite, configuration, route
@@ -84,7 +84,7 @@
         assert scenario.served(service, start_s, end_s) >= MIN_SERVED_FRACTION, scenario.unserved(
             service, start_s
         )
-    assert judge_holds(scenario.site.journal.holds) == []
+    assert find_violations(scenario.site.journal.holds) == []
 
 
 # Guards against gateways that ignore changes of the store, since they know a later revision.
@@ -156,7 +156,7 @@
     restore_after_outage(store, snapshot)
     check_service(scenario, leaving, changed_s)
     gevent.sleep(4.0)
-    assert judge_holds(scenario.site.journal.holds) == []
+    assert find_violations(scenario.site.journal.holds) == []
 
 
 # Each node is killed during the outage, also the leader, and starts with the restored store.
