--- a/tests/functional/test_backend_contract.py
+++ b/tests/functional/test_backend_contract.py
@@ -146,7 +146,9 @@
     assert backend.probe(1.0).healthy
     router = Router(StateView("n"), None, LimitsSection(), None, NodeMetrics().router)
     ended = []
-    router._crashes = SimpleNamespace(ended=lambda request, server, sent_ms: ended.append(server))
+    router._crash_guard = SimpleNamespace(
+        note_crash=lambda request, server, sent_ms: ended.append(server)
+    )
     upstream = SimpleNamespace(client=backend, spec=SimpleNamespace(name="s1"))
     error = BackendAnswerLostError("connection closed", timed_out=False)
     router._after_loss(SimpleNamespace(guarded=None), upstream, request(), error, 0.0)
