--- a/ploverhatch/ownership/placement.py
+++ b/ploverhatch/ownership/placement.py
@@ -278,18 +278,18 @@
 
 def _rebalance(plan_: _GroupPlan, limits: PlacementLimits, now_ms: float) -> list[Target]:
     targets: list[Target] = []
-    taken: set[SliceRange] = set(plan_.view.moving)
+    moving: set[SliceRange] = set(plan_.view.moving)
     while len(targets) < limits.moves_per_round and len(plan_.capacity) > 1:
-        target = _best_move(plan_, limits, now_ms, taken)
+        target = _best_move(plan_, limits, now_ms, moving)
         if target is None:
             break
-        taken.add(target.range)
+        moving.add(target.range)
         targets.append(target)
     return targets
 
 
 def _best_move(
-    plan_: _GroupPlan, limits: PlacementLimits, now_ms: float, taken: set[SliceRange]
+    plan_: _GroupPlan, limits: PlacementLimits, now_ms: float, moving: set[SliceRange]
 ) -> Target | None:
     """Return the best move away from one of the busiest servers, or ``None``.
 
@@ -305,7 +305,7 @@
     for source in by_load[:MAX_SOURCES_TRIED]:
         if plan_.utilization(source) < threshold * mean:
             return None
-        target = _relieve(plan_, limits, source, idlest, now_ms, taken)
+        target = _relieve(plan_, limits, source, idlest, now_ms, moving)
         if target is not None:
             return target
     return None
@@ -328,11 +328,11 @@
     source: str,
     idlest: str,
     now_ms: float,
-    taken: set[SliceRange],
+    moving: set[SliceRange],
 ) -> Target | None:
     high, low = plan_.utilization(source), plan_.utilization(idlest)
     best: tuple[float, SliceRange, float, str] | None = None
-    for span, amount, reason in _movable(plan_, limits, source, now_ms, taken):
+    for span, amount, reason in _movable(plan_, limits, source, now_ms, moving):
         after = max(high - amount / plan_.capacity[source], low + amount / plan_.capacity[idlest])
         gain = high - after
         if best is None or gain > best[0]:
@@ -349,7 +349,7 @@
     limits: PlacementLimits,
     server: str,
     now_ms: float,
-    taken: set[SliceRange],
+    moving: set[SliceRange],
 ) -> list[tuple[SliceRange, float, str]]:
     """Return the ranges that may move: whole slices, halves of slices and hot keys.
 
@@ -361,7 +361,7 @@
     for item in plan_.slices:
         span = item.range
         moved_recently = now_ms - view.moved_ms.get(span, float("-inf")) < limits.move_interval_ms
-        if item.server != server or moved_recently or overlaps_any(span, taken):
+        if item.server != server or moved_recently or overlaps_any(span, moving):
             continue
         amount = plan_.slice_load(span)
         found.append((span, amount, "balance"))
@@ -376,11 +376,11 @@
     return found
 
 
-def overlaps_any(span: SliceRange, taken: Iterable[SliceRange]) -> bool:
-    """Tell whether a range overlaps one of the ranges in ``taken``."""
+def overlaps_any(span: SliceRange, others: Iterable[SliceRange]) -> bool:
+    """Tell whether a range overlaps one of ``others``."""
     return any(
         other.group == span.group and other.first <= span.last and span.first <= other.last
-        for other in taken
+        for other in others
     )
 
 
--- a/tests/probe/test_failures.py
+++ b/tests/probe/test_failures.py
@@ -29,7 +29,7 @@
     return gevent.spawn(generator.run, duration_s)
 
 
-def judge(cell):
+def check_executions(cell):
     executions = [Execution(**row) for row in cell.executions()]
     assert executions
     assert double_runs(executions) == []
@@ -48,7 +48,7 @@
         pause(1.0)
         cell.backends["weights-1"].kill()
         result = load.get()
-        judge(cell)
+        check_executions(cell)
         # A request in flight when the server crashed may be lost; no request takes 3 s.
         assert result.percentile_ms(100) < 3000
         assert sum(result.results[code] for code in ANSWERED) >= result.total - 5, result.results
@@ -62,7 +62,7 @@
         pause(3.0)
         cell.backends["permits-1"].signal(signal.SIGCONT)
         result = load.get()
-        judge(cell)
+        check_executions(cell)
         lost = result.total - sum(result.results[code] for code in ANSWERED)
         assert lost <= 12, result.results  # sent to the frozen server: outcome unknown
 
@@ -79,7 +79,7 @@
         cell.backends["weights-2"].kill()
         result = load.get()
         leader.signal(signal.SIGCONT)
-        judge(cell)
+        check_executions(cell)
         assert result.percentile_ms(100) < 6000
         assert sum(result.results[code] for code in ANSWERED) >= result.total - 10, result.results
 
@@ -96,7 +96,7 @@
             result = load.get()
             assert set(result.results) <= ANSWERED, result.results
             cell.until(cell.serving, bool)
-        judge(cell)
+        check_executions(cell)
 
 
 def test_draining_server_gets_no_new_work_after_three_seconds():
@@ -110,7 +110,7 @@
         after = len(cell.backend_call("weights-1", "executions"))
         assert after == before
         assert set(result.results) <= ANSWERED, result.results
-        judge(cell)
+        check_executions(cell)
 
 
 def test_label_changes_under_load_fail_no_request():
@@ -125,7 +125,7 @@
             assert cell.admin(cell.nodes[0], "PUT", path, body, condition).status == 200
         result = load.get()
         assert set(result.results) <= ANSWERED, result.results
-        judge(cell)
+        check_executions(cell)
 
 
 def test_request_that_waits_too_long_is_refused_with_a_time_to_come_back():
