--- a/ploverhatch/cli/load.py
+++ b/ploverhatch/cli/load.py
@@ -1,4 +1,4 @@
-"""``ploverhatch load``: bounded traffic against running routers."""
+"""``ploverhatch load``: sends traffic to running routers for a bounded time."""
 
 import ipaddress
 import sys
@@ -6,7 +6,7 @@
 import click
 
 from ploverhatch.bench.load import LoadGenerator
-from ploverhatch.bench.summary import print_load
+from ploverhatch.bench.summary import describe_load
 from ploverhatch.settings.deployment import Deployment
 from ploverhatch.settings.loader import SettingsError, load_model
 
@@ -27,7 +27,7 @@
 @click.option("--scale", default=1.0, show_default=True, help="Factor on all rates.")
 @click.option("--seed", default=1, show_default=True)
 def load(settings: str, router: tuple[str, ...], duration: float, scale: float, seed: int) -> None:
-    """Send a deployment's traffic and print what callers saw.
+    """Send a deployment's traffic and print a summary of the answers.
 
     Traffic goes to loopback addresses only.
     """
@@ -39,7 +39,7 @@
     routers = [_parse_router(text) for text in router]
     generator = LoadGenerator(routers, deployment.traffic, seed)
     result = generator.run(min(duration, MAX_DURATION_S), scale)
-    for line in print_load(result):
+    for line in describe_load(result):
         click.echo(line)
     for failure in result.failures:
         click.echo(f"  {failure}")
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -1,7 +1,7 @@
-"""Simulated router: attempts and records under virtual time.
+"""A simulated router: attempts and idempotency records in virtual time.
 
-Its lookups are stale on purpose: with some probability it uses an owner it
-saw long ago, as a router does that was paused or cut off.
+Some lookups are stale on purpose: with probability ``STALE_LOOKUP`` the router uses an owner
+that it found earlier, as a router does that was paused or cut off.
 """
 
 from collections.abc import Callable
@@ -32,10 +32,10 @@
 
 @dataclass
 class PendingRequest:
-    """One caller's request at one router."""
+    """A caller's request at a router."""
 
     key: tuple[str, int]
-    idempotency_key: str  # empty: repeatable
+    idempotency_key: str  # empty if the request may run more than once
     claim_id: str
     state: RequestState
     answer: Answer
@@ -44,7 +44,7 @@
 
 
 class SimulatedRouter:
-    """Serves requests inside one node process."""
+    """Serves requests inside a node process."""
 
     def __init__(self, node: SimulatedNode, cluster: "Cluster") -> None:
         self._node = node
@@ -54,7 +54,7 @@
         self._clocks: dict[str, tuple[float, float]] = {}
 
     def serve(self, key: tuple[str, int], idempotency_key: str, answer: Answer) -> None:
-        """Serve one request; runs in the node's process."""
+        """Serve a request; must be called in the node's process."""
         now_ms = self._node.clock.read()
         state = RequestState(
             once=bool(idempotency_key),
@@ -102,16 +102,16 @@
         until_ms: float,
         done: Callable[[ClaimResult | None], None],
     ) -> None:
-        """Send a command to a supposed leader until it is answered or too late."""
+        """Send a command to the supposed leader, repeatedly until an answer or ``until_ms``."""
         if self._node.clock.read() >= until_ms:
             done(None)
             return
-        open_call = [True]
+        pending = [True]
 
         def end(result: ClaimResult | None) -> None:
-            if not open_call:
+            if not pending:
                 return
-            open_call.clear()
+            pending.clear()
             if result is None:
                 self._node.later(PAUSE_MS, lambda: self._submit(command, until_ms, done))
             else:
@@ -169,13 +169,15 @@
         request_id = f"{request.claim_id}/{len(request.attempts)}"
         request.attempts.append(request_id)
         read_ms, server_ms = self._clocks.get(server.name, (now_ms, server.clock.read()))
-        left_ms = request.state.deadline_ms - now_ms
-        not_after = server_ms + (now_ms - read_ms) + left_ms if request.idempotency_key else 1e18
-        open_call = [True]
+        remaining_ms = request.state.deadline_ms - now_ms
+        not_after = (
+            server_ms + (now_ms - read_ms) + remaining_ms if request.idempotency_key else 1e18
+        )
+        pending = [True]
 
         def end(outcome: AttemptEnd | None, refusal: Refusal) -> None:
-            if open_call:
-                open_call.clear()
+            if pending:
+                pending.clear()
                 self._ended(request, server, request_id, outcome, refusal)
 
         def reply(refusal: Refusal, clock_ms: float) -> None:
@@ -213,11 +215,11 @@
     def _try_cancel(
         self, request: PendingRequest, server: SimulatedServer, request_id: str
     ) -> None:
-        open_call = [True]
+        pending = [True]
 
         def end(outcome: AttemptEnd) -> None:
-            if open_call:
-                open_call.clear()
+            if pending:
+                pending.clear()
                 self._after(request, outcome, Refusal.NONE)
 
         def cancel() -> None:
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -19,8 +19,8 @@
 from gevent import GreenletExit, socket
 
 from ploverhatch.common.clock import elapsed_ms
+from ploverhatch.common.in_flight import InFlightRequests
 from ploverhatch.common.problem import json_reply
-from ploverhatch.common.under_way import RequestsUnderWay
 from ploverhatch.emulator.platform import PlatformEmulator
 from ploverhatch.gateway import keymap_codec
 from ploverhatch.gateway.elector import Elector
@@ -374,11 +374,11 @@
         return reply
 
     before._release = release_slowly
-    (span,) = before.held
+    (span,) = before.granted_ranges
     site.store.put("servers", "u1", *before.record("keyed", state="draining"))
-    until(lambda: not before.held)
+    until(lambda: not before.granted_ranges)
     gevent.spawn(leader.drain)
-    until(lambda: span in after.held)
+    until(lambda: span in after.granted_ranges)
     assert [call.path for call in before.arrived].count(b"/ploverhatch/release") == 1
 
 
@@ -426,7 +426,7 @@
     cluster = Cluster([record(0)], zones=("a", "a", "a"))
     dispatcher = dispatcher_of(cluster, HOLDER)
     requester = next(node for node in cluster.nodes if node is not dispatcher)
-    requests = RequestsUnderWay()
+    requests = InFlightRequests()
 
     def serve():
         with requests.serve():
--- a/tests/standin/upstream.py
+++ b/tests/standin/upstream.py
@@ -1,4 +1,4 @@
-"""Stand-in of an upstream: incarnations, slots, grants, fences, and odd answers."""
+"""Stand-in of an upstream: incarnations, slots, grants, fences, and faulty answers."""
 
 import json
 from collections.abc import Callable
@@ -16,29 +16,29 @@
 from ploverhatch.routing.route_table import ClientLimits
 from ploverhatch.transport.http_connection import HostPort
 
-ENDS_SERVER = b"ends-server"  # header field of a request that ends the upstream that runs it
+CRASHES_SERVER = b"ends-server"  # header field of a request that crashes the upstream that runs it
 
 
 @dataclass
 class Behaviour:
-    """What the upstream does with requests."""
+    """How the upstream handles requests."""
 
     work_s: float = 0.0
     status: int = 200
-    refuse: int = 0  # so many of the next requests are answered as not executed
-    reset: int = 0  # so many of the next requests are not answered: the connection ends
+    refuse: int = 0  # number of next requests that are answered as not executed
+    reset: int = 0  # number of next requests whose connection is closed without an answer
     wrong_id: bool = False
     sealed: bool = True
     hang: bool = False
-    crash_after_s: float = 0.03  # from the start of a request that ends its upstream
-    leaving: bool = False  # said in all answers
-    rest_s: float = 0.0  # asked for with each request, which is turned away
-    limit: str = ""  # requests a second from all callers, named in all answers; empty: none
+    crash_after_s: float = 0.03  # time from the start of a crashing request to the crash
+    leaving: bool = False  # announced in all answers
+    backoff_s: float = 0.0  # nonzero: each request is rejected with this Retry-After
+    limit: str = ""  # requests a second from all callers, announced in all answers; empty: none
 
 
 @dataclass
 class Work:
-    """One request that ran, in elapsed seconds; without an end while it runs."""
+    """One run of a request, in elapsed seconds; ``end_s`` is ``None`` while it runs."""
 
     request: CallerRequest
     start_s: float
@@ -47,7 +47,7 @@
 
 @dataclass
 class Upstream:
-    """One life of an upstream; several may have the same id, one after the other."""
+    """One incarnation of an upstream; successive ones may have the same id."""
 
     server_id: str
     sharded: bool = False
@@ -56,20 +56,20 @@
     ran: list = field(default_factory=list)
     arrived: list = field(default_factory=list)
     work: list = field(default_factory=list)
-    held: dict = field(default_factory=dict)  # (first, last) -> (fence, until)
-    seen: list = field(default_factory=list)  # (first, last, fence)
+    granted_ranges: dict = field(default_factory=dict)  # (first, last) -> (fence, until)
+    observed_fences: list = field(default_factory=list)  # (first, last, fence)
     grants: list = field(default_factory=list)
-    turned_away: list = field(default_factory=list)  # (request, elapsed s, rest asked for)
-    passed_on: list = field(default_factory=list)  # the same, of answers that say it leaves
-    named: list = field(default_factory=list)  # (request, elapsed s, limit named in its answer)
-    ended_s: float | None = None  # of a crash, elapsed
-    born: int = 0  # Unix milliseconds of its start; 0: it does not tell
-    port: int = 0  # to listen at; 0: any that is free
-    life: str = ""  # what tells it from other lives of the same id
-    crashed: Callable = lambda upstream: None  # told of a crash by a request
+    rejected: list = field(default_factory=list)  # (request, elapsed s, backoff s)
+    leaving_answers: list = field(default_factory=list)  # (request, elapsed s)
+    limit_answers: list = field(default_factory=list)  # (request, elapsed s, announced limit)
+    crashed_s: float | None = None  # elapsed seconds of the crash
+    born: int = 0  # Unix milliseconds of its start; 0: not in its record
+    port: int = 0  # 0: any free port
+    incarnation: str = ""  # differs from other incarnations of the same id
+    crashed: Callable = lambda upstream: None  # called when a request crashes the upstream
 
     def __post_init__(self):
-        self.life = self.life or self.server_id
+        self.incarnation = self.incarnation or self.server_id
         self._slots = BoundedSemaphore(self.slots)
         self._server = CallerServer(HostPort("127.0.0.1", self.port), self.handle, ClientLimits)
         self._server.start()
@@ -79,10 +79,10 @@
         self._server.stop()
 
     def crash(self):
-        """End at once: the port is dead, and open connections break."""
-        if self.ended_s is not None:
+        """Stop listening and reset all open connections."""
+        if self.crashed_s is not None:
             return
-        self.ended_s = elapsed_ms() / 1000
+        self.crashed_s = elapsed_ms() / 1000
         self.close()
         for connection in list(self._server._connections):
             with suppress(OSError):
@@ -105,12 +105,12 @@
             reply.headers.append((b"Server-Leaving", b"1"))
         if self.behaviour.limit:
             reply.headers.append((b"Server-Limit", self.behaviour.limit.encode()))
-            self.named.append((request, elapsed_ms() / 1000, self.behaviour.limit))
+            self.limit_answers.append((request, elapsed_ms() / 1000, self.behaviour.limit))
         return reply
 
     def _handle(self, request):
         headers = {name.lower(): value for name, value in request.headers}
-        if self.ended_s is not None:
+        if self.crashed_s is not None:
             raise ConnectionResetError
         self.arrived.append(request)
         expected = headers.get(b"expect-instance")
@@ -124,23 +124,26 @@
 
     def _grant(self, call):
         span = call["from"], call["target_version"]
-        if any(_overlap(span, row) and row[2] > call["fence"] for row in self.seen):
+        if any(_overlap(span, row) and row[2] > call["fence"] for row in self.observed_fences):
             return CallerReply(409)
-        self.seen.append((*span, call["fence"]))
-        self.held[span] = call["fence"], elapsed_ms() / 1000 + call["hold_ms"] / 1000
+        self.observed_fences.append((*span, call["fence"]))
+        self.granted_ranges[span] = call["fence"], elapsed_ms() / 1000 + call["hold_ms"] / 1000
         self.grants.append(call)
         return CallerReply(200)
 
     def _release(self, call):
         span = call["from"], call["target_version"]
-        self.seen.append((*span, call["fence"]))
-        self.held = {known: row for known, row in self.held.items() if not _overlap(span, known)}
+        self.observed_fences.append((*span, call["fence"]))
+        self.granted_ranges = {
+            known: row for known, row in self.granted_ranges.items() if not _overlap(span, known)
+        }
         return CallerReply(200, [(b"Handover", b"h-1")])
 
     def _holds(self, key):
         now = elapsed_ms() / 1000
         return any(
-            first <= key <= last and until > now for (first, last), (_, until) in self.held.items()
+            first <= key <= last and until > now
+            for (first, last), (_, until) in self.granted_ranges.items()
         )
 
     def _request(self, request, headers):
@@ -157,43 +160,43 @@
             gevent.sleep(60)
         with self._slots:
             self.ran.append(request)
-            if ENDS_SERVER in headers:
-                self._crash_under_it()
+            if CRASHES_SERVER in headers:
+                self._crash_during_request()
             self._work(request, headers)
         if behaviour.wrong_id:
             base = [(b"Request-Id", b"another")]
         if behaviour.sealed:
             base.append((b"Response-Seal", b"seal"))
         if behaviour.leaving:
-            self.passed_on.append((request, elapsed_ms() / 1000))
-        return CallerReply(behaviour.status, base, b"answer of " + self.life.encode())
+            self.leaving_answers.append((request, elapsed_ms() / 1000))
+        return CallerReply(behaviour.status, base, b"answer of " + self.incarnation.encode())
 
     def _refusal(self, request, headers):
-        """Return status and fields of an answer to a request that is turned away, or nothing."""
+        """Return status and header fields of a rejection, or ``None``."""
         behaviour = self.behaviour
         if self.sharded and not self._holds(int(headers[b"shard-key"])):
             return (421,)
-        if behaviour.rest_s:
-            self.turned_away.append((request, elapsed_ms() / 1000, behaviour.rest_s))
-            return 503, (b"Retry-After", b"%g" % behaviour.rest_s)
+        if behaviour.backoff_s:
+            self.rejected.append((request, elapsed_ms() / 1000, behaviour.backoff_s))
+            return 503, (b"Retry-After", b"%g" % behaviour.backoff_s)
         if behaviour.refuse:
             behaviour.refuse -= 1
             return (503,)
         return None
 
-    def _crash_under_it(self):
+    def _crash_during_request(self):
         gevent.sleep(self.behaviour.crash_after_s)
         self.crash()
         self.crashed(self)
         raise ConnectionResetError
 
     def _work(self, request, headers):
-        """Work for as long as the request says, else as the behaviour does."""
-        asked_ms = headers.get(b"work-ms")
+        """Sleep for the service time that the request or else the behaviour sets."""
+        service_ms = headers.get(b"work-ms")
         work = Work(request, elapsed_ms() / 1000)
         self.work.append(work)
         try:
-            gevent.sleep(self.behaviour.work_s if asked_ms is None else int(asked_ms) / 1000)
+            gevent.sleep(self.behaviour.work_s if service_ms is None else int(service_ms) / 1000)
         finally:
             work.end_s = elapsed_ms() / 1000
 
@@ -203,7 +206,10 @@
 
 
 class RawUpstream:
-    """Answers each request with bytes that a test lays down."""
+    """Answers each request with the next of the bytes that a test provides.
+
+    The connection is closed without an answer where an entry is ``None``.
+    """
 
     def __init__(self, *answers, close=False):
         self.answers = list(answers)
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,10 +1,10 @@
-"""The list of known failures: each with its test, command and seed, what was seen, and issue."""
+"""The list of known failures: each entry has a test, a command, an observation and an issue."""
 
 import re
 
 import pytest
 
-from tests.conftest import KNOWN_RED, LONGEST_LINE, ROOT, KnownRed, read_known_red
+from tests.conftest import KNOWN_RED, MAX_LINE_LENGTH, ROOT, KnownRed, read_known_red
 
 LINE = "tests/unit/test_a.py::test_b; run SITE --seed 7; it fails, with commas; issue 7"
 
@@ -24,13 +24,13 @@
 
 
 def test_long_lines_and_a_test_named_twice_are_refused():
-    for text in (LINE.replace("fails", "f" * LONGEST_LINE), f"{LINE}\n{LINE}"):
+    for text in (LINE.replace("fails", "f" * MAX_LINE_LENGTH), f"{LINE}\n{LINE}"):
         with pytest.raises(ValueError):
             read_known_red(text)
 
 
 def test_each_listed_test_is_there():
-    """A line that names none passes over nothing, and hides that its fault has no test."""
+    """A line whose test doesn't exist hides that no test covers its fault."""
     for test in read_known_red(KNOWN_RED.read_text()):
         path, name = test.split("::", 1)
         source = (ROOT / path).read_text()
