--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -132,7 +132,7 @@
         self._budget = RetryBudget(limits.retry_budget_percent)
         self._crash_guard = CrashGuard()
         self._background_commits: set[gevent.Greenlet] = set()
-        self._under_way = InFlightRequests()
+        self._in_flight = InFlightRequests()
         self.meter = LoadMeter(elapsed_ms())
 
     # ---- entry ------------------------------------------------------------------
@@ -144,7 +144,7 @@
         try:
             call = self._read_call(environ, started_ms)
             group = call.route.group
-            with self._under_way.serve():
+            with self._in_flight.serve():
                 reply, result = self._run(call)
         except RefusedError as error:
             result = error.result
@@ -295,7 +295,7 @@
 
         :returns: the number of these requests.
         """
-        return self._under_way.end_all(ProcessEndsError)
+        return self._in_flight.end_all(ProcessEndsError)
 
     def await_background_commits(self, limit_s: float) -> bool:
         """Wait for the background commits; return whether all ended within ``limit_s``."""
