--- a/ploverhatch/admission/dispatcher.py
+++ b/ploverhatch/admission/dispatcher.py
@@ -1,10 +1,11 @@
 """The slots of one group of servers and the requests that wait for them, at its dispatcher.
 
 A slot is granted as a lease, so that it becomes free by itself if its node died or the message
-that releases it was lost. Requests wait in order of priority, then those first that can still
-be answered within their objective, then in order of arrival. No request waits longer than a
-slot is of use to it: it is rejected at once if no slot is expected by then, and a request that
-will miss its objective is rejected while others wait that can meet theirs.
+that releases it was lost. The *objective* of a request is its route's target answer time. Waiting
+requests are ordered by priority, then by whether they can still meet their objective, then by
+arrival. No request waits longer than a slot is of use to it: it is rejected at once if no slot is
+expected by then, and a request that will miss its objective is rejected while others wait that
+can meet theirs.
 
 No guarantee to callers depends on this module. Two nodes may keep the queue of one group for a
 while, and nodes without a reachable dispatcher decide by themselves: the server then queues the
@@ -25,7 +26,7 @@
 DEFAULT_SERVICE_MS = 150.0  # used until a server of the group has answered
 SERVICE_TIME_WEIGHT = 0.15  # of a new service time in the moving average
 FAILING_MS = 1000.0  # how long a server that failed is avoided while others are free
-# A server gets one request at a time after so many requests in a row without an answer.
+# A server gets one request at a time after this many requests in a row without an answer.
 UNRESPONSIVE_AFTER_REQUESTS = 2
 # In multiples of the mean service time. A server whose slots are all in use, and that has answered
 # nothing for this long, counts as unresponsive before the requests themselves time out. Service
--- a/ploverhatch/admission/request_rate.py
+++ b/ploverhatch/admission/request_rate.py
@@ -8,8 +8,8 @@
 Two nodes may both act as the dispatcher for a while, and a new dispatcher does not know what
 the last one granted. Together they then grant a cold server at most twice the rate and two
 requests in a second: 15.4, where 6.7 per second are sustained, and where more than 18 in one
-second make the server fail. Of a rate limit that a server announces, a node that ranks behind a
-living dispatcher grants half (:class:`ServerBounds`). This module does no I/O and reads no clock.
+second make the server fail. A node that ranks behind a living dispatcher grants half of the rate
+limit that a server announces (:class:`ServerBounds`). This module does no I/O and reads no clock.
 """
 
 import math
--- a/ploverhatch/gateway/answer_record.py
+++ b/ploverhatch/gateway/answer_record.py
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self.taken = 0
         self.untaken = 0
-        self.unknown = 0  # The system no longer reported the state of their connections.
+        self.unknown = 0  # Answers on connections whose state the system no longer reported.
         self._names: list[str] = []
 
     def note(self, answers: Iterable[SentAnswer], unacknowledged: int | None) -> None:
--- a/ploverhatch/gateway/call.py
+++ b/ploverhatch/gateway/call.py
@@ -32,7 +32,7 @@
 
     @property
     def remaining_ms(self) -> float:
-        """Milliseconds until the earlier of the caller's deadline and the route's time-out."""
+        """Milliseconds until the earlier of the caller's deadline and the route's timeout."""
         return self.deadline_ms - elapsed_ms()
 
     @property
--- a/ploverhatch/gateway/caller_connection.py
+++ b/ploverhatch/gateway/caller_connection.py
@@ -35,10 +35,10 @@
 READ_BYTES = 65_536
 WRITE_TIMEOUT_S = 10.0
 LINGER_S = 1.0
-# Of the idle timeout: a request that a caller sends until then still arrives before the close.
+# Callers are told this fraction of the idle timeout, so that a request that they send until then
+# still arrives before the close.
 KEEP_ALIVE_FRACTION = 0.8
-# From a close until all requests that were sent before its caller saw it have arrived: a round
-# trip to callers.
+# A request that a caller sent before it saw the close arrives within this time, a round trip.
 CROSSING_S = 0.05
 _CLOSED_WHILE_IDLE = (
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
--- a/ploverhatch/gateway/directory.py
+++ b/ploverhatch/gateway/directory.py
@@ -138,7 +138,7 @@
     def note_rate_limits(self, limits: ReportedLimits, by: str) -> None:
         """Note rate limits that servers announced to another node.
 
-        :param limits: requests a second and age in milliseconds, by server.
+        :param limits: requests per second and age in milliseconds, by server.
         :param by: the source of the information, for the log.
         """
         now_ms = elapsed_ms()
@@ -212,7 +212,7 @@
         self.changed.raise_()
 
     def cold_per_s(self, service: str) -> float:
-        """Return the requests a second that a cold server of a service sustains; 0: unbounded."""
+        """Return the requests per second that a service's cold server sustains; 0: unbounded."""
         known = self._table.services.get(service) if self._table else None
         return known.cold_per_s if known else 0.0
 
--- a/ploverhatch/gateway/elector.py
+++ b/ploverhatch/gateway/elector.py
@@ -99,7 +99,7 @@
 
     @property
     def may_change(self) -> bool:
-        """Whether this node may start changes of ownership right now."""
+        """Whether this node may begin moves of keys right now."""
         return election.may_change(self.state, elapsed_ms())
 
     @property
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -448,7 +448,7 @@
 
     @property
     def _partitioned(self) -> frozenset[str]:
-        """Names of the services whose servers own keys."""
+        """Names of the services whose servers hold keys."""
         table = self.directory.table
         services = table.services.values() if table else ()
         return frozenset(service.name for service in services if service.partitioned)
--- a/ploverhatch/gateway/quarantine.py
+++ b/ploverhatch/gateway/quarantine.py
@@ -38,12 +38,13 @@
 # The store entry of a crashed server is removed by then, after three missed heartbeats.
 UNRESOLVED_KEPT_MS = 6000.0
 MAX_UNRESOLVED = 16  # The greatest number of unresolved attempts per server.
-# A server may work on a request for so long after its caller left; a crash comes sooner.
+# A server may go on working on a request for this long after its caller left. If the request
+# crashes the server, it does so sooner.
 ABANDONED_WORK_MS = 300.0
 # A dead port refuses a connection within a round trip; a broken link doesn't answer at all.
 PROBE_TIMEOUT_S = 0.1
 DEFAULT_ANSWER_MS = 100.0  # The assumed answer time of a server that hasn't answered yet.
-# A server that answers nothing for so many times its usual answer time is frozen.
+# A server that answers nothing for this many times its usual answer time is frozen.
 FROZEN_FACTOR = 4.0
 REPORT_INTERVAL_S = 0.02  # Crashes that are observed meanwhile are reported together.
 QUERY_INTERVAL_S = 1.0
--- a/ploverhatch/gateway/settings.py
+++ b/ploverhatch/gateway/settings.py
@@ -35,7 +35,7 @@
     retry_window_s: float = 10.0
     lease_max_ms: float = 10_000.0
     evacuate_ms: float = (
-        0.0  # until an evacuated zone is sent nothing; 0: zones are never evacuated
+        0.0  # time until an evacuated zone is sent nothing; 0: zones are never evacuated
     )
     zone_regions: Mapping[str, str] = field(default_factory=dict)  # the region of each zone
     max_descriptors: int = 4096
--- a/ploverhatch/gateway/shared_slots.py
+++ b/ploverhatch/gateway/shared_slots.py
@@ -45,27 +45,27 @@
 
 LOG = PartLogger("slots")
 
-# A dispatcher is sent a request MAX_TRIES times, with this time-out, before it is skipped.
+# A dispatcher is sent a request MAX_TRIES times, with this timeout, before it is skipped.
 REPLY_TIMEOUT_S = 0.025
 MAX_TRIES = 2
 # In a rolling restart, the first dispatchers that are asked may all be about to stop.
 MAX_NODES_ASKED = 4
-# Each node that doesn't answer costs the request MAX_TRIES time-outs.
+# Each node that doesn't answer costs the request MAX_TRIES timeouts.
 MAX_UNRESPONSIVE_NODES = 2
-# A new dispatcher asks all nodes for the slots in use, and waits so long for their replies.
+# A new dispatcher asks all nodes for the slots in use, and waits this long for replies.
 LEARN_MS = 25.0
 MAX_LEARN_MS = 500.0  # The bound on that wait if the process is suspended meanwhile.
 MAX_HELD_SLOTS = 200  # The number of slots in one reply.
-# All nodes ask the dispatcher to which a group was ceded after this time at the latest.
+# After this time, all nodes ask the dispatcher to which a group was ceded.
 CEDED_MS = 250.0
 RELEARN_MS = 1000.0  # The least time between two queries for the slots in use of one group.
-# Slots are held for less, so none is left of a dispatcher that granted its last one before.
+# Slots are held for less than this, so a dispatcher that granted none for so long has none in use.
 OTHER_DISPATCHER_MS = 10_000.0
 REPLY_MARGIN_S = 0.02  # The time that a reply takes to reach a node that waits for a slot.
 # The share of a request's wait that is spent on its own zone if other zones have servers.
 OWN_ZONE_WAIT_FRACTION = 0.3
 REFRESH_MS = 100.0  # The greatest age of a dispatcher's list of a group's servers.
-IDLE_QUEUE_MS = 20_000.0  # A queue without requests for so long is dropped.
+IDLE_QUEUE_MS = 20_000.0  # A queue without requests for this long is dropped.
 DISCOVERY_MS = 6000.0  # All other nodes know a node this long after its start.
 # The share of a rate limit that a node grants while another node may grant slots beside it.
 STANDBY_SHARE = 0.5
--- a/ploverhatch/gateway/stop_sequence.py
+++ b/ploverhatch/gateway/stop_sequence.py
@@ -47,9 +47,10 @@
         leaving = gevent.spawn(self._leave)
         self._sleep_until(self._plan.admission_cutoff_ms)
         self._await_empty(self._plan.listening_until_ms)
-        # While new connections arrive, the process never has none, and it would end with
-        # requests under way. So it stops listening here. Where connections still arrive,
-        # the kernel resets those whose handshakes are under way, and their number is unknown.
+        # While new connections arrive, there is never a moment without connections, and the
+        # process would end with requests under way. So it stops listening here. If connections
+        # still arrive, the kernel resets those whose handshakes are under way; their number is
+        # unknown.
         quiet_ms = callers.quiet_ms
         callers.stop()
         self._await_empty(self._plan.answered_by_ms)
--- a/ploverhatch/gateway/trial_permits.py
+++ b/ploverhatch/gateway/trial_permits.py
@@ -26,14 +26,14 @@
 
 Node = tuple[str, int]  # Address of a node.
 
-# The leader is sent a request MAX_TRIES times, with this time-out, before it is skipped.
+# The leader is sent a request MAX_TRIES times, with this timeout, before it is skipped.
 REPLY_TIMEOUT_S = 0.025
 MAX_TRIES = 2
-# A wait longer than this many time-outs means that this process was suspended, and the leader
+# A wait longer than this many timeouts means that this process was suspended, and the leader
 # too if the whole machine was. Up to MAX_OVERSLEPT such waits don't count as tries.
 OVERSLEPT_FACTOR = 2.0
 MAX_OVERSLEPT = 3
-# A leader that didn't answer is skipped for so long, or until a late reply arrives.
+# A leader that didn't answer is skipped for this long, or until a late reply arrives.
 SKIP_LEADER_MS = 1000.0
 # The interval of this node's requests for one digest while another node has a copy in flight.
 # The interval grows with the number of nodes, so that the leader gets at most 1,000 a second.
--- a/ploverhatch/gateway/upstreams.py
+++ b/ploverhatch/gateway/upstreams.py
@@ -16,9 +16,9 @@
 DEFAULT_IDLE_S = 4.0  # Used if a server doesn't state how long it keeps idle connections.
 IDLE_MARGIN_S = 1.0
 FAILING_MS = 1000.0
-STALE_MS = 3000.0  # After so long without requests, the mean answer time counts half.
+STALE_MS = 3000.0  # After this long without requests, the mean answer time counts half.
 MIN_LIMIT = 1.0
-QUEUED_FACTOR = 2.5  # An answer that takes so many times the typical time had to queue.
+QUEUED_FACTOR = 2.5  # An answer that takes this many times the typical time had to queue.
 # Answers within this share of the objective are fast enough, even if they had to queue.
 QUEUED_FRACTION = 0.5
 LIMIT_STEP = 0.25
--- a/ploverhatch/leadership/election.py
+++ b/ploverhatch/leadership/election.py
@@ -17,7 +17,8 @@
 
 RENEW_MS = 500.0
 READ_INTERVAL_MS = 1000.0  # time between reads of the lease on a node that doesn't lead
-COVERED_READ_INTERVAL_MS = 4000.0  # the same while the node receives the leader's beacons
+# The same while the node receives the leader's beacons, its periodic messages to other nodes.
+COVERED_READ_INTERVAL_MS = 4000.0
 TAKEOVER_MS = 2600.0
 AUTHORITY_MS = 8000.0
 # The strongest nodes read an unrenewed lease at the time when it may be claimed, spread over
--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -1,5 +1,8 @@
 """Bootstrap task: finds the cell, or founds an epoch of it.
 
+A cell is a group of nodes that replicate one log; its voters elect the leader. A new epoch
+is founded when the cell has lost its quorum for good.
+
 A node asks the seeds and the voters that the platform records whether they belong to a
 running cell. It founds an epoch only by compare-and-set on the cell object of the
 platform, under the rules of ``membership.recovery``.
--- a/ploverhatch/quarantine/fingerprint.py
+++ b/ploverhatch/quarantine/fingerprint.py
@@ -4,7 +4,7 @@
 This module does no I/O and reads no clock.
 """
 
-# Not from hashlib, which maps OpenSSL's library into the process: 3.7 MB more, measured by import.
+# Importing hashlib instead would load OpenSSL's library into the process, which takes 3.7 MB.
 from _blake2 import blake2b
 from collections.abc import Iterable
 from typing import NamedTuple
--- a/ploverhatch/quarantine/ledger.py
+++ b/ploverhatch/quarantine/ledger.py
@@ -24,11 +24,12 @@
 # A request that runs this long is under way at many crashes with other causes, each of which
 # occurs once.
 LONG_DURATION_MS = 200.0
-# Where other requests may explain the crashes of a request, one crash more counts against it all
-# the same: each further crash costs a server, and few are allowed.
+# From this many crashes on, neither requests that arrived shortly before nor earlier suspects
+# explain the crashes of a request: each further crash costs a server, and few are allowed.
 CRASHES_IF_AMBIGUOUS = CRASHES_TO_QUARANTINE + 1
-MIN_SHARED_CRASHES = 2  # a comparison of two requests at a single crash is chance
-# After three crashes; four times as long after each further one.
+MIN_SHARED_CRASHES = 2  # at a single crash, which of two requests ran longer is chance
+# The longest quarantine after no more crashes than a decision needs. It is four times as long
+# after each further crash.
 AMBIGUOUS_QUARANTINE_MS = 3000.0
 
 
@@ -85,7 +86,7 @@
         if decision.by_many_callers and record.mean_duration_ms >= LONG_DURATION_MS:
             return None
         if any(crash.frozen for crash in decision.crashes):
-            # A server may have frozen by itself, and then the time that a copy ran says nothing.
+            # The server may have frozen by itself; the time that a copy ran then says nothing.
             ambiguous_ms = AMBIGUOUS_QUARANTINE_MS * 4.0**decision.excess_crashes
             return replace(
                 decision,
--- a/ploverhatch/quarantine/record.py
+++ b/ploverhatch/quarantine/record.py
@@ -10,7 +10,7 @@
 answer shows that the request does not crash servers: earlier crashes under the same caller no
 longer count, and from then on more crashes are needed.
 
-A quarantine applies to one caller. Where the crashes came under several callers, and no caller
+A quarantine applies to one caller. If the crashes occurred under several callers, and no caller
 was answered since the first of them, the content of the request is the cause, and the quarantine
 applies to all callers. Two crashes are enough for that if copies of three callers ran on the
 crashed servers: a popular request that is harmless is answered somewhere in between.
@@ -37,7 +37,7 @@
 CRASHES_WITH_MANY_CALLERS = 2  # successive crashes that are enough then
 MAX_DOUBLINGS = 4  # the longest quarantine is 16 minutes
 RETENTION_MS = 300_000.0  # how long a record is kept beyond its last quarantine, crash or answer
-MAX_CRASHES = 8  # kept of one request: enough for the longest quarantine
+MAX_CRASHES = 8  # kept per request; enough for the longest quarantine
 MAX_ANSWERED_CALLERS = 8  # callers whose last answers are kept
 
 
@@ -170,7 +170,10 @@
     def _decide_by_many_callers(
         self, unanswered: tuple[CrashEvent, ...]
     ) -> QuarantineDecision | None:
-        """Return the decision that follows from copies of several callers at few servers."""
+        """Return the decision that follows from copies of several callers at few servers.
+
+        There is none if any caller was answered, or if too few servers crashed without freezing.
+        """
         if self.last_answer_ms > -math.inf:
             return None
         # Copies of a popular request are under way at each server that freezes by itself.
@@ -214,10 +217,10 @@
 
 
 def _retained(crashes: Iterable[CrashEvent]) -> tuple[CrashEvent, ...]:
-    """Return the crashes to keep, in order; of many, those first that a decision rests on.
+    """Return at most ``MAX_CRASHES`` crashes in order, preferably those that decisions rest on.
 
-    These are successive crashes, and then copies at the same servers. Otherwise many copies at
-    one server, or at many servers that crashed at the same time, would displace them: three
+    A decision rests on successive crashes, and then on copies at the same servers. Otherwise many
+    copies at one server, or at many servers that crashed together, would displace them: three
     crashes would look like one, and the request would be let through between two crashes. Of
     the rest, crashes of further servers come before further copies at one.
     """
--- a/ploverhatch/relay/publisher.py
+++ b/ploverhatch/relay/publisher.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedView:
-    """The leader's view of a kind."""
+    """The leader's view of a kind of stored objects."""
 
     through_revision: int  # revision up to which all changes were relayed; below 0 if unknown
     current_ms: float  # when the view was last known to be current
--- a/ploverhatch/routing/route_table.py
+++ b/ploverhatch/routing/route_table.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route; times are in milliseconds."""
+    """One route; times are in milliseconds. ``objective_ms`` is the target answer time."""
 
     name: str
     path_prefix: bytes
--- a/ploverhatch/sharding/backoff_reports.py
+++ b/ploverhatch/sharding/backoff_reports.py
@@ -1,7 +1,8 @@
 """Backoffs that holders asked for with a 503 answer, from the reports of all nodes.
 
 A server asks each node for a backoff separately. If it asks every node and answers no request,
-its keys are not served until it has recovered, so they are better moved to other servers.
+its keys are not served until it has recovered, so they are better moved to other servers. Such a
+server is *shedding* load.
 
 This module does no I/O and reads no clock. Times are milliseconds of the leader's elapsed clock.
 """
@@ -9,7 +10,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-SHEDDING_MS = 600.0  # backoff without an answer; each node reports twice in that time
+# A server counts as shedding only after it has backed off for this long without an answer. Each
+# node reports twice in that time.
+SHEDDING_MS = 600.0
 REPORT_DELAY_MS = 350.0  # an answer is reported at most this long after it was received
 # A move takes most of this time, so a shorter backoff ends before its keys are served elsewhere.
 MIN_REMAINING_MS = 1000.0
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -53,7 +53,8 @@
 SETTLE_MS = 500.0
 STABLE_SERVERS_MS = 1000.0  # time without a change of the servers before the first assignment
 DOMINANT_COOLDOWN_MS = 3000.0  # time for which a dominant key stays where it was moved to
-# Until then, the rates of a server's new keys are mostly of requests to their previous holder.
+# For this long after a grant, the rates of the new keys are mostly of requests to their previous
+# holder.
 NEW_KEYS_GRACE_MS = 2000.0
 STORE_UNAVAILABLE_MS = 1250.0  # time since the last renewed lease after which standbys are promoted
 CUT_OFF_MS = 1000.0  # time with most servers unreachable after which this node is cut off
--- a/ploverhatch/sharding/planner.py
+++ b/ploverhatch/sharding/planner.py
@@ -34,7 +34,7 @@
 
     Keys move away only from a server of at least ``high_utilisation``. The utilisations of the
     busiest and the idlest server must differ by at least ``min_gap``, and by ``gap_deviations``
-    standard deviations of what counts over ``window_s`` seconds vary by chance: each move makes
+    standard deviations of the chance variation of counts over ``window_s`` seconds: each move makes
     callers wait while the keys move, and between equally busy servers it gains nothing. A round
     has at most ``max_moves`` such moves.
 
--- a/ploverhatch/state/assignment.py
+++ b/ploverhatch/state/assignment.py
@@ -1,7 +1,9 @@
 """Assignment table: the owner of each slice and the owner's fencing token.
 
 Lookup is a binary search over the slice bounds of one group, so its cost
-does not depend on the number of servers.
+does not depend on the number of servers. The *owner* of a slice is the only
+server that may run requests for its keys; the gateway's modules call it the
+holder.
 """
 
 from bisect import bisect_right
--- a/ploverhatch/state/replicated.py
+++ b/ploverhatch/state/replicated.py
@@ -28,7 +28,7 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the cell; it increases when the log was lost and is started anew."""
+        """Epoch of the cell; it increases when a new one is founded after the quorum was lost."""
         return int(self.membership.epoch)
 
     def apply(self, entry: wire.LogEntry) -> ClaimResult | None:
