--- a/ploverhatch/admin/api.py
+++ b/ploverhatch/admin/api.py
@@ -36,9 +36,9 @@
         """Serve one request; health, readiness and metrics need no token."""
         path, query = request_target(environ)
         method = environ["REQUEST_METHOD"]
-        public = self._handle_public(path)
-        if public is not None:
-            return public
+        public_reply = self._handle_public(path)
+        if public_reply is not None:
+            return public_reply
         role = self._tokens.role_of(environ.get("HTTP_AUTHORIZATION", ""))
         if role is Role.NONE:
             return problem_reply(results.UNAUTHORIZED, extra=(("WWW-Authenticate", "Bearer"),))
--- a/ploverhatch/cli/explain_stops.py
+++ b/ploverhatch/cli/explain_stops.py
@@ -10,7 +10,7 @@
 FIELD = re.compile(r"(\w+)=(\S+)")
 NODE = re.compile(r"(\S+) [IWE] \[gateway\]")
 STOPPING, STOPPED, STARTED = "[gateway] Stopping.", "[gateway] Stopped.", "[gateway] Started."
-CUT_AT_THE_END = "[callers] Request without answer."
+REQUEST_WITHOUT_ANSWER = "[callers] Request without answer."
 PROCESS_ENDS = "cause=process-ends"
 SHOWN = ("took_ms", "busy", "given_up", "taken", "untaken", "unknown", "crossed", "quiet_ms")
 
@@ -27,7 +27,7 @@
     @property
     def busy(self) -> list[str]:
         """Nodes that stopped with requests in flight."""
-        return [node for node, figures in self.ended if figures.get("busy", "0") != "0"]
+        return [node for node, fields in self.ended if fields.get("busy", "0") != "0"]
 
     @property
     def clean(self) -> bool:
@@ -46,7 +46,7 @@
         elif STARTED in text and node in self.unfinished:
             self.unfinished.discard(node)
             self.killed.append(node)
-        elif CUT_AT_THE_END in text and PROCESS_ENDS in text:
+        elif REQUEST_WITHOUT_ANSWER in text and PROCESS_ENDS in text:
             self.cut.append(dict(FIELD.findall(text)).get("request", "-"))
 
 
@@ -68,8 +68,8 @@
     requests in flight, cut a request, or was killed before it ended.
     """
     stops = read_stops(logs)
-    for node, figures in stops.ended:
-        click.echo(" ".join([node, *(f"{name}={figures.get(name, '-')}" for name in SHOWN)]))
+    for node, fields in stops.ended:
+        click.echo(" ".join([node, *(f"{name}={fields.get(name, '-')}" for name in SHOWN)]))
     click.echo(
         f"{len(stops.ended)} stops ended, {len(stops.busy)} of them busy; "
         f"{len(stops.killed)} were killed before; {len(stops.cut)} requests cut at the end"
--- a/ploverhatch/cli/running.py
+++ b/ploverhatch/cli/running.py
@@ -11,7 +11,7 @@
 from absl import flags, logging
 from gevent.event import Event
 
-YOUNG_OBJECTS = 20_000  # allocations before a collection of the youngest generation
+YOUNG_GENERATION_THRESHOLD = 20_000  # allocations before a collection of the youngest generation
 
 
 def start_logging(verbose: bool) -> None:
@@ -29,7 +29,7 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS, 20, 100)
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD, 20, 100)
 
 
 def print_ready(**fields: object) -> None:
--- a/ploverhatch/common/clock.py
+++ b/ploverhatch/common/clock.py
@@ -5,7 +5,7 @@
 # Leases, ages and deadlines are shared with other machines, whose clocks go on while this one
 # is suspended. CLOCK_MONOTONIC stops during a suspension: a leader that was suspended past the
 # end of its lease would go on leading. Reading CLOCK_BOOTTIME takes 120 ns instead of 70.
-_COUNTS_SUSPENSION = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_ELAPSED_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def elapsed_ms() -> float:
@@ -14,7 +14,7 @@
     The value never decreases, is unaffected by changes of the wall clock, and includes the time
     for which the machine was suspended.
     """
-    return time.clock_gettime(_COUNTS_SUSPENSION) * 1000
+    return time.clock_gettime(_ELAPSED_CLOCK_ID) * 1000
 
 
 def suspended_ms() -> float:
--- a/ploverhatch/common/in_flight.py
+++ b/ploverhatch/common/in_flight.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.deadline_ms = math.inf
         self._task = gevent.getcurrent()
-        self._over = False
+        self._finished = False
 
     def end(self, error: BaseException) -> None:
         """Raise an error in the request's task, unless the request is finished by then.
@@ -32,13 +32,13 @@
         gevent.get_hub().loop.run_callback(self._throw, error)
 
     def _throw(self, error: BaseException) -> None:
-        if not self._over:
-            self._over = True  # a request is ended only once
+        if not self._finished:
+            self._finished = True  # a request is ended only once
             self._task.throw(error)
 
     def finish(self) -> None:
         """Note that the request has its answer, or will get none."""
-        self._over = True
+        self._finished = True
 
 
 class InFlightRequests:
--- a/ploverhatch/common/log_output.py
+++ b/ploverhatch/common/log_output.py
@@ -38,19 +38,19 @@
         self._capacity = capacity
         self._lines: deque[str] = deque()
         self._data = b""  # encoded lines that are being written
-        self._dropped = 0  # lines dropped since the last line that reported a count
+        self._unreported_drops = 0  # lines dropped since the last line that reported a count
         self.dropped = 0  # lines dropped in total
         self._task: gevent.Greenlet | None = None
 
     @override
     def emit(self, record: logging.LogRecord) -> None:
         if len(self._lines) >= self._capacity:
-            self._dropped += 1
+            self._unreported_drops += 1
             self.dropped += 1
             return
-        if self._dropped:
-            self._lines.append(f"[log] Lines dropped. count={self._dropped}")
-            self._dropped = 0
+        if self._unreported_drops:
+            self._lines.append(f"[log] Lines dropped. count={self._unreported_drops}")
+            self._unreported_drops = 0
         self._lines.append(
             f"{self._stamp(record.created)} {record.levelname[0]} {record.getMessage()}"
         )
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -139,11 +139,11 @@
             ran = answered_id is not None and answer.get(names.SEAL) is not None
             return NO_LIMIT if ran else None
         values = [part for value in announced for part in value.split(b",")]
-        read = [
+        limits = [
             self._quantity(value, "Server-Limit field of a server is malformed.")
             for value in values
         ]
-        return min((per_s for per_s in read if per_s is not None), default=None)
+        return min((per_s for per_s in limits if per_s is not None), default=None)
 
     def _quantity(self, value: bytes, message: str) -> float | None:
         """Read a decimal number of 0 or more.
