--- a/ploverhatch/platform/__init__.py
+++ b/ploverhatch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter of the platform: its wire format, settings file and metadata store.
+"""Adapter to the platform: its wire format, settings file and metadata store.
 
-No other package knows the platform's names.
+No other package uses the field names and paths of these formats.
 """
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -84,7 +84,7 @@
         status = answer.status
         answered_id = answer.get(names.REQUEST_ID)
         if answered_id is not None and answered_id != facts.request_id:
-            return AttemptResult.LOST  # the answer belongs to another request
+            return AttemptResult.LOST  # The answer belongs to another request.
         if status == 421:
             return self._classify_misdirected(server_id, answer)
         if answer.get(names.NOT_EXECUTED) is not None:
@@ -128,11 +128,11 @@
         return self._quantity(value, "Retry-After field of a server is malformed.") or 0.0
 
     def _limit_per_s(self, answered_id: bytes | None, answer: WireAnswer) -> float | None:
-        """Return the requests per second of ``Server-Limit``; of several values the least.
+        """Return the limit of ``Server-Limit`` in requests per second, or the lowest of several.
 
-        Without the field, the answer to a request that ran shows that its server announces no
-        rate limit. Any other answer without the field, and one without a well-formed value,
-        returns ``None``: the limit announced before stays in force.
+        If the answer to a request that ran lacks the field, its server announces no rate limit,
+        and ``NO_LIMIT`` is returned. If any other answer lacks the field, or no value is
+        well-formed, ``None`` is returned: the limit announced before stays in force.
         """
         announced = [value for name, value in answer.headers if name.lower() == names.LIMIT]
         if not announced:
@@ -146,7 +146,7 @@
         return min((per_s for per_s in limits if per_s is not None), default=None)
 
     def _quantity(self, value: bytes, message: str) -> float | None:
-        """Read a decimal number of 0 or more.
+        """Read a finite number of 0 or more, in any form that ``float`` accepts.
 
         For any other value, ``message`` is logged, once per value, and ``None`` is returned.
         """
--- a/ploverhatch/platform/documents.py
+++ b/ploverhatch/platform/documents.py
@@ -28,7 +28,7 @@
 LOG = PartLogger("platform")
 
 MAX_PORT = 65_535
-MAX_SLOTS = 100_000  # more than one server can use: an entry with a higher number is malformed
+MAX_SLOTS = 100_000  # no server can use more: an entry with a higher number is malformed
 MAX_COLD_MS = 3_600_000.0
 
 
@@ -82,7 +82,7 @@
 
 
 # An entry may come from a foreign writer. Each field that the protocol names must be present and
-# of the right type: with default values in its place the entry would receive requests.
+# of the right type: an entry completed with default values would receive requests.
 class _ServerInfo(msgspec.Struct):
     service: Annotated[str, Meta(min_length=1)]
     version: str
@@ -197,7 +197,7 @@
 
 
 class PlatformTranslation(Translation):
-    """Translates objects of the platform; a malformed one is logged and gives ``None``."""
+    """Translates objects of the platform; logs a malformed object and returns ``None`` for it."""
 
     readiness_path = names.READINESS_PATH
 
--- a/ploverhatch/platform/names.py
+++ b/ploverhatch/platform/names.py
@@ -15,7 +15,7 @@
 STATE_DRAINING = "draining"
 KIND_SAFE = "safe"
 
-# Header fields, in lower case: received names are converted to it before comparison.
+# Header fields, in lower case: received names are converted before comparison.
 REQUEST_ID = b"request-id"
 DEADLINE = b"request-deadline-ms"
 SEAL = b"response-seal"
--- a/ploverhatch/platform/pages.py
+++ b/ploverhatch/platform/pages.py
@@ -20,10 +20,11 @@
 LOG = PartLogger("store")
 
 T = TypeVar("T")
-# Raised by the parsers on malformed input; RecursionError stands for too deep nesting.
+# Raised by the parsers on malformed input; RecursionError means that the nesting is too deep.
 PARSE_ERRORS = (ValueError, OverflowError, RecursionError)
-# An object that is nested more deeply loses its content. Recursive parsers reject their whole
-# input at some 900 levels, and at fewer when the caller's stack is deep.
+# Depth limit of the parser that isn't recursive: an object nested more deeply loses its content.
+# That parser is used when a recursive one rejects its whole input, which happens at some 900
+# levels, and at fewer when the caller's stack is deep.
 MAX_LEVELS = 200
 SPARE_LEVELS = 100  # other nodes may parse the object on a deeper stack
 
@@ -71,7 +72,7 @@
 def read_object(body: bytes) -> VersionedObject:
     """Parse one object.
 
-    :raises StoreCallError: when the object has no name.
+    :raises StoreCallError: when the object's metadata is missing or malformed.
     """
     try:
         return _parse_object(body)
@@ -103,7 +104,7 @@
 
 
 def _named_objects(rows: list[msgspec.Raw]) -> list[VersionedObject]:
-    """Return the objects that have a name; others are logged."""
+    """Return the objects whose metadata is readable; log the others."""
     found = []
     for row in rows:
         try:
@@ -114,9 +115,9 @@
 
 
 def _parse_object(data: bytes | msgspec.Raw) -> VersionedObject:
-    """Parse an object; one that can't be encoded for other nodes loses its content.
+    """Parse an object; it loses its content if it is malformed or can't be encoded for other nodes.
 
-    :raises ValueError: when the object has no name.
+    :raises ValueError: when the object's metadata is missing or malformed.
     """
     try:
         item = msgspec.json.decode(data, type=_Object)
@@ -137,7 +138,7 @@
 def _metadata_of(data: bytes) -> _Metadata:
     """Return the metadata of an object with malformed content.
 
-    :raises ValueError: when the object has no name.
+    :raises ValueError: when the metadata is missing or malformed.
     """
     try:
         return msgspec.json.decode(data, type=_Named).metadata
@@ -157,7 +158,7 @@
 
 
 def _repaired(body: bytes) -> bytes:
-    """Return a body that the strict parser rejects, without the content that it rejects.
+    """Return the body without the content of the objects that the strict parser rejects.
 
     An object loses its content if it contains invalid Unicode, NaN, infinity, a number out of
     range or deep nesting.
@@ -210,7 +211,7 @@
 def _replace_non_finite(found: re.Match[bytes]) -> bytes:
     """Return a number that overflows to infinity in place of NaN or Infinity; keep strings.
 
-    The parser accepts neither of these words.
+    The parser accepts neither NaN nor Infinity.
     """
     return found[0] if found[0].startswith(b'"') else b"1e999"
 
--- a/ploverhatch/platform/settings.py
+++ b/ploverhatch/platform/settings.py
@@ -10,7 +10,7 @@
 
 
 class SettingsFileError(SettingsError):
-    """The settings file is missing, unreadable or invalid; the text names the cause."""
+    """The settings file is missing, unreadable or invalid; the message states the cause."""
 
 
 class _Limits(msgspec.Struct):
@@ -71,7 +71,7 @@
 def read_settings(path: str) -> GatewaySettings:
     """Read and check a settings file; unknown fields are ignored.
 
-    :raises SettingsFileError: naming the field that is missing or invalid.
+    :raises SettingsFileError: when the file can't be read, or a field is missing or invalid.
     """
     try:
         with open(path, "rb") as source:
@@ -83,7 +83,7 @@
 def parse_settings(text: bytes) -> GatewaySettings:
     """Parse and check the text of a settings file.
 
-    :raises SettingsFileError: naming the field that is missing or invalid.
+    :raises SettingsFileError: when the text isn't TOML, or a field is missing or invalid.
     """
     try:
         file = msgspec.toml.decode(text, type=_SettingsFile)
@@ -119,7 +119,7 @@
 
 
 class SettingsFile(SettingsSource):
-    """Reads the settings file and detects its changes, since they may come without a signal."""
+    """Reads the settings file and detects changes to it, which may occur without a signal."""
 
     def __init__(self, path: str) -> None:
         self._path = path
--- a/ploverhatch/platform/store.py
+++ b/ploverhatch/platform/store.py
@@ -87,7 +87,7 @@
             if era != first[0]:
                 raise StoreCallError("store was restored from a snapshot between two pages")
             if stale and self._is_new(era):
-                return self.list_all(kind)  # the stale answer may predate the restore
+                return self.list_all(kind)  # The stale answer may predate the restore.
             if not page.more or not page.items:
                 # A watch from this revision reports changes made while later pages were read.
                 return Listing(tuple(items), revisions.combine(*first))
