--- a/ploverhatch/transport/http_client.py
+++ b/ploverhatch/transport/http_client.py
@@ -1,7 +1,7 @@
 """HTTP client that sends each request once and reports whether bytes of it were sent.
 
 It uses the connection pool and response parser of geventhttpclient, but not its
-``HTTPClient``: this one sends a request again when a pooled connection breaks, so that a
+``HTTPClient``, which sends a request again when a pooled connection breaks, so that a
 server may execute the request twice.
 """
 
@@ -20,7 +20,7 @@
 
 
 class NotSentError(ConnectionError):
-    """No byte of the request was sent, since no connection was available."""
+    """No byte of the request was sent, for example because no connection was available."""
 
 
 class AnswerLostError(ConnectionError):
@@ -44,7 +44,7 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Header fields by name; the last value of a repeated field."""
+        """Header fields by name; a repeated field has its last value."""
         return dict(self.fields)
 
     def json(self) -> Any:
@@ -103,8 +103,8 @@
     ) -> HttpAnswer:
         """Send a request once and read the complete answer.
 
-        :raises NotSentError: when no connection was made in time, or the
-            client is closed (the pool raises ``RuntimeError`` then).
+        :raises NotSentError: when no connection was made in time, the head can't be
+            encoded, or the client is closed (the pool raises ``RuntimeError`` then).
         :raises AnswerLostError: when bytes may have been sent and no
             complete answer was received in time.
         """
--- a/ploverhatch/transport/http_connection.py
+++ b/ploverhatch/transport/http_connection.py
@@ -187,7 +187,7 @@
         sock.settimeout(None)
 
     def is_usable(self) -> bool:
-        """Whether an idle connection is open and has no unread bytes.
+        """Return whether an idle connection is open and has no unread bytes.
 
         Bytes that arrive while no request is open belong to no request.
         """
@@ -198,7 +198,7 @@
         return not poll.poll(0)
 
     def closed_by_peer(self) -> bool:
-        """Whether the peer closed the connection, even if unread bytes remain."""
+        """Return whether the peer closed the connection, even if unread bytes remain."""
         if self._socket is None:
             return True
         poll = select.poll()
@@ -219,13 +219,13 @@
     def exchange(
         self, method: bytes, payload: bytes, keep_open_on_timeout: bool = False
     ) -> WireAnswer:
-        """Send one request and read its answer; the caller limits it by ``gevent.Timeout``.
+        """Send one request and read its answer; the caller limits the time by ``gevent.Timeout``.
 
         Without a complete answer the connection is closed with a reset, so that
         bytes in transit cannot arrive later.
 
-        :param keep_open_on_timeout: whether the connection stays open after a timeout. It accepts
-            no further request, but its end shows that the peer's process ended.
+        :param keep_open_on_timeout: whether the connection stays open after a timeout. It is not
+            used for further requests, but its closing shows that the peer's process ended.
         :raises AnswerCutError: when no complete answer was received.
         """
         self.reusable = False
--- a/ploverhatch/transport/http_server.py
+++ b/ploverhatch/transport/http_server.py
@@ -1,4 +1,4 @@
-"""gevent's WSGI server, configured for small answers and strict requests.
+"""gevent's WSGI server, configured for small answers and strict parsing of requests.
 
 Differences from the default: Nagle's algorithm is disabled; requests whose
 length is ambiguous are rejected, since another HTTP implementation could split
@@ -37,7 +37,7 @@
 
 
 def has_unread(sock: Any) -> bool:
-    """Whether the socket has received bytes that are still unread."""
+    """Return whether the socket has received bytes that are still unread."""
     try:
         return bool(sock._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError:
@@ -177,14 +177,14 @@
         Idle connections stay open for ``linger_s`` seconds, since a request may
         be in transit; its answer closes the connection. After that, only
         connections with a partly received request remain open. Such a request is
-        served once it is complete, and may be aborted at the limit.
+        served once it is complete, and aborted if it is still incomplete at the limit.
 
         :returns: whether every request was answered within ``limit_s`` seconds.
         """
         self.draining = True
         self._accept_waiting()
         self.close()
-        gevent.sleep(0)  # a connection is tracked once its task has run
+        gevent.sleep(0)  # A connection is tracked once its task has run.
         loop = gevent.get_hub().loop
         end_s = loop.now() + limit_s
         idle_end_s = loop.now() + linger_s
--- a/ploverhatch/transport/peers.py
+++ b/ploverhatch/transport/peers.py
@@ -1,7 +1,7 @@
 """Connections between nodes: one-way messages and requests with replies.
 
 Only the reader and writer tasks of a connection use its socket; other tasks pass
-messages by bounded queues. A frame that is malformed, oversized, or a reply to
+messages through bounded queues. A frame that is malformed, oversized, or a reply to
 no open request is counted; a malformed or oversized frame closes its connection.
 """
 
@@ -140,8 +140,9 @@
     """The listening socket and the outgoing connections of a node.
 
     ``handler(connection, envelope, message)`` runs in the reader task for one-way
-    messages and in a separate task for requests; for a request, its return value
-    is the reply. Messages for another incarnation of the node are not handled.
+    messages and in a separate task for requests; for a request, a return value other
+    than ``None`` is the reply. Messages for another incarnation of the node are not
+    passed to the handler; a request among them is answered with an empty ``StatusReply``.
     """
 
     def __init__(self, node_id: str, address: Address, handler: Handler) -> None:
@@ -250,8 +251,9 @@
     ) -> tuple[wire.Envelope, Any]:
         """Send a request and wait for its reply.
 
-        :raises PeerUnreachableError: when no reply arrives within ``timeout_s``
-            seconds. The peer may have handled the request.
+        :raises PeerUnreachableError: when the request can't be sent, the connection
+            closes, or no reply arrives within ``timeout_s`` seconds. The peer may
+            have handled a request that was sent.
         """
         connection = self._connect(address)
         correlation = next(self._correlations)
--- a/ploverhatch/transport/registry.py
+++ b/ploverhatch/transport/registry.py
@@ -67,5 +67,5 @@
         return envelope, message_type().parse(envelope.payload)
     except MalformedFrameError:
         raise
-    except Exception as error:  # the codec raises many types on bad input
+    except Exception as error:  # The codec raises many types on bad input.
         raise MalformedFrameError(str(error)) from error
