--- a/ploverhatch/backend/http_backend.py
+++ b/ploverhatch/backend/http_backend.py
@@ -59,7 +59,7 @@
 
 
 def span_from_json(row: list[Any]) -> SliceRange:
-    """Return the range that a JSON array of ``span_to_json`` stands for."""
+    """Return the range of a JSON array that ``span_to_json`` returned."""
     return SliceRange(row[0], int(row[1]), int(row[2]))
 
 
@@ -114,8 +114,9 @@
 
     @override
     def has_ended(self, timeout_s: float) -> bool:
-        # A new connection: a persistent one also breaks when the process ends, but possibly
-        # later than others, and its failure doesn't show whether a process still listens.
+        # Opens a new connection. A persistent one also breaks when the process ends, but possibly
+        # later than other connections, and its failure doesn't show whether a process still
+        # listens.
         connection = HttpConnection(self._address)
         try:
             connection.open(timeout_s)
--- a/ploverhatch/backend/interface.py
+++ b/ploverhatch/backend/interface.py
@@ -94,14 +94,15 @@
     def sync(self, request: SyncRequest, timeout_s: float) -> SyncReply:
         """Renew the lease and change grants.
 
-        :raises ConnectionError: without an answer; the request may have been applied.
+        :raises ConnectionError: when no answer, or an error answer, was received; the back
+            end may have applied the request.
         """
 
     @abstractmethod
     def probe(self, timeout_s: float) -> ProbeReply:
         """Ask for health and load.
 
-        :raises ConnectionError: without an answer.
+        :raises ConnectionError: when no answer, or an error answer, was received.
         """
 
     @abstractmethod
@@ -117,7 +118,7 @@
         """Cancel a request.
 
         :returns: true only if the request did not run and never will.
-        :raises ConnectionError: without an answer.
+        :raises ConnectionError: when no answer, or an error answer, was received.
         """
 
     @abstractmethod
--- a/ploverhatch/settings/loader.py
+++ b/ploverhatch/settings/loader.py
@@ -18,7 +18,8 @@
 def load_model(model: type[Model], path: str | Path) -> Model:
     """Read a file as ``model``.
 
-    :raises SettingsError: names the file, the key and the accepted range of each error.
+    :raises SettingsError: if the file can't be read or doesn't match ``model``; the message names
+        the file, and the key and accepted range of each error.
     """
     return validate(model, read_toml(path), str(path))
 
@@ -52,7 +53,7 @@
 
 
 def validate(model: type[Model], document: dict[str, Any], name: str) -> Model:
-    """Check a parsed document against a model; ``name`` stands for it in errors.
+    """Check a parsed document against a model; error messages name it ``name``.
 
     :raises SettingsError: if the document doesn't match the model.
     """
--- a/ploverhatch/store/interface.py
+++ b/ploverhatch/store/interface.py
@@ -14,7 +14,7 @@
 
 
 class ChangeUnknownError(StoreUnavailableError):
-    """The answer to a change was lost: the change may have taken effect."""
+    """The answer to a change was lost or unexpected: the change may have taken effect."""
 
 
 class VersionConflictError(Exception):
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ObjectList:
-    """Objects, and the revision of the store that they were read at."""
+    """Objects, and the revision of the store at which they were read."""
 
     revision: int
     items: tuple[StoredObject, ...]
@@ -86,7 +86,7 @@
         ``operation`` identifies the change; the object stores it.
 
         :raises VersionConflictError: when the object is at another version.
-        :raises ChangeUnknownError: when the answer was lost.
+        :raises ChangeUnknownError: when the answer was lost or unexpected.
         """
 
     @abstractmethod
@@ -94,12 +94,14 @@
         """Delete an object that is at version ``expected``; return the store's new revision.
 
         :raises VersionConflictError: when the object is at another version.
-        :raises ChangeUnknownError: when the answer was lost.
+        :raises ChangeUnknownError: when the answer was lost or unexpected.
         """
 
     @abstractmethod
     def watch(self, after: int, wait_s: float) -> ObjectList:
-        """Wait up to ``wait_s`` seconds for changes after revision ``after``; may return none.
+        """Wait up to ``wait_s`` seconds for changes after revision ``after``.
+
+        The list may be empty.
 
         :raises HistoryCompactedError: when the store has dropped changes after ``after``.
         """
--- a/ploverhatch/store/revisions.py
+++ b/ploverhatch/store/revisions.py
@@ -20,7 +20,7 @@
 
 
 def same_era(revision: int, other: int) -> bool:
-    """Whether two combined revisions are of the same era: no restore lies between them."""
+    """Return whether two combined revisions are of the same era: no restore lies between them."""
     return era_of(revision) == era_of(other)
 
 
