--- a/ploverhatch/admin/changes.py
+++ b/ploverhatch/admin/changes.py
@@ -1,8 +1,9 @@
 """Checks changes of configuration objects and writes them to the store by compare-and-set.
 
-If the store's answer to a change is lost, the object is read back and compared by the operation's
-id, and the change is repeated under the same condition, so it takes effect at most once. The
-outcome is "unknown" only if that fails too.
+If the store's answer to a change is lost, the object is read back: a write is recognized by its
+operation's id, a deletion by the absence of the object. A change that has not taken effect is
+repeated under the same condition, so that it takes effect at most once. The outcome is "unknown"
+only if the object was replaced meanwhile, or the store does not answer.
 """
 
 import secrets
@@ -35,7 +36,10 @@
 
 @dataclass(frozen=True)
 class ChangeOutcome:
-    """Outcome of a change; ``version`` is the object's version, or 0 if unknown."""
+    """Outcome of a change; ``version`` is the object's version, or 0 if unknown.
+
+    After a deletion it is the revision of the store.
+    """
 
     result: Result
     version: int = 0
--- a/ploverhatch/admin/tokens.py
+++ b/ploverhatch/admin/tokens.py
@@ -28,7 +28,8 @@
         scheme, _, token = authorization.partition(" ")
         presented = token.strip().encode() if scheme.lower() == "bearer" else b""
         found = Role.NONE
-        for role, known in self.tokens:  # no early exit: the time must not show which one matched
+        # Compares all tokens, so that the time doesn't show which token matched.
+        for role, known in self.tokens:
             if hmac.compare_digest(presented, known.encode()):
                 found = max(found, role)
         return found
@@ -41,7 +42,7 @@
 def load_tokens(path: str) -> TokenList:
     """Read a token file; an empty path stands for an empty list.
 
-    :raises TokenFileError: if a line is malformed; the message has its number.
+    :raises TokenFileError: if a line is malformed; the message states its number.
     :raises OSError: if the file can't be read.
     """
     if not path:
--- a/ploverhatch/cli/bench.py
+++ b/ploverhatch/cli/bench.py
@@ -1,4 +1,4 @@
-"""``ploverhatch bench``: measures how the costs of the control plane grow with the size."""
+"""``ploverhatch bench``: measures how the costs of the control plane grow with its size."""
 
 import json
 from dataclasses import asdict
--- a/ploverhatch/cli/ctl.py
+++ b/ploverhatch/cli/ctl.py
@@ -172,7 +172,10 @@
 
 
 def _wait_in_force(client: AdminClient, generation: int) -> None:
-    """Wait until every node reports a generation; after ``WAIT_LIMIT_S`` list the others."""
+    """Wait until every node reports a generation.
+
+    After ``WAIT_LIMIT_S``, list the nodes that don't, and exit.
+    """
     end_ms = elapsed_ms() + WAIT_LIMIT_S * 1000
     behind: list[str] = []
     while elapsed_ms() < end_ms:
--- a/ploverhatch/cli/explain_request.py
+++ b/ploverhatch/cli/explain_request.py
@@ -109,7 +109,7 @@
 
 
 def _context(line: LogLine, lines: list[LogLine]) -> list[LogLine]:
-    """Return the last earlier lines about the request's service and servers, or leadership."""
+    """Return the last lines before ``line`` about its service, its servers or leadership."""
     attempts = line.fields.get("attempts", "-")
     servers = {part.partition("@")[0] for part in attempts.split("|")} - {"-"}
     service = line.fields.get("service", "-")
--- a/ploverhatch/cli/explain_stops.py
+++ b/ploverhatch/cli/explain_stops.py
@@ -21,7 +21,7 @@
 
     ended: list[tuple[str, dict[str, str]]] = field(default_factory=list)  # node, log fields
     unfinished: set[str] = field(default_factory=set)  # nodes whose stop has no end in the log
-    killed: list[str] = field(default_factory=list)  # nodes that started again before that end
+    killed: list[str] = field(default_factory=list)  # nodes that started again without such an end
     cut: list[str] = field(default_factory=list)  # requests in flight when a process exited
 
     @property
--- a/ploverhatch/cli/running.py
+++ b/ploverhatch/cli/running.py
@@ -16,7 +16,7 @@
 
 def start_logging(verbose: bool) -> None:
     """Log to standard error; only the ready line goes to standard output."""
-    flags.FLAGS.mark_as_parsed()  # click parses the command line, not absl
+    flags.FLAGS.mark_as_parsed()  # click, not absl, parses the command line.
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO if verbose else logging.WARNING)
     logging.set_stderrthreshold("info" if verbose else "warning")
--- a/ploverhatch/common/in_flight.py
+++ b/ploverhatch/common/in_flight.py
@@ -8,7 +8,7 @@
 
 
 class ProcessEndsError(BaseException):
-    """Raised in the task that serves a request when the process exits before it is answered."""
+    """Raised in the task of a request if the process exits before the request is answered."""
 
 
 class InFlightRequest:
@@ -33,7 +33,7 @@
 
     def _throw(self, error: BaseException) -> None:
         if not self._finished:
-            self._finished = True  # a request is ended only once
+            self._finished = True  # A request is ended only once.
             self._task.throw(error)
 
     def finish(self) -> None:
--- a/ploverhatch/common/log_output.py
+++ b/ploverhatch/common/log_output.py
@@ -70,13 +70,14 @@
                 written = gevent_os.nb_write(self._descriptor, self._data)
                 self._data = self._data[written:]
         except OSError:
+            # The reader has gone: the lines are lost, and the process continues.
             self._lines.clear()
-            self._data = b""  # the reader is gone: the lines are lost, the process goes on
+            self._data = b""
         finally:
             self._task = None
 
     def _encode_next(self) -> bool:
-        """Encode the next lines once the previous ones are written; false if none are left."""
+        """Encode the next lines once the previous ones are written; return whether any are left."""
         if not self._data:
             lines = [self._lines.popleft() for _ in range(min(LINES_AT_ONCE, len(self._lines)))]
             self._data = "".join(f"{line}\n" for line in lines).encode()
--- a/ploverhatch/common/results.py
+++ b/ploverhatch/common/results.py
@@ -1,7 +1,7 @@
 """Numbered result codes of the callers' and operators' interfaces.
 
-Each code has an HTTP status, states whether the request ran, and whether the same request may
-be retried. ``docs/RESULT-CODES.md`` lists the table, and a test compares both.
+Each code has an HTTP status and states whether the request ran, and whether the same request may
+be retried. ``docs/RESULT-CODES.md`` lists the codes; a test compares the page with this module.
 """
 
 from dataclasses import dataclass
--- a/ploverhatch/common/signal.py
+++ b/ploverhatch/common/signal.py
@@ -15,5 +15,5 @@
         event.set()
 
     def wait(self, timeout_s: float) -> bool:
-        """Wait until the signal is raised next; false when ``timeout_s`` passes first."""
+        """Wait until the signal is raised next; return false if ``timeout_s`` passes first."""
         return bool(self._event.wait(max(timeout_s, 0.0)))
--- a/ploverhatch/common/timing.py
+++ b/ploverhatch/common/timing.py
@@ -1,7 +1,7 @@
 """Time bounds of the control protocols, in milliseconds of elapsed time.
 
 No decision reads a wall clock. ``DRIFT`` bounds how far the rates of two elapsed clocks may
-differ, as a fraction; a wait that depends on another process's clock is lengthened by it.
+differ, as a fraction; a time limit that depends on another process's clock allows for it.
 """
 
 from dataclasses import dataclass
