--- a/ploverhatch/platform/__init__.py
+++ b/ploverhatch/platform/__init__.py
@@ -1,4 +1,5 @@
 """Adapter to the platform: its wire format, settings file and metadata store.
 
-No other package uses the field names and paths of these formats.
+The gateway does not depend on the platform's names: it uses interfaces that this package
+implements.
 """
