--- a/ploverhatch/cli/running.py
+++ b/ploverhatch/cli/running.py
@@ -11,12 +11,12 @@
 from absl import flags, logging
 from gevent.event import Event
 
-YOUNG_OBJECTS = 20_000  # allocations before a collection of the youngest generation
+YOUNG_GENERATION_THRESHOLD = 20_000  # allocations before a collection of the youngest generation
 
 
 def start_logging(verbose: bool) -> None:
     """Log to standard error; only the ready line goes to standard output."""
-    flags.FLAGS.mark_as_parsed()  # click parses the command line, not absl
+    flags.FLAGS.mark_as_parsed()  # click, not absl, parses the command line.
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO if verbose else logging.WARNING)
     logging.set_stderrthreshold("info" if verbose else "warning")
@@ -29,7 +29,7 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(YOUNG_OBJECTS, 20, 100)
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD, 20, 100)
 
 
 def print_ready(**fields: object) -> None:
--- a/ploverhatch/platform/__init__.py
+++ b/ploverhatch/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Adapter of the platform: its wire format, settings file and metadata store.
+"""Adapter to the platform: its wire format, settings file and metadata store.
 
-No other package knows the platform's names.
+The gateway does not depend on the platform's names: it uses interfaces that this package
+implements.
 """
