--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -150,8 +150,8 @@
     """
     load = serve_around_stop(standin, [Habit.PAIRS], one)
     stopped = next(gateway for gateway in standin.gateways if gateway.incarnations[0].stop_s)
-    life, ended = stopped.incarnations[0], [sent for sent in load.requests if sent.end is not None]
-    under_stop = [sent for sent in ended if sent.incarnation is life and sent.end_s > life.stop_s]
+    first, ended = stopped.incarnations[0], [sent for sent in load.requests if sent.end is not None]
+    under_stop = [sent for sent in ended if sent.incarnation is first and sent.end_s > first.stop_s]
     assert len(under_stop) > 20
     assert cut_short(ended) == []
 
--- a/tests/functional/test_copies_that_end_servers.py
+++ b/tests/functional/test_copies_that_end_servers.py
@@ -33,7 +33,7 @@
 from tests.standin.site import StandinSite
 
 CALLERS = 60
-EVERY_S = 0.15
+INTERVAL_S = 0.15
 LENGTH_S = 16.0
 KEY = 1365
 PROPAGATION_S = 3.0  # from the third copy that ran until all gateways must know
@@ -41,22 +41,24 @@
 MAX_CRASHED = PLAIN_UPSTREAMS // 2  # half of the servers can carry the service
 
 
-def send_at_rate(caller, gateways, chance, every_s, length_s):
-    """Send about every ``every_s`` to a random gateway, without waiting for answers."""
-    gevent.sleep(chance.uniform(0.0, every_s))
+def send_at_rate(caller, gateways, rng, interval_s, length_s):
+    """Send about every ``interval_s`` to a random gateway, without waiting for answers."""
+    gevent.sleep(rng.uniform(0.0, interval_s))
     with gevent.Timeout(length_s, False):
         for _ in count():
-            gevent.spawn(caller.ask, chance.choice(gateways))
-            gevent.sleep(every_s * chance.uniform(0.8, 1.2))
+            gevent.spawn(caller.ask, rng.choice(gateways))
+            gevent.sleep(interval_s * rng.uniform(0.8, 1.2))
 
 
-def send_from_many(scenario, seed, callers=CALLERS, every_s=EVERY_S, length_s=LENGTH_S, **request):
+def send_from_many(
+    scenario, seed, callers=CALLERS, interval_s=INTERVAL_S, length_s=LENGTH_S, **request
+):
     """Have many callers with distinct addresses send the same request."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     made = [Caller(f"c{n}", address=f"127.0.1.{n + 1}", **request) for n in range(callers)]
     gevent.joinall(
         [
-            gevent.spawn(send_at_rate, caller, scenario.site.gateways, chance, every_s, length_s)
+            gevent.spawn(send_at_rate, caller, scenario.site.gateways, rng, interval_s, length_s)
             for caller in made
         ]
     )
@@ -67,7 +69,9 @@
 def copies_that_ran(scenario, callers):
     """Return time and server of each copy that reached a server, in order."""
     names = {sent.name for caller in callers for sent in caller.asked}
-    found = [(at_s, life) for name, life, at_s in scenario.site.arrivals() if name in names]
+    found = [
+        (at_s, incarnation) for name, incarnation, at_s in scenario.site.arrivals() if name in names
+    ]
     return sorted(found)
 
 
@@ -85,10 +89,10 @@
     made.close()
 
 
-def print_course(scenario, copies):
+def print_timeline(scenario, copies):
     """Print copies, crashes and the gateways' log lines, to explain a failure."""
     start = copies[0][0]
-    print("copies", [f"{at_s - start:.3f}@{life}" for at_s, life in copies])
+    print("copies", [f"{at_s - start:.3f}@{incarnation}" for at_s, incarnation in copies])
     print("ends", [f"{at_s - start:.3f}" for at_s in scenario.crash_times()])
     for gateway in scenario.site.gateways:
         for line in gateway.log.read_text(errors="replace").splitlines():
@@ -98,7 +102,7 @@
 
 def assert_few_late(scenario, callers):
     copies = copies_that_ran(scenario, callers)
-    print_course(scenario, copies)
+    print_timeline(scenario, copies)
     assert len(late_copies(copies)) <= MAX_LATE
 
 
@@ -118,4 +122,4 @@
 
 def test_few_callers_at_a_lower_rate_too(scenario):
     request = {"path": "/kread/killer", "key": KEY, "crashes_server": True}
-    assert_few_late(scenario, send_from_many(scenario, 3, callers=16, every_s=0.25, **request))
+    assert_few_late(scenario, send_from_many(scenario, 3, callers=16, interval_s=0.25, **request))
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -120,11 +120,11 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "headers", "status", "comes_back"), REFUSALS)
-def test_refusals(bench, path, headers, status, comes_back):
+@pytest.mark.parametrize(("path", "headers", "status", "has_retry_after"), REFUSALS)
+def test_refusals(bench, path, headers, status, has_retry_after):
     reply = bench.ask(path, headers=headers)
     assert reply.status == status
-    assert bool(field(reply, b"retry-after")) is comes_back
+    assert bool(field(reply, b"retry-after")) is has_retry_after
     assert field(reply, b"response-seal") == []
 
 
@@ -488,7 +488,7 @@
 # ---- evacuated zones and cold servers -----------------------------------------------------
 
 
-def evacuate_ms(bench, limit_ms):
+def limit_evacuation_time(bench, limit_ms):
     bench.forwarder = Forwarder(
         bench.directory, bench.pool, PlatformDialect(), bench.budget, None, limit_ms
     )
@@ -531,7 +531,7 @@
     upstream = Upstream("u1")
     bench.own_keys(bench.add(upstream, service=KEYED))
     bench.add(Upstream("u2"), service=KEYED)
-    evacuate_ms(bench, 1000.0)
+    limit_evacuation_time(bench, 1000.0)
     bench.directory.set_evacuated({"z1"})
     assert bench.ask(b"/keyonce/", b"POST", headers=[(b"Shard-Key", b"5")]).status == 200
     gevent.sleep(0.31)
@@ -539,7 +539,7 @@
     assert len(upstream.ran) == 1
 
 
-def bound_cold(bench, per_s=6.7):
+def limit_cold_servers(bench, per_s=6.7):
     services = {
         name: replace(service, cold_ms=3000.0, cold_per_s=per_s)
         for name, service in bench.directory.table.services.items()
@@ -551,7 +551,7 @@
     cold, warm = Upstream("u1"), Upstream("u2")
     record = bench.add(cold)
     bench.add(warm)
-    bound_cold(bench)
+    limit_cold_servers(bench)
     bench.directory.put_server(replace(record, warmup_ms=60_000.0))
     use_shared_slots(bench, GrantedSlots())
     for _ in range(6):
@@ -563,7 +563,7 @@
     cold = Upstream("u1")
     record = bench.add(cold, service=KEYED)
     bench.own_keys(record)
-    bound_cold(bench)
+    limit_cold_servers(bench)
     bench.directory.put_server(replace(record, warmup_ms=60_000.0))
     use_shared_slots(bench, GrantedSlots(None, "u1"))
     statuses = [
--- a/tests/functional/test_limited_servers.py
+++ b/tests/functional/test_limited_servers.py
@@ -32,7 +32,7 @@
     return elapsed_ms() / 1000
 
 
-def name_limit(upstreams, limit):
+def announce_limit(upstreams, limit):
     for upstream in upstreams:
         upstream.behaviour.limit = limit
 
@@ -43,7 +43,7 @@
 def test_a_limited_server_gets_no_more_than_it_named(scenario, limit):
     start_s = now_s()
     limited = scenario.busiest()
-    name_limit(limited, limit)
+    announce_limit(limited, limit)
     gevent.sleep(LOAD_S)
     scenario.stop_callers()
     assert all(upstream.limit_answers for upstream in limited)
@@ -55,7 +55,7 @@
 # With all servers of a service limited, requests beyond the limits waited or exceeded them.
 def test_where_all_servers_are_limited_excess_requests_are_refused_at_once(scenario):
     gevent.sleep(DISCOVERY_MS / 1000)
-    name_limit(scenario.site.upstreams.values(), "6")
+    announce_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(2.0)
     start_s = now_s()
     gevent.sleep(LOAD_S)
@@ -74,7 +74,7 @@
 
 # A restarted gateway knows no limit, and the killed gateway may be the one that counts requests.
 def test_limits_hold_while_gateways_are_killed_and_start_again(scenario):
-    name_limit(scenario.site.upstreams.values(), "6")
+    announce_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
     for gateway in scenario.site.gateways[:3]:
         gateway.incarnation.kill()
@@ -88,7 +88,7 @@
 
 # While the counting node is suspended, another node counts; both grant once it resumes.
 def test_limits_hold_while_gateways_are_suspended(scenario):
-    name_limit(scenario.site.upstreams.values(), "6")
+    announce_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
     for gateway in scenario.site.gateways:
         gateway.incarnation.freeze(2.0)
@@ -100,7 +100,7 @@
 # A stopping gateway still granted slots that were released there while another gateway already
 # counted.
 def test_limits_hold_while_gateways_stop_as_planned(scenario):
-    name_limit(scenario.site.upstreams.values(), "6")
+    announce_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
     for gateway in scenario.site.gateways[:3]:
         gateway.incarnation.stop()
@@ -117,9 +117,9 @@
 @pytest.mark.parametrize("scenario", [{"keys": SAMPLE_KEYS[::2]}], indirect=True)
 def test_a_server_whose_limit_has_ended_is_used_as_before(scenario):
     limited = scenario.busiest()
-    name_limit(limited, "2.5")
+    announce_limit(limited, "2.5")
     gevent.sleep(5.0)
-    name_limit(limited, "")
+    announce_limit(limited, "")
     for upstream in scenario.site.upstreams.values():
         upstream.behaviour.work_s = 0.06  # so that the load needs every server
     gevent.sleep(8.0)
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -70,7 +70,7 @@
 
 
 @pytest.fixture
-def served():
+def slow_server():
     made = SlowServer()
     yield made
     made.http.abort()
@@ -89,22 +89,22 @@
     return int(data.split()[1]) if data else 0
 
 
-def test_connections_that_wait_to_be_accepted_are_served(served):
+def test_connections_that_wait_to_be_accepted_are_served(slow_server):
     """Requests in the accept backlog were reset when the listener closed.
 
     The backlog holds connections that the kernel set up while the process was busy. A
     caller whose request is in the backlog cannot tell a reset from a request that ran.
     In this test, clients connect and send while the server does not run, then it drains.
     """
-    clients = [stdlib_socket.create_connection((LOOPBACK, served.http.port)) for _ in range(3)]
+    clients = [stdlib_socket.create_connection((LOOPBACK, slow_server.http.port)) for _ in range(3)]
     for client in clients:
         client.sendall(request(b"/0"))
         client.setblocking(False)
-    assert served.stop(2.0, 0.3)
+    assert slow_server.stop(2.0, 0.3)
     assert [status(client) for client in clients] == [200, 200, 200]
 
 
-def test_a_request_is_not_begun_without_room_to_end(served):
+def test_a_request_is_not_begun_without_room_to_end(slow_server):
     """A kept connection accepted requests until the drain limit, which then cut them off.
 
     Idle connections stayed open after the linger time while another request was in
@@ -112,53 +112,53 @@
     test, a request of 500 ms is sent 0.7 s into a limit of 1.0 s: it must be answered or
     not begun.
     """
-    busy, kept = served.connect(), served.connect()
+    busy, kept = slow_server.connect(), slow_server.connect()
     busy.sendall(request(b"/900"))
     gevent.sleep(0.05)
     gevent.spawn_later(0.7, kept.sendall, request(b"/500"))
-    served.stop(1.0, 0.1)
+    slow_server.stop(1.0, 0.1)
     assert status(busy) == 200
-    assert status(kept) == 200 or served.begun == ["/900"]
+    assert status(kept) == 200 or slow_server.begun == ["/900"]
 
 
-def test_nothing_is_begun_after_the_drain(served):
+def test_nothing_is_begun_after_the_drain(slow_server):
     """A request was begun after the drain had reported that all were answered.
 
     Idle connections stayed open when the drain returned; a node then commits records for
     up to 3 s, and cuts off requests that began meanwhile.
     """
-    kept = served.connect()
-    assert served.http.drain(1.0, 0.1)
+    kept = slow_server.connect()
+    assert slow_server.http.drain(1.0, 0.1)
     with suppress(OSError):
         kept.sendall(request(b"/0"))
     gevent.sleep(0.1)
-    assert served.begun == []
+    assert slow_server.begun == []
 
 
-def test_a_request_whose_head_is_being_read_is_finished(served):
+def test_a_request_whose_head_is_being_read_is_finished(slow_server):
     """A request whose head came in two parts was cut off at the end of the linger time.
 
     Only requests with a complete head counted as in flight. In this test, the second part
     comes 0.2 s after the linger time, well within the limit.
     """
-    slow = served.connect()
+    slow = slow_server.connect()
     head = request(b"/0")
     slow.sendall(head[:20])
     gevent.sleep(0.05)
-    stopping = gevent.spawn(served.stop, 2.0, 0.1)
+    stopping = gevent.spawn(slow_server.stop, 2.0, 0.1)
     gevent.sleep(0.3)
     slow.sendall(head[20:])
     assert status(slow) == 200
     assert stopping.get(timeout=3.0)
 
 
-def test_a_request_whose_first_line_is_being_read_is_finished(served):
+def test_a_request_whose_first_line_is_being_read_is_finished(slow_server):
     """A connection counted as idle until its first line was complete, and was closed."""
-    slow = served.connect()
+    slow = slow_server.connect()
     head = request(b"/0")
     slow.sendall(head[:6])
     gevent.sleep(0.05)
-    stopping = gevent.spawn(served.stop, 2.0, 0.1)
+    stopping = gevent.spawn(slow_server.stop, 2.0, 0.1)
     gevent.sleep(0.3)
     slow.sendall(head[6:])
     assert status(slow) == 200
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -179,15 +179,15 @@
     assert len(answer.records[0].crashes) == 3
     other.sent.clear()
     bench.quarantine.handle_report(answer, PEER)
-    asks = gevent.spawn(other.quarantine.query_forever)
+    query_task = gevent.spawn(other.quarantine.query_forever)
     gevent.sleep(0.05)
-    asks.kill()
-    (ask,) = [message for message, _ in other.sent]
+    query_task.kill()
+    (query,) = [message for message, _ in other.sent]
     bench.sent.clear()
-    bench.quarantine.handle_query(CrashQuery(ask.checksum), PEER)
+    bench.quarantine.handle_query(CrashQuery(query.checksum), PEER)
     assert bench.sent == []  # both have the same records
-    assert ask.just_started
-    bench.quarantine.handle_query(ask, PEER)
+    assert query.just_started
+    bench.quarantine.handle_query(query, PEER)
     assert len(bench.sent) == 1  # a starting node gets a reply in any case
 
 
@@ -197,7 +197,7 @@
     bench.quarantine._synced.clear()
     upstream = bench.add_server()
     asked = gevent.spawn(bench.result)
-    asks = gevent.spawn(bench.quarantine.query_forever)
+    query_task = gevent.spawn(bench.quarantine.query_forever)
     gevent.sleep(0.05)
     assert upstream.arrived == []
     other = QuarantineBench()
@@ -210,19 +210,19 @@
     bench.quarantine.handle_report(whole, PEER)
     assert asked.get(timeout=1.0) == QUARANTINED
     assert upstream.arrived == []
-    asks.kill()
+    query_task.kill()
 
 
 def test_a_starting_node_without_replies_soon_sends_requests(bench):
     bench.quarantine._synced.clear()
     bench.add_server()
-    asks = gevent.spawn(bench.quarantine.query_forever)
+    query_task = gevent.spawn(bench.quarantine.query_forever)
     gevent.sleep(0)  # so that its wait begins before that of the request
     start_ms = elapsed_ms()
     assert bench.ask(b"/once/a").status == 200
     assert 200 < elapsed_ms() - start_ms < 400
     assert bench.quarantine.synced
-    asks.kill()
+    query_task.kill()
 
 
 def test_a_leader_passes_on_what_is_new_to_it_once(bench):
@@ -461,7 +461,9 @@
     """Guards against a check that takes the next incarnation at the port for the same one."""
     for _ in range(3):
         upstream = bench.add_server()
-        upstream.crashed = lambda life: Upstream(f"{life.server_id}-next", port=life.address.port)
+        upstream.crashed = lambda crashed: Upstream(
+            f"{crashed.server_id}-next", port=crashed.address.port
+        )
         assert bench.ask(b"/once/a", headers=CRASHES).status == 502
         bench.directory.remove_server(upstream.server_id)
         bench.pool.sync(bench.directory.servers.records)
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -249,8 +249,8 @@
 
 def test_a_difference_that_leaves_a_gap_is_not_applied():
     pieces = [Move(0, 999, HOLDERS[0]), Move(1000, LAST_KEY, HOLDERS[1])]
-    dealt = first_assignment(KeyMap("keyed"), pieces)
-    before = KeyMap("keyed", dealt.ranges, dealt.token, 5)
+    assigned = first_assignment(KeyMap("keyed"), pieces)
+    before = KeyMap("keyed", assigned.ranges, assigned.token, 5)
     after = begin_moves(before, [Move(10, 20, HOLDERS[2])])
     (change,) = relayed(before, KeyMap("keyed", after.ranges, after.token, 6))
     narrower = KeyMap("keyed", before.ranges[:1], before.token, 5)
--- a/tests/functional/test_requests_that_end_servers.py
+++ b/tests/functional/test_requests_that_end_servers.py
@@ -22,8 +22,8 @@
 KEYED_UPSTREAMS = 8
 PROPAGATION_S = 3.0  # from the third crash until all gateways must know of it
 MAX_LATE = 3  # sends to servers after that
-EVERY_S = 0.38
-KEYED_EVERY_S = 1.2  # after each crash its keys have no holder for some seconds
+INTERVAL_S = 0.38
+KEYED_INTERVAL_S = 1.2  # after each crash its keys have no holder for some seconds
 LENGTH_S = 14.0
 START_LIMIT_S = 15.0
 FREEZE_S = 4.0
@@ -52,7 +52,7 @@
         gateways = self.site.gateways
         self.tasks = [gevent.spawn(other.ask_forever, gateways) for other in self.others]
 
-    def send_in_turn(self, crashing_caller, every_s=EVERY_S, length_s=LENGTH_S, events=()):
+    def send_in_turn(self, crashing_caller, interval_s=INTERVAL_S, length_s=LENGTH_S, events=()):
         """Send a request repeatedly, to each gateway in turn."""
         start_s = elapsed_ms() / 1000
         later = [gevent.spawn_later(after_s, task) for after_s, task in events]
@@ -60,7 +60,7 @@
             if elapsed_ms() / 1000 - start_s > length_s:
                 break
             gevent.spawn(crashing_caller.ask, self.site.gateways[number % GATEWAYS])
-            gevent.sleep(every_s)
+            gevent.sleep(interval_s)
         gevent.sleep(2.5)
         gevent.joinall(later, raise_error=True)
 
@@ -199,7 +199,7 @@
 def test_a_quarantine_of_keyed_requests_holds_for_each_next_holder(scenario):
     crashing_caller = make_crashing_caller(path="/kread/killer", key=1365)
     scenario.await_service(Caller("keyed", "/kread/a", key=1365))
-    scenario.send_in_turn(crashing_caller, every_s=KEYED_EVERY_S, length_s=26.0)
+    scenario.send_in_turn(crashing_caller, interval_s=KEYED_INTERVAL_S, length_s=26.0)
     assert scenario.late_arrivals(crashing_caller) == []
 
 
--- a/tests/functional/test_server_control.py
+++ b/tests/functional/test_server_control.py
@@ -157,16 +157,16 @@
     grant(control)
     server.unresponsive = True
     grant(control, renewal=True)
-    ended = []
+    restarted = []
 
     def may_send():
         server.end()
-        ended.append(Incarnation(server.address.port))
+        restarted.append(Incarnation(server.address.port))
         gevent.sleep(0.02)
         return True
 
     assert control.grant(CALL, may_send, renewal=True) is CallOutcome.NOT_SENT
-    assert ended[0].calls == 0
+    assert restarted[0].calls == 0
     assert grant(control, renewal=True) is CallOutcome.UNPROVEN
 
 
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -185,9 +185,10 @@
         node.directory.servers.regions = {"a": "home"}
         node.directory.replace_servers([record(0)])
         node.directory.apply_notice("s0", LIMIT)
-    ways = [frozenset(), frozenset({"home"}), frozenset({"home", "abroad"})]
+    region_sets = [frozenset(), frozenset({"home"}), frozenset({"home", "abroad"})]
     tasks = [
-        gevent.spawn(granted_servers, cluster.nodes[0], 3.0, regions=regions) for regions in ways
+        gevent.spawn(granted_servers, cluster.nodes[0], 3.0, regions=regions)
+        for regions in region_sets
     ]
     gevent.joinall(tasks)
     assert sum(len(task.value) for task in tasks) <= 3 * 2.5 + 2
--- a/tests/functional/test_store_from_a_copy.py
+++ b/tests/functional/test_store_from_a_copy.py
@@ -46,7 +46,7 @@
     store.faults.refuse = 0
 
 
-def drill(scenario, watches_end=True):
+def restore_from_old_snapshot(scenario, watches_end=True):
     store = scenario.site.store
     snapshot = store.copy()
     gevent.sleep(SNAPSHOT_AGE_S)
@@ -90,7 +90,7 @@
 # Guards against gateways that ignore changes of the store, since they know a later revision.
 @pytest.mark.parametrize("watches_end", [True, False])
 def test_what_is_written_after_a_drill_is_in_force_in_time(scenario, watches_end):
-    drill(scenario, watches_end)
+    restore_from_old_snapshot(scenario, watches_end)
     gevent.sleep(CHANGES_DELAY_S)
     changed_s = now_s()
     check_service(scenario, write_changes(scenario), changed_s)
@@ -100,7 +100,7 @@
 def test_news_in_revisions_that_were_lost_are_in_force_in_time(scenario):
     store = scenario.site.store
     before = store.revision + 2 * int(SNAPSHOT_AGE_S)
-    drill(scenario, watches_end=False)
+    restore_from_old_snapshot(scenario, watches_end=False)
     changed_s = now_s()
     leaving = write_changes(scenario)
     while store.revision < before + 50:
--- a/tests/functional/test_trial_permits.py
+++ b/tests/functional/test_trial_permits.py
@@ -24,8 +24,8 @@
     """Nodes whose datagrams arrive after a short delay, unless they are lost."""
 
     def __init__(self):
-        self.lost = set()  # nodes that receive and send nothing
-        self.lose = []  # types of the next messages that are lost
+        self.unreachable = set()  # nodes that receive and send nothing
+        self.lost_types = []  # types of the next messages that are lost
         self.sent = []
         self.leader = NODES[0]
         self.leader_delay_s = 0.0  # until it replies
@@ -40,9 +40,9 @@
 
     def _send(self, sender, message, to):
         self.sent.append(message)
-        if type(message) in self.lose:
-            self.lose.remove(type(message))
-        elif to not in self.lost and sender not in self.lost:
+        if type(message) in self.lost_types:
+            self.lost_types.remove(type(message))
+        elif to not in self.unreachable and sender not in self.unreachable:
             delay_s = 0.001 + (self.leader_delay_s if to == self.leader else 0.0)
             gevent.spawn_later(delay_s, self._deliver, sender, message, to)
 
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("message_type", [TrialRequest, TrialReply])
 def test_a_lost_request_or_reply_is_repeated(fleet, message_type):
     _, second, third = fleet.nodes()
-    fleet.lose = [message_type]
+    fleet.lost_types = [message_type]
     assert second.acquire(call()) == 0.0
     assert third.acquire(call()) > 0
 
@@ -111,7 +111,7 @@
 def test_a_lost_release_delays_others_for_a_limited_time_only(fleet, monkeypatch):
     monkeypatch.setattr("ploverhatch.quarantine.trials.PERMIT_MS", 120.0)
     _, second, third = fleet.nodes()
-    fleet.lose = [TrialFinished]
+    fleet.lost_types = [TrialFinished]
     asked = call()
     second.acquire(asked)
     second.release(asked)
@@ -124,7 +124,7 @@
     leader, second, third = fleet.nodes()
     asked = call()
     leader.acquire(call())
-    fleet.lost = {fleet.leader}
+    fleet.unreachable = {fleet.leader}
     start_ms = elapsed_ms()
     assert second.acquire(asked) == 0.0
     assert elapsed_ms() - start_ms < 100
@@ -154,7 +154,7 @@
     leader, second, _ = fleet.nodes()
     leader.acquire(call())
     fleet.leader_delay_s = 0.03
-    fleet.lose = [TrialRequest] * trial_permits.MAX_TRIES
+    fleet.lost_types = [TrialRequest] * trial_permits.MAX_TRIES
     for number in range(trial_permits.MAX_TRIES):
         gevent.spawn_later(0.01 + 0.07 * number, time.sleep, 0.06)
     assert second.acquire(call()) > 0
