--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -27,7 +27,7 @@
 START_LIMIT_S = 15.0
 BEFORE_S = 1.0  # of traffic before the stop
 AFTER_S = 1.0  # of traffic after the last process has ended
-LARGE_BODY = 8 << 20  # more than two sockets hold
+LARGE_BODY = 8 << 20  # bytes; more than the buffers of both sockets hold
 
 
 @pytest.fixture
@@ -136,7 +136,10 @@
 
 
 def test_a_caller_that_ends_its_sending_side_gets_its_answer(standin):
-    """Its connection was closed at once, since the end of its bytes was taken for a disconnect."""
+    """Guards against closing its connection at once.
+
+    The end of the caller's bytes was taken for a disconnect.
+    """
     load = serve_around_stop(standin, [Habit.ENDS_SENDING], one)
     ended = [sent for sent in load.requests if sent.end is not None]
     assert cut_short(ended) == []
@@ -144,9 +147,9 @@
 
 
 def test_requests_that_are_sent_at_once_are_answered_by_a_process_that_stops(standin):
-    """The second one was dropped after the answer that closes the connection.
+    """Guards against dropping the second request after the answer that closes the connection.
 
-    It reached no server, but its caller can't know that.
+    The dropped request reached no server, but its caller can't know that.
     """
     load = serve_around_stop(standin, [Habit.PAIRS], one)
     stopped = next(gateway for gateway in standin.gateways if gateway.incarnations[0].stop_s)
@@ -194,7 +197,7 @@
 
 
 def test_an_answer_that_leaves_is_not_cut_by_what_ends_requests(site):
-    """A task that was already sending its answer ended there, without a log line.
+    """Guards against ending a task that is already sending its answer, without a log line.
 
     The error that ends requests, at the end of a process or of a suspension, is thrown into
     their tasks a moment later. Here the answer is decided in the same iteration of the event
--- a/tests/functional/test_backend_contract.py
+++ b/tests/functional/test_backend_contract.py
@@ -136,10 +136,10 @@
 def test_a_server_whose_control_connection_breaks_last_is_seen_to_have_ended():
     """Guards against missed crashes of back ends that were killed under a request.
 
-    On a busy machine the router missed two of four. It inferred a crash from the failure of
-    the call that cancels the request. On a persistent connection, which may break slightly
-    later than the request's own, this call fails with a closed connection and not with a
-    refused one; each missed crash had this cause. A new connection
+    On a busy machine the router missed two of four crashes. It inferred a crash from the
+    failure of the call that cancels the request. On a persistent connection, which may break
+    slightly later than the request's own, this call fails because the connection is closed and
+    not because a connection is refused; each missed crash had this cause. A new connection
     shows whether a process still listens.
     """
     backend = HttpBackend("127.0.0.1", DyingServer().port, 1)
--- a/tests/functional/test_caller_server.py
+++ b/tests/functional/test_caller_server.py
@@ -127,10 +127,10 @@
 def test_a_request_is_answered_before_the_one_behind_it_is_rejected(
     server, application, name, draining
 ):
-    """A complete request was dropped, and its caller took the rejection for its answer.
+    """Guards against dropping a complete request, whose caller takes the rejection for its answer.
 
-    A malformed request was rejected as soon as it was parsed, before the complete requests that
-    arrived with it were answered.
+    This happened where a malformed request was rejected as soon as it was parsed, before the
+    complete requests that had arrived with it were answered.
     """
     data, status = FOLLOWING[name]
     server.draining = draining
@@ -247,7 +247,7 @@
 
 
 def test_an_unread_request_keeps_its_connection_open(server, application):
-    """A request that had arrived unread was read, and then its connection was closed."""
+    """Guards against reading a request that has arrived, and closing its connection unanswered."""
     sock = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
     server.draining = True
@@ -256,7 +256,7 @@
     raw(sock, b"GET / HTTP/1.1\r\n\r\n")
     import time
 
-    time.sleep(0.02)  # the bytes arrive while no task of the server runs
+    time.sleep(0.02)  # The bytes arrive while no task of the server runs.
     server.close_idle()
     answer = read(sock)
     assert answer.startswith(b"HTTP/1.1 200")
@@ -275,9 +275,9 @@
 
 
 def test_a_request_that_crosses_a_close_is_told_that_it_was_not_taken(server, application):
-    """Its caller got a reset, and couldn't tell whether it had run.
+    """Guards against a reset, from which the caller can't tell whether its request has run.
 
-    The request is sent before the caller has read the close.
+    The request is sent before the caller has read the end of the connection.
     """
     sock = socket.create_connection(("127.0.0.1", server.port))
     gevent.sleep(0.02)
@@ -286,7 +286,7 @@
     gevent.sleep(0.02)
     sock.sendall(b"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc")
     gevent.sleep(0.2)
-    sock.sendall(b"more")  # no reset destroys the answer
+    sock.sendall(b"more")  # must not cause a reset, which would discard the answer
     assert read(sock, 2.0).startswith(b"HTTP/1.1 408")
     assert application.requests == []
 
@@ -329,7 +329,10 @@
 
 
 def test_connections_that_wait_to_be_taken_are_served_when_listening_ends(server):
-    """They are connected as far as their callers can see; closing the listener reset them."""
+    """Guards against closing the listener while it has such connections, which resets them.
+
+    For their callers these connections are already established.
+    """
     sock = stdlib_socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /waiting HTTP/1.1\r\n\r\n")
     server.stop()
@@ -341,8 +344,8 @@
     """No request crosses the close of an idle connection that its caller no longer uses.
 
     Of 9,210 idle connections that stopping processes closed, 34 had a request on its way, whose
-    caller got no answer. Where the announced idle time is shorter than the time from the begin
-    of the stop to these closes, callers send nothing on such connections.
+    caller got no answer. Where the announced idle time is shorter than the time from the
+    beginning of the stop to these closes, callers send nothing on such connections.
     """
     running = CallerServer(
         HostPort("127.0.0.1", 0), application, lambda: PATIENT_LIMITS, keep_alive_s=2
@@ -407,7 +410,7 @@
 
 @pytest.mark.parametrize("further", [b"GET /next HTTP/1.1\r\n\r\n", b"GET /ne"])
 def test_a_caller_that_sends_a_further_request_and_leaves_is_noticed(server, application, further):
-    """Its first request was served to the end, since unread bytes hid the disconnect."""
+    """Guards against serving the first request to its end, since unread bytes hide a disconnect."""
     application.wait_s = 2.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
@@ -431,7 +434,7 @@
 
 
 def test_a_caller_that_read_on_and_leaves_later_is_noticed(server, application):
-    """It ends its sending side, accepts an interim answer, and disconnects after a while."""
+    """The caller ends its sending side, accepts an interim answer, and later disconnects."""
     application.wait_s = 2.0
     sock = socket.create_connection(("127.0.0.1", server.port))
     sock.sendall(b"GET /1 HTTP/1.1\r\n\r\n")
--- a/tests/functional/test_copies_that_end_servers.py
+++ b/tests/functional/test_copies_that_end_servers.py
@@ -1,8 +1,8 @@
-"""Many callers send a request that crashes its servers at the same time.
+"""Many callers send the same request, which crashes its servers, at the same time.
 
-Guards against copies that are sent before a quarantine begins. It needs three successive crashes,
-which take as long as three copies run, and until then each gateway sent the copies of its callers
-and retried its own. Sixty callers that sent the same read about every 0.15 s to four gateways
+Guards against copies that are sent before a quarantine begins. A quarantine needs three successive
+crashes, which take as long as three copies run, and until then each gateway sent the copies of its
+callers and retried them. Sixty callers that sent the same read about every 0.15 s to four gateways
 crashed all sixteen servers of the service, under 36 to 53 copies; where one server holds the key,
 14 and 4 copies crashed the first two servers, four of them sent later than the propagation time
 after the third copy. Quarantines were lost again, too
@@ -10,11 +10,11 @@
 
 With quarantines that stay, 10 to 16 servers crashed in six runs, under 152 copies logged as
 suspect, 138 of them sent before their gateway knew of a quarantine. With one copy at a time over
-all gateways 18 copies are, and 6 to 9 servers crash: those at which copies were under way at the
-first crash, and one or two after it. With a key, one copy crashes the second holder in each run,
-and none comes later. Copies sent before any gateway knew of the first crash remain, 10 to 19 at
-up to eight servers; since a gateway sends the first copy of a new request alone for a moment, 5
-or 6 copies are sent in all.
+all gateways, 18 copies are logged as suspect and 6 to 9 servers crash: those at which copies were
+under way at the first crash, and one or two after it. With a key, one copy crashes the second
+holder in each run, and no copy is sent later. Copies that are sent before any gateway knows of the
+first crash remain, 10 to 19 at up to eight servers; since a gateway sends the first copy of a new
+request alone for a moment, 5 or 6 copies are sent in all.
 """
 
 import random
@@ -38,7 +38,7 @@
 KEY = 1365
 PROPAGATION_S = 3.0  # from the third copy that ran until all gateways must know
 MAX_LATE = 3  # sends to servers after that
-MAX_CRASHED = PLAIN_UPSTREAMS // 2  # half of the servers can carry the service
+MAX_CRASHED = PLAIN_UPSTREAMS // 2  # Half of the servers can carry the service.
 
 
 def send_at_rate(caller, gateways, rng, interval_s, length_s):
--- a/tests/functional/test_crash_guard.py
+++ b/tests/functional/test_crash_guard.py
@@ -50,7 +50,7 @@
     guard.check(first, False)
     waiting = [gevent.spawn(guard.check, other, False) for other in (second, third)]
     gevent.sleep(0.01)
-    guard.note_finished(first)  # its caller disconnected, so it has no answer
+    guard.note_finished(first)  # Its caller disconnected, so it has no answer.
     gevent.sleep(0.01)
     assert [task.ready() for task in waiting] == [True, False]
     guard.note_finished(second)
--- a/tests/functional/test_dropped_history.py
+++ b/tests/functional/test_dropped_history.py
@@ -8,8 +8,8 @@
 MAX_LISTINGS = 15 * MEASURED_S  # 15 a second, of one kind and by one node
 
 
-# Nodes whose watches were answered repeatedly with dropped history listed the kind 60 times a
-# second.
+# Guards against nodes that list the kind 60 times a second while the store answers each of their
+# watches with the error that it has dropped its history.
 def test_a_store_whose_listings_do_not_help_is_not_flooded():
     site = StandinSite(gateways=1, keyed=1, plain=1)
     try:
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -328,7 +328,7 @@
     assert bench.ask(path, headers=[(b"Shard-Key", b"5")]).status == status
     assert known.limit < limit
     if status == 200:
-        assert elapsed_ms() - start_ms > 360.0  # A pause of a typical answer time, then the work.
+        assert elapsed_ms() - start_ms > 360.0  # a pause of a typical answer time, then the work
 
 
 def test_a_connection_that_breaks_late_does_not_count_as_a_rejection(bench):
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -206,7 +206,7 @@
 
 
 def test_a_zone_is_evacuated_and_restored(site):
-    """Both nodes learn of it, including the one that doesn't watch the store itself."""
+    """Both nodes learn of the evacuation, including the one that doesn't watch the store itself."""
     gateways = start_site(site, gateways=2, evacuate_ms=5000.0)
     away = site.start_upstream("u4", "plain", zone="z2")
     holder = site.start_upstream("u5", "keyed", sharded=True, zone="z2")
@@ -320,10 +320,11 @@
 
 
 def test_the_key_of_a_caller_is_not_passed_on_where_callers_have_keys(site):
-    """Servers receive the name of an API key's owner, never the key itself.
+    """Servers must receive the name of an API key's owner, never the key itself.
 
-    The gateway doesn't read API keys yet. In two days of a deployment that has them, 54,937 and
-    30,520 requests reached servers with the caller's key.
+    The gateway doesn't read the ``api_keys`` of the configuration yet, and passes keys on. In two
+    days of a deployment that has API keys, 54,937 and 30,520 requests reached servers with the
+    caller's key.
     """
     (gateway,) = start_site(site)
     owners = [{"name": "owner", "api_keys": ["secret"]}]
--- a/tests/functional/test_gateway_logs.py
+++ b/tests/functional/test_gateway_logs.py
@@ -215,7 +215,7 @@
 
 
 def test_answers_of_unknown_state_count_as_neither_taken_nor_untaken(caplog):
-    """Guards against logging them as taken, although nothing shows it."""
+    """Guards against logging answers as taken although nothing shows that they were."""
     answers = AnswerRecord()
     with caplog.at_level(logging.INFO, "absl"):
         answers.note(fake_answers(30, 20, 10), None)
@@ -260,7 +260,7 @@
 
 
 def test_the_code_id_is_gits_id_of_the_package(tmp_path):
-    """``git rev-parse COMMIT:ploverhatch`` then tells which commit wrote a log."""
+    """A log can be matched to its commit by ``git rev-parse COMMIT:ploverhatch``."""
     package = Path(ploverhatch.__file__).parent
     ignored = shutil.ignore_patterns("__pycache__")
     shutil.copytree(package, tmp_path / "ploverhatch", ignore=ignored)
--- a/tests/functional/test_http_connection.py
+++ b/tests/functional/test_http_connection.py
@@ -64,7 +64,7 @@
 def test_a_reset_does_not_end_an_answer_without_length():
     class Resetting(RawUpstream):
         def _serve(self, sock, address):
-            sock.recv(100)  # unread bytes remain, so that closing the socket sends a reset
+            sock.recv(100)  # Unread bytes remain, so that closing the socket sends a reset.
             sock.sendall(UNFRAMED)
             gevent.sleep(0.05)
             sock.close()
--- a/tests/functional/test_key_leader_terms.py
+++ b/tests/functional/test_key_leader_terms.py
@@ -9,7 +9,7 @@
 
 
 class Elector:
-    """A node that leads; its term ends and a later one of its own begins during a store read."""
+    """The elector of a leader whose term ends, and whose next term begins, during a store read."""
 
     def __init__(self):
         seen = SimpleNamespace(term=1)
@@ -19,7 +19,8 @@
         self.has_authority = self.may_change = True
 
 
-# Maps read in one term were used in the next one; another leader may have changed them in between.
+# Guards against using maps that were read in an earlier term: another leader may have changed them
+# in between.
 def test_maps_that_were_read_in_an_earlier_term_are_not_used():
     elector, ticks = Elector(), []
 
--- a/tests/functional/test_limited_servers.py
+++ b/tests/functional/test_limited_servers.py
@@ -1,4 +1,4 @@
-"""A server that announces a rate limit receives no more than that from all gateways together."""
+"""All gateways together send a server no more requests than the rate limit that it announced."""
 
 import gevent
 import pytest
@@ -37,7 +37,7 @@
         upstream.behaviour.limit = limit
 
 
-# An overloaded server received many times its limit, from gateways that had forwarded answers
+# Guards against sending an overloaded server many times its limit after forwarding its answers
 # with this limit.
 @pytest.mark.parametrize("limit", ["2.5", "0.4"])
 def test_a_limited_server_gets_no_more_than_it_named(scenario, limit):
@@ -52,7 +52,8 @@
     assert scenario.served(KEYED, start_s + MOVED_S) >= SERVED
 
 
-# With all servers of a service limited, requests beyond the limits waited or exceeded them.
+# Guards against requests that wait, or that are sent anyway, where all servers of a service are at
+# their limits.
 def test_where_all_servers_are_limited_excess_requests_are_refused_at_once(scenario):
     gevent.sleep(DISCOVERY_MS / 1000)
     announce_limit(scenario.site.upstreams.values(), "6")
@@ -97,8 +98,8 @@
     assert over_limit(scenario.site, scenario.sent) == []
 
 
-# A stopping gateway still granted slots that were released there while another gateway already
-# counted.
+# Guards against a stopping gateway that grants the slots released at it while another gateway
+# already counts requests.
 def test_limits_hold_while_gateways_stop_as_planned(scenario):
     announce_limit(scenario.site.upstreams.values(), "6")
     gevent.sleep(4.0)
@@ -113,7 +114,8 @@
     assert over_limit(scenario.site, scenario.sent) == []
 
 
-# A server whose limit had ended did not receive its share of the requests again.
+# Guards against a server that doesn't receive its share of the requests again after its limit has
+# ended.
 @pytest.mark.parametrize("scenario", [{"keys": SAMPLE_KEYS[::2]}], indirect=True)
 def test_a_server_whose_limit_has_ended_is_used_as_before(scenario):
     limited = scenario.busiest()
--- a/tests/functional/test_members.py
+++ b/tests/functional/test_members.py
@@ -35,8 +35,9 @@
     return int(found[1]) if found else 0
 
 
-# The leader of a starting site read the members before the others had registered, and not again
-# in its term: it shared no slots with them, and used the retry budget of all nodes alone.
+# Guards against a leader of a starting site that reads the members before the others have
+# registered, and not again in its term: it shared no slots with them, and used the retry budget of
+# all nodes alone.
 def test_the_leader_knows_the_nodes_that_start_beside_it(site):
     known = []
     with gevent.Timeout(KNOWN_WITHIN_S, False):
@@ -67,7 +68,8 @@
     return leases.created.count("node-n1")
 
 
-# A node registered repeatedly where stale listings were older than its registration.
+# Guards against a node that registers repeatedly where stale listings are older than its
+# registration.
 def test_a_node_registers_again_only_where_its_object_is_surely_gone():
     leases = Leases()
     elector = Elector(leases, "n1", "life", "127.0.0.1:1", lambda: None, lambda: None)
--- a/tests/functional/test_odd_entries.py
+++ b/tests/functional/test_odd_entries.py
@@ -1,8 +1,8 @@
 """Malformed entries of a foreign writer are no servers, and leave all other entries in use.
 
 Guards against an entry that is read without a check of its form. One entry whose spec was a list
-stopped the task that follows all servers, so that every node refused every request. Entries
-without slots, or in an unknown state, got default values and received requests.
+stopped the task that follows all servers, so that every node refused every request. Servers whose
+entries had no slots, or an unknown state, got default values and received requests.
 """
 
 import gevent
--- a/tests/functional/test_planned_stop.py
+++ b/tests/functional/test_planned_stop.py
@@ -7,7 +7,7 @@
 of its grace time with requests under way. So a stop must bound which requests it still accepts,
 not only how long it waits for them.
 
-Another guard is against closing a new connection as idle before its first request has arrived.
+Also guards against closing a new connection as idle before its first request has arrived.
 """
 
 import signal
@@ -53,8 +53,8 @@
     def ask(self):
         """Return the status of one request.
 
-        :raises ConnectionRefusedError: when no connection is accepted, or it is reset before it
-            is established, since its listener closes: nothing was sent on it then.
+        :raises ConnectionRefusedError: when no connection is accepted, or when one is reset
+            before it is established, since its listener closes: nothing was sent then.
         """
         self._count += 1
         name = b"r%d" % self._count
@@ -80,7 +80,7 @@
 
 
 def _exchange(sock, payload):
-    """Return the head of the answer; empty when the connection ends before it is complete."""
+    """Return the head of the answer; empty if the connection ends before the head is complete."""
     answer = b""
     try:
         sock.sendall(payload)
@@ -136,13 +136,13 @@
     ran = {name for name, _ in site.ran()}
     given_up = [name for name in callers.unanswered if name in ran]
     assert given_up == [], callers.statuses
-    # The process does not replace the answer of a server that is at work by its own either.
+    # Nor does the process send its own answer in place of that of a server that is at work.
     assert set(callers.statuses) - {UNANSWERED} <= {200, 503}
     assert site.gateways[0].process.returncode == 0
 
 
 def test_a_request_of_before_the_stop_that_outlasts_the_process_is_answered(site):
-    """It got no answer, since its time limit was set before the stop began."""
+    """Guards against leaving it unanswered, since its time limit was set before the stop began."""
     document = configuration(2)
     for route in document["virtual_hosts"][0]["route_paths"]:
         route["timeout_ms"] = 20_000
@@ -164,7 +164,7 @@
 
 
 def test_a_process_that_stood_still_when_it_was_told_to_stop_ends_before_it_is_killed(site):
-    """The platform's time begins when it sends the signal, not when the process resumes."""
+    """The platform's grace time begins when it sends the signal, not when the process resumes."""
     (gateway,) = site.gateways
     callers = Callers(gateway.front, 0.0)
     await_service(callers)
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -1,9 +1,10 @@
-"""Work accepted shortly before a planned stop is finished, or it is not accepted.
+"""Work that arrives shortly before a planned stop is either finished or not accepted.
 
 The fault was first found in the gateway: a process bounds how long it waits for requests
 in flight, but not which requests it still accepts, so that some begin without enough time
 to finish. These tests check the other parts that shut down gracefully. Each starts the
-work at the critical moment, over loopback sockets.
+work at the critical moment, over loopback sockets. Its docstring begins with the failure that it guards
+against.
 """
 
 import select
@@ -317,7 +318,7 @@
     lease_store.store.put(kinds.LEASES, "node-strong", member)
     elector = start_elector(lease_store, strength=0.5)
     until(lambda: elector._registered)
-    gevent.sleep(0.1)  # the node waits for 0.5 s before it claims the lease
+    gevent.sleep(0.1)  # The node waits for 0.5 s before it claims the lease.
     assert writes(lease_store) == ["POST"]
     elector.stop()
     gevent.sleep(1.0)
@@ -493,5 +494,5 @@
 
     first._callers.log_open_requests = note_a_crash
     first.drain()
-    assert quarantine._unreported == set()  # nothing is left to report when the process ends
+    assert quarantine._unreported == set()  # Nothing is left to report when the process ends.
     until(lambda: second._quarantine.known_count == 1)
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -190,7 +190,7 @@
 def test_an_interrupted_feed_lists_at_once(standin, store):
     """Guards against a feed that receives nothing for 1.6 s after its process was suspended.
 
-    The resumed watch waited on; an interrupted one must list again without delay.
+    After the suspension its watch went on waiting; an interrupted feed must list again at once.
     """
     recorder, task = run_feed(store)
     standin.store.put(KIND, "a", 1)
@@ -210,7 +210,7 @@
     task = gevent.spawn(FeedTask(store, recorder.feed(), relay, recorder.failed).run)
     gevent.sleep(0.05)
     base = standin.store.revision
-    assert relay.published == []  # the first listing has no revision to compare with
+    assert relay.published == []  # The first listing has no revision to compare with.
     store.interrupt()
     standin.store.remove(KIND, "gone")
     standin.store.put(KIND, "changed", 2)
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -44,7 +44,7 @@
         return upstream
 
     def crash_servers(self, count):
-        """Crash servers in succession by a request that may run once per try."""
+        """Crash servers in succession by a non-repeatable request."""
         for _ in range(count):
             upstream = self.add_server()
             assert self.ask(b"/once/a", headers=CRASHES).status == 502
@@ -95,7 +95,7 @@
     upstream = bench.add_server()
     assert bench.result() == QUARANTINED
     gevent.sleep(0.35)
-    assert bench.ask(b"/once/a").status == 200  # the same request; the server no longer crashes
+    assert bench.ask(b"/once/a").status == 200  # The same request no longer crashes.
     assert bench.quarantine.quarantined_count == 0
     assert bench.ask(b"/once/a").status == 200
     assert len(upstream.ran) == 2
@@ -185,10 +185,10 @@
     (query,) = [message for message, _ in other.sent]
     bench.sent.clear()
     bench.quarantine.handle_query(CrashQuery(query.checksum), PEER)
-    assert bench.sent == []  # both have the same records
+    assert bench.sent == []  # Both have the same records.
     assert query.just_started
     bench.quarantine.handle_query(query, PEER)
-    assert len(bench.sent) == 1  # a starting node gets a reply in any case
+    assert len(bench.sent) == 1  # A starting node gets a reply in any case.
 
 
 def test_a_node_that_has_just_started_queries_others_before_it_sends_requests(monkeypatch):
@@ -251,7 +251,7 @@
     assert not any("Suspect request sent." in text for text in caplog.messages)
     other.add_server()
     assert other.ask(b"/once/a").status == 200
-    assert other.ask(b"/once/a").status == 200  # it was answered: no suspicion is left
+    assert other.ask(b"/once/a").status == 200  # no longer suspect, since it was answered
     (sent,) = [text for text in caplog.messages if "Suspect request sent." in text]
     assert "request=r1 content=" in sent and "server=u1 ends=1" in sent
 
@@ -266,10 +266,10 @@
 
 
 def test_an_answer_that_waited_while_this_node_stood_still_clears_no_end_after_it(bench):
-    """Reported times are ages, so that a report that waits to be read looks later than it was.
+    """Reports give times as ages, so events of a report that waited to be read seem later.
 
-    Guards against a node that was suspended, then reads an answer from before and crashes from
-    meanwhile at once, and lets the request through because the answer looks later.
+    Guards against a node that resumes from a suspension, reads reports of an earlier answer and of
+    later crashes together, and lets the request through because the answer seems to be the later.
     """
     digest = b"content"
     crashes = [
@@ -318,7 +318,7 @@
 
 
 def test_before_any_crash_the_first_copy_of_a_new_request_is_sent_alone(bench):
-    """Many callers at once of a request that crashes servers must not crash all of these."""
+    """Many copies of a request that crashes servers, sent at once, must not crash all servers."""
     servers = [bench.add_server() for _ in range(8)]
     asked = ask_many(bench, 12, b"/once/a", CRASHES)
     gevent.joinall(asked)
@@ -357,7 +357,7 @@
     start_ms = elapsed_ms()
     first, *others = ask_many(bench, 4, b"/once/a")
     gevent.joinall(others)
-    assert elapsed_ms() - start_ms < 400 * 0.3  # of the objective, as other refusals
+    assert elapsed_ms() - start_ms < 400 * 0.3  # ms; 0.3 of the objective, as for other refusals
     assert {field(task.value, b"ploverhatch-result")[0] for task in others} == {b"2113"}
     assert {task.value.status for task in others} == {503}
     assert all(0 < float(field(task.value, b"retry-after")[0]) <= 1 for task in others)
@@ -366,7 +366,7 @@
 
 
 def test_a_long_request_delays_further_copies_for_a_limited_time_only(bench, monkeypatch):
-    """It was most likely a bystander of the crash, so that others are sent before its answer."""
+    """Such a request is most likely a bystander of the crash, so further copies are sent."""
     monkeypatch.setattr("ploverhatch.quarantine.trials.PERMIT_MS", 60.0)
     monkeypatch.setattr("ploverhatch.gateway.trial_permits.PERMIT_MS", 60.0)
     bench.crash_servers(1)
@@ -409,7 +409,7 @@
     crashing.behaviour.crash_after_s = 0.03
     asked = ask_many(bench, 8, b"/once/a", CRASHES)
     until(lambda: crashing.arrived)
-    assert len(crashing.arrived) < 8  # the others wait for slots
+    assert len(crashing.arrived) < 8  # The others wait for slots.
     servers = [bench.add_server() for _ in range(4)]
     gevent.joinall(asked)
     crashed = [upstream for upstream in servers if upstream.crashed_s is not None]
@@ -441,7 +441,7 @@
 
 
 def test_a_crash_after_the_caller_has_left_counts(bench):
-    """Guards against a crash that is ignored since the connection was closed with the caller."""
+    """Guards against ignoring the crash since its connection was closed when the caller left."""
     for _ in range(3):
         upstream = bench.add_server()
         upstream.behaviour.work_s = 0.2
@@ -449,7 +449,7 @@
         gevent.sleep(0.03)
         asked.kill(GreenletExit)
         gevent.sleep(0.02)
-        upstream.crash()  # the request goes on running without its caller
+        upstream.crash()  # The request goes on running without its caller.
         gevent.sleep(0.05)
         bench.directory.remove_server(upstream.server_id)
         bench.pool.sync(bench.directory.servers.records)
@@ -458,7 +458,7 @@
 
 
 def test_a_crash_is_found_when_the_server_is_back_at_once(bench):
-    """Guards against a check that takes the next incarnation at the port for the same one."""
+    """Guards against a check that takes the next incarnation at the port for the crashed one."""
     for _ in range(3):
         upstream = bench.add_server()
         upstream.crashed = lambda crashed: Upstream(
--- a/tests/functional/test_reborn_servers.py
+++ b/tests/functional/test_reborn_servers.py
@@ -14,9 +14,9 @@
 from tests.standin.site import KEYED, PLAIN, StandinSite
 
 GATEWAYS = 3
-FIRST_REQUEST_S = 4.0  # within this time the new incarnation runs requests
-SERVED_S = 2.0  # after this time all keys are served again, each by its present holder
-# The same at the old address, where a late grant to the old incarnation may reach the new one.
+FIRST_REQUEST_S = 4.0  # Within this time the new incarnation runs requests.
+SERVED_S = 2.0  # After this time all keys are served again, each by its present holder.
+# SERVED_S for the old address, where a late grant to the old incarnation may reach the new one.
 SAME_ADDRESS_SERVED_S = 5.5
 LONG_BACKOFF_S = 60.0
 
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -58,7 +58,7 @@
         site.start_upstream(f"new-{number}", "plain")
         until(lambda number=number: f"new-{number}" in follower.directory.servers.records, 1.0)
     watch_calls = [call for call in site.store.calls if "watch" in call[3] and call[1] == "servers"]
-    assert watches(site, "servers") - before <= 16  # the leader sends at least one per 0.5 s
+    assert watches(site, "servers") - before <= 16  # The leader sends at least one per 0.5 s.
     wait_ms = leader._settings.relay_limit_ms * PROOF_WAIT_FRACTION
     assert max(int(call[3]["wait_ms"]) for call in watch_calls[-4:]) == int(wait_ms)
 
@@ -94,7 +94,7 @@
 
 
 def test_a_watch_that_died_without_a_word_proves_nothing(pair, monkeypatch):
-    """The leader renewed its lease while its watch was dead."""
+    """Guards against relying on a leader that renews its lease while its watch is dead."""
     site, leader, follower = pair
 
     def unanswered(_kind, _after, _wait_s):
@@ -111,7 +111,7 @@
 
 
 def test_while_the_leader_lists_again_the_others_go_on_by_its_word(pair, monkeypatch):
-    """Each failed watch of the leader made 78 nodes list all objects from the store."""
+    """Guards against 78 nodes that list all objects from the store at a leader's failed watch."""
     site, leader, follower = pair
     until(lambda: follower._relay.covered)
     monkeypatch.setattr(follower._store, "list_all", refuse)
@@ -139,7 +139,7 @@
 
 
 def test_in_an_outage_one_task_of_a_node_asks_for_all(pair, monkeypatch):
-    """195 nodes asked the store for two kinds at each beacon of the leader."""
+    """Guards against 195 nodes that ask the store for two kinds at each beacon of the leader."""
     site, leader, follower = pair
     asked = []
 
@@ -288,7 +288,7 @@
 
 def test_a_node_that_starts_learns_from_the_leader(pair):
     site, leader, follower = pair
-    # The leader stores ranges as settled some time after their grants, which is a call of its own.
+    # The leader stores ranges as settled some time after their grants, by a separate call.
     until(lambda: all_settled(leader))
     before = len(site.store.calls)
     late = site.start_gateway("node-3")
@@ -344,11 +344,11 @@
     leader._store.interrupt()
     gevent.sleep(leader._settings.relay_limit_ms / 1000 + 0.1)
     assert leader._relay.snapshot("servers") is None
-    assert leader._relay.snapshot("keymaps") is not None  # its authority shows that it is current
+    assert leader._relay.snapshot("keymaps") is not None  # Its authority shows that it is current.
 
 
 def test_a_node_without_the_store_finds_the_next_leader(monkeypatch):
-    """Nodes without the store refused requests for all keys after a change of leaders."""
+    """Guards against refusing requests for all keys at such nodes after a change of leaders."""
     site = Site()
     site.store.put("config", "main", CONFIG)
     site.start_upstream("s1", "keyed", sharded=True)
@@ -387,7 +387,7 @@
 
 
 def test_a_move_goes_on_while_the_store_takes_no_map(pair, monkeypatch):
-    """Requests for hot ranges waited for 3.7 s."""
+    """Guards against requests for hot ranges that wait for 3.7 s."""
     site, leader, follower = pair
     site.start_upstream("s2", "keyed", sharded=True)
     replace_object = leader._store.replace
--- a/tests/functional/test_server_control.py
+++ b/tests/functional/test_server_control.py
@@ -131,10 +131,10 @@
 
 
 def test_a_renewal_after_a_call_without_an_answer_reaches_no_later_incarnation(short_calls):
-    """A restarted server held keys at the token of its previous incarnation.
+    """Guards against a restarted server that holds keys at the token of its previous incarnation.
 
-    The node had closed the connection of the call without an answer itself, and sent the next
-    renewal over a new one. A server that was back at its address within its lease accepted it.
+    The node itself had closed the connection of the unanswered call, and sent the next renewal
+    over a new connection. A server that restarted at its address within its lease accepted it.
     """
     server = Incarnation()
     control = control_of(server)
@@ -171,7 +171,7 @@
 
 
 def test_a_server_that_was_unresponsive_for_a_while_is_renewed_at_its_token(short_calls):
-    """A higher token would make its keys unavailable after each answer that is lost."""
+    """A new grant at a higher token would make its keys unavailable after each lost answer."""
     server = Incarnation()
     control = control_of(server)
     grant(control)
--- a/tests/functional/test_servers_that_leave_or_rest.py
+++ b/tests/functional/test_servers_that_leave_or_rest.py
@@ -1,12 +1,12 @@
 """Nodes respect servers that announce their leaving or ask for backoff.
 
-The failure: nodes read an answer for its request only. They forwarded what it said of the
-server to the caller without recording it, so nothing was checked before the next request was
-sent. A leaving server was known from its entry in the store only, and a rejection was forgotten
-with its request. Two nodes sent requests to a leaving server 2.0 and 2.1 s after each had
-forwarded an answer that announced it, while the store was unable to accept the server's entry.
-Four of fourteen servers that rejected requests and asked for 3 s of backoff received up to 20
-requests per second, each tried twice at the same server.
+Guards against nodes that forward such an answer to the caller without recording what it says of the
+server, so that nothing is checked before the next request is sent. A leaving server was known from
+its entry in the store only, and a rejection was forgotten with its request. Two nodes sent requests
+to a leaving server 2.0 and 2.1 s after each had forwarded an answer that announced its leaving,
+while the store was unable to accept the server's entry. Four of fourteen servers that rejected
+requests and asked for 3 s of backoff received up to 20 requests per second, each tried twice at the
+same server.
 """
 
 import gevent
@@ -22,7 +22,7 @@
 KEYED_UPSTREAMS = PLAIN_UPSTREAMS = 4
 LOAD_S = 6.0
 SERVED = 0.99
-KEYED_SERVED = 0.9  # the keys of one of four holders wait until they have moved
+KEYED_SERVED = 0.9  # The keys of one of four holders wait until they have moved.
 BACKOFF_S = 3.0
 AT_ONCE_S = 0.1
 KEYS_MOVED_S = 3.0
@@ -45,7 +45,7 @@
 
 
 def test_one_that_says_that_it_leaves_gets_nothing_more(scenario):
-    """The store shows nothing of it; the keys of the server move to others."""
+    """The store doesn't show that the servers leave; the keys of the keyed one move to others."""
     start_s = now_s()
     leaving = scenario.busiest()
     for upstream in leaving:
@@ -114,7 +114,7 @@
             (w.start_s for w in upstream.work if w.start_s > first_rejected_s), default=None
         )
         if first_s is None:
-            continue  # its keys have moved to other servers and stay there
+            continue  # Its keys have moved to other servers and stay there.
         arrived = [w for w in upstream.work if first_s <= w.start_s < first_s + 0.1]
         assert len(arrived) <= GATEWAYS
     assert scenario.served(PLAIN, start_s) == scenario.served(KEYED, start_s) == 1.0
@@ -165,7 +165,7 @@
 
 
 def test_keys_of_a_leaving_server_are_served_while_the_store_is_unavailable(scenario):
-    """Keys of a holder that left were refused until the store was available again."""
+    """Guards against refusing keys of a holder that left until the store is available again."""
     scenario.site.store.faults.silent = True
     scenario.site.store.wake()
     gevent.sleep(0.5)
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize(("fault", "value"), [("silent", True), ("refuse", 503)])
 def test_keys_of_a_crashed_server_are_served_while_the_store_is_unavailable(scenario, fault, value):
-    """Keys of a crashed holder were refused until the store was available again."""
+    """Guards against refusing keys of a crashed holder until the store is available again."""
     setattr(scenario.site.store.faults, fault, value)
     scenario.site.store.wake()
     gevent.sleep(0.5)
--- a/tests/functional/test_shared_limits.py
+++ b/tests/functional/test_shared_limits.py
@@ -106,7 +106,7 @@
     first, second, third = in_order(cluster)
     for node in cluster.nodes:
         node.directory.apply_notice("s0", LIMIT)
-    lost = iter([True, True])  # Both tries of one slot request.
+    lost = iter([True, True])  # both tries of one slot request
     third.lost = lambda message: (
         type(message).__name__ == "SlotRequestMessage" and next(lost, False)
     )
@@ -177,8 +177,8 @@
     assert len(granted_servers(third, 2.0)) <= 2 * 10 * STANDBY_SHARE + 2
 
 
-# Routes with different regions have separate queues. Guards against each of them granting the full
-# limit.
+# Routes with different regions have separate queues. Guards against granting the full limit in each
+# queue.
 def test_groups_of_different_regions_share_one_limit(start):
     cluster = start(record(0))
     for node in cluster.nodes:
--- a/tests/functional/test_shared_slots.py
+++ b/tests/functional/test_shared_slots.py
@@ -313,7 +313,7 @@
     def answer_and_suspend(message, peer):
         handle(message, peer)
         if type(message).__name__ == "SlotRequestMessage":
-            time.sleep(3 * REPLY_TIMEOUT_S)  # Suspends the whole process.
+            time.sleep(3 * REPLY_TIMEOUT_S)  # blocks the whole process, like a suspension
 
     handle = dispatcher.slots.handle_message
     requester.lost = is_first_request
--- a/tests/functional/test_slots_at_restarts.py
+++ b/tests/functional/test_slots_at_restarts.py
@@ -13,12 +13,12 @@
 GATEWAYS = 4
 SERVERS = 3
 SLOTS = 4
-CAPACITY = 6  # Requests per server: its slots, and half as many that wait there.
+CAPACITY = 6  # requests per server: its slots, and half as many that wait there
 WORK_S = 0.9
 CALLERS = 30
 DISCOVERY_S = 6.0  # All nodes know each other by then.
 RESTART_INTERVAL_S = 4.0
-MIN_SERVED_FRACTION = 0.8  # Of what the servers' slots can serve.
+MIN_SERVED_FRACTION = 0.8  # of what the servers' slots can serve
 LINK_DELAY_S = 0.005
 
 
--- a/tests/functional/test_store_eras.py
+++ b/tests/functional/test_store_eras.py
@@ -63,7 +63,7 @@
     calls = len(server.store.calls)
     with pytest.raises(HistoryDroppedError):
         store.watch(KIND, before, 0.1)
-    assert len(server.store.calls) == calls  # the store was not called: the new era is known
+    assert len(server.store.calls) == calls  # The store was not called: the new era is known.
 
 
 def test_a_watch_goes_on_from_what_was_listed_after_a_restore(server, store):
@@ -79,7 +79,7 @@
 def test_a_write_over_a_revision_that_was_issued_again_has_an_unknown_outcome(server, store):
     restored(server, store, lost=1)
     lost = 6  # revision of the write that the snapshot lacks
-    write(server, "a")  # another writer's change gets the same revision
+    write(server, "a")  # Another writer's change gets the same revision.
     fresh = PlatformStore(server.address)
     with pytest.raises(OutcomeUnknownError):
         fresh.replace(KIND, "a", {"n": "mine"}, lost)
--- a/tests/functional/test_store_from_a_copy.py
+++ b/tests/functional/test_store_from_a_copy.py
@@ -159,7 +159,7 @@
     assert find_violations(scenario.site.journal.holds) == []
 
 
-# Each node is killed during the outage, also the leader, and starts with the restored store.
+# Each node, including the leader, is killed during the outage and starts with the restored store.
 def test_a_site_that_starts_from_the_copy_serves(scenario):
     store = scenario.site.store
     snapshot = store.copy()
--- a/tests/functional/test_supervision.py
+++ b/tests/functional/test_supervision.py
@@ -78,7 +78,7 @@
     known = gateway.directory.keymaps["keyed"]
     site.store.put("keymaps", "keyed", {"token": "x"})
     site.store.put("keymaps", "other", msgspec.to_builtins({"token": "y"}))
-    gevent.sleep(1.5)  # the watch is repeated within a second
+    gevent.sleep(1.5)  # The watch is repeated within a second.
     assert gateway.directory.keymaps["keyed"].ranges == known.ranges
     assert not any(task.ready() for task in gateway._tasks)
 
--- a/tests/functional/test_trial_permits.py
+++ b/tests/functional/test_trial_permits.py
@@ -133,11 +133,11 @@
     second.release(asked)
     before = len(fleet.sent)
     assert second.acquire(call()) == 0.0
-    assert fleet.sent[before:] == []  # an unresponsive leader is skipped for a second
+    assert fleet.sent[before:] == []  # An unresponsive leader is skipped for a second.
 
 
 def test_a_leader_that_answers_late_is_asked_next_time(fleet):
-    """Guards against a copy at each node for a second after the leader was slow once."""
+    """Guards against a copy from each node for a second after one slow reply of the leader."""
     leader, second, _ = fleet.nodes()
     leader.acquire(call())
     fleet.leader_delay_s = 0.1
@@ -150,7 +150,7 @@
 
 
 def test_a_node_that_was_suspended_while_it_waited_asks_again(fleet):
-    """Guards against a copy at each node if the whole machine was suspended."""
+    """Guards against a copy from each node if the whole machine was suspended."""
     leader, second, _ = fleet.nodes()
     leader.acquire(call())
     fleet.leader_delay_s = 0.03
@@ -164,7 +164,7 @@
     _, second, third = fleet.nodes()
     second.acquire(call())
     fleet.leader = NODES[2]
-    assert third.acquire(call()) == 0.0  # it doesn't know the permits of the last leader
+    assert third.acquire(call()) == 0.0  # It doesn't know the permits of the last leader.
     gevent.sleep(PERMIT_MS / 1000)
     assert second.acquire(call()) == 0.0
     assert third.acquire(call()) > 0
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -190,7 +190,7 @@
         ]
 
     def until(self, probe, accept, limit_s=WAIT_S):
-        """Repeat ``probe`` until ``accept`` holds of its value, then return the value.
+        """Repeat ``probe`` until ``accept`` is true for its value, then return the value.
 
         :raises AssertionError: when that takes longer than ``limit_s``.
         """
