--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -3,8 +3,8 @@
 The fault was first found in the gateway: a process bounds how long it waits for requests
 in flight, but not which requests it still accepts, so that some begin without enough time
 to finish. These tests check the other parts that shut down gracefully. Each starts the
-work at the critical moment, over loopback sockets. Its docstring begins with the failure that it guards
-against.
+work at the critical moment, over loopback sockets. Docstrings in the past tense describe the
+failure that their test guards against.
 """
 
 import select
