--- a/tests/functional/test_copies_that_end_servers.py
+++ b/tests/functional/test_copies_that_end_servers.py
@@ -1,8 +1,8 @@
-"""Many callers send a request that crashes its servers at the same time.
+"""Many callers send the same request, which crashes its servers, at the same time.
 
-Guards against copies that are sent before a quarantine begins. It needs three successive crashes,
-which take as long as three copies run, and until then each gateway sent the copies of its callers
-and retried its own. Sixty callers that sent the same read about every 0.15 s to four gateways
+Guards against copies that are sent before a quarantine begins. A quarantine needs three successive
+crashes, which take as long as three copies run, and until then each gateway sent the copies of its
+callers and retried them. Sixty callers that sent the same read about every 0.15 s to four gateways
 crashed all sixteen servers of the service, under 36 to 53 copies; where one server holds the key,
 14 and 4 copies crashed the first two servers, four of them sent later than the propagation time
 after the third copy. Quarantines were lost again, too
@@ -10,11 +10,11 @@
 
 With quarantines that stay, 10 to 16 servers crashed in six runs, under 152 copies logged as
 suspect, 138 of them sent before their gateway knew of a quarantine. With one copy at a time over
-all gateways 18 copies are, and 6 to 9 servers crash: those at which copies were under way at the
-first crash, and one or two after it. With a key, one copy crashes the second holder in each run,
-and none comes later. Copies sent before any gateway knew of the first crash remain, 10 to 19 at
-up to eight servers; since a gateway sends the first copy of a new request alone for a moment, 5
-or 6 copies are sent in all.
+all gateways, 18 copies are logged as suspect and 6 to 9 servers crash: those at which copies were
+under way at the first crash, and one or two after it. With a key, one copy crashes the second
+holder in each run, and no copy is sent later. Copies that are sent before any gateway knows of the
+first crash remain, 10 to 19 at up to eight servers; since a gateway sends the first copy of a new
+request alone for a moment, 5 or 6 copies are sent in all.
 """
 
 import random
@@ -33,30 +33,32 @@
 from tests.standin.site import StandinSite
 
 CALLERS = 60
-EVERY_S = 0.15
+INTERVAL_S = 0.15
 LENGTH_S = 16.0
 KEY = 1365
 PROPAGATION_S = 3.0  # from the third copy that ran until all gateways must know
 MAX_LATE = 3  # sends to servers after that
-MAX_CRASHED = PLAIN_UPSTREAMS // 2  # half of the servers can carry the service
+MAX_CRASHED = PLAIN_UPSTREAMS // 2  # Half of the servers can carry the service.
 
 
-def send_at_rate(caller, gateways, chance, every_s, length_s):
-    """Send about every ``every_s`` to a random gateway, without waiting for answers."""
-    gevent.sleep(chance.uniform(0.0, every_s))
+def send_at_rate(caller, gateways, rng, interval_s, length_s):
+    """Send about every ``interval_s`` to a random gateway, without waiting for answers."""
+    gevent.sleep(rng.uniform(0.0, interval_s))
     with gevent.Timeout(length_s, False):
         for _ in count():
-            gevent.spawn(caller.ask, chance.choice(gateways))
-            gevent.sleep(every_s * chance.uniform(0.8, 1.2))
+            gevent.spawn(caller.ask, rng.choice(gateways))
+            gevent.sleep(interval_s * rng.uniform(0.8, 1.2))
 
 
-def send_from_many(scenario, seed, callers=CALLERS, every_s=EVERY_S, length_s=LENGTH_S, **request):
+def send_from_many(
+    scenario, seed, callers=CALLERS, interval_s=INTERVAL_S, length_s=LENGTH_S, **request
+):
     """Have many callers with distinct addresses send the same request."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     made = [Caller(f"c{n}", address=f"127.0.1.{n + 1}", **request) for n in range(callers)]
     gevent.joinall(
         [
-            gevent.spawn(send_at_rate, caller, scenario.site.gateways, chance, every_s, length_s)
+            gevent.spawn(send_at_rate, caller, scenario.site.gateways, rng, interval_s, length_s)
             for caller in made
         ]
     )
@@ -67,7 +69,9 @@
 def copies_that_ran(scenario, callers):
     """Return time and server of each copy that reached a server, in order."""
     names = {sent.name for caller in callers for sent in caller.asked}
-    found = [(at_s, life) for name, life, at_s in scenario.site.arrivals() if name in names]
+    found = [
+        (at_s, incarnation) for name, incarnation, at_s in scenario.site.arrivals() if name in names
+    ]
     return sorted(found)
 
 
@@ -85,10 +89,10 @@
     made.close()
 
 
-def print_course(scenario, copies):
+def print_timeline(scenario, copies):
     """Print copies, crashes and the gateways' log lines, to explain a failure."""
     start = copies[0][0]
-    print("copies", [f"{at_s - start:.3f}@{life}" for at_s, life in copies])
+    print("copies", [f"{at_s - start:.3f}@{incarnation}" for at_s, incarnation in copies])
     print("ends", [f"{at_s - start:.3f}" for at_s in scenario.crash_times()])
     for gateway in scenario.site.gateways:
         for line in gateway.log.read_text(errors="replace").splitlines():
@@ -98,7 +102,7 @@
 
 def assert_few_late(scenario, callers):
     copies = copies_that_ran(scenario, callers)
-    print_course(scenario, copies)
+    print_timeline(scenario, copies)
     assert len(late_copies(copies)) <= MAX_LATE
 
 
@@ -118,4 +122,4 @@
 
 def test_few_callers_at_a_lower_rate_too(scenario):
     request = {"path": "/kread/killer", "key": KEY, "crashes_server": True}
-    assert_few_late(scenario, send_from_many(scenario, 3, callers=16, every_s=0.25, **request))
+    assert_few_late(scenario, send_from_many(scenario, 3, callers=16, interval_s=0.25, **request))
