--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -90,7 +90,7 @@
 
 
 @contextmanager
-def switched_off(name):
+def mutated(name):
     with ExitStack() as stack:
         for patch in MUTATIONS[name]:
             stack.enter_context(patch)
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -208,10 +208,10 @@
 
 def test_the_own_zone_is_preferred_unless_it_is_much_slower():
     made = group(record(0, zone="a"), record(1, zone="b"))
-    far = replace(slot_request(1), zone="b")
-    assert made.request_slot(far, 0.0)[0].server_id == "s1"
-    near = made.request_slot(replace(slot_request(2), zone="a"), 0.0)[0]
-    assert near.server_id == "s0"
+    from_zone_b = replace(slot_request(1), zone="b")
+    assert made.request_slot(from_zone_b, 0.0)[0].server_id == "s1"
+    result = made.request_slot(replace(slot_request(2), zone="a"), 0.0)[0]
+    assert result.server_id == "s0"
     made.release(Requester(NODE, 1), 100.0, False, 1.0)
     made.release(Requester(NODE, 2), 300.0, False, 1.0)
     assert made.request_slot(replace(slot_request(3), zone="a"), 2.0)[0].server_id == "s1"
--- a/tests/unit/test_dispatcher_choice.py
+++ b/tests/unit/test_dispatcher_choice.py
@@ -10,14 +10,14 @@
 MEMBERS = {f"10.0.0.{number}:7000": "z1" for number in range(1, 5)}
 
 
-def in_order():
+def ranked_nodes():
     names = []
     for _ in MEMBERS:
         names.append(groups.dispatcher_of(NAME, MEMBERS, set(names)))
     return names
 
 
-FIRST, SECOND, THIRD, FOURTH = in_order()
+FIRST, SECOND, THIRD, FOURTH = ranked_nodes()
 
 
 def enforcing(choice, now_ms):
@@ -77,4 +77,4 @@
     choice = DispatcherChoice()
     for node in unresponsive:
         choice.note_no_answer(node, 0.0)
-    assert choice.choose(NAME, MEMBERS, 1.0) == in_order()[len(unresponsive)]
+    assert choice.choose(NAME, MEMBERS, 1.0) == ranked_nodes()[len(unresponsive)]
--- a/tests/unit/test_grant_book.py
+++ b/tests/unit/test_grant_book.py
@@ -58,9 +58,9 @@
 def test_revoked_range_is_busy_until_its_request_ends():
     book = granted()
     book.begin("g", 5)
-    hole = SliceRange("g", 5, 5)
-    revoke = {"full": False, "grants": (), "revokes": (hole,)}
-    assert book.sync(request(sequence=6, **revoke), 0).busy == (hole,)
+    revoked = SliceRange("g", 5, 5)
+    revoke = {"full": False, "grants": (), "revokes": (revoked,)}
+    assert book.sync(request(sequence=6, **revoke), 0).busy == (revoked,)
     assert book.check_start("g", 5, 7, 0, 99) is Verdict.NOT_OWNER
     assert book.check_start("g", 6, 7, 0, 99) is Verdict.EXECUTE
     book.end("g", 5)
--- a/tests/unit/test_key_experiment.py
+++ b/tests/unit/test_key_experiment.py
@@ -61,6 +61,6 @@
 
 
 def test_the_command_prints_a_table():
-    found = CliRunner().invoke(experiment_keys, ["--situation", "10 servers", "--seeds", "1"])
-    assert found.exit_code == 0
-    assert "| 10 servers |" in found.output
+    result = CliRunner().invoke(experiment_keys, ["--situation", "10 servers", "--seeds", "1"])
+    assert result.exit_code == 0
+    assert "| 10 servers |" in result.output
--- a/tests/unit/test_key_simulation.py
+++ b/tests/unit/test_key_simulation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ploverhatch.simulation.keys.faults import FAULTS, run_schedule, run_seed
-from tests.unit.key_mutations import MUTATIONS, switched_off
+from tests.unit.key_mutations import MUTATIONS, mutated
 
 PAIRS = list(combinations(sorted(FAULTS), 2))
 UNREACHABLE_AND_RESTARTED = (1, ("cut-server", "kill-all", "restart-server"))
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("name", sorted(MUTATIONS))
 def test_proof_fails_without_mechanism(name):
     assert run_schedule(*FAILING_SCHEDULES[name]).clean
-    with switched_off(name):
+    with mutated(name):
         assert run_schedule(*FAILING_SCHEDULES[name]).violations
 
 
--- a/tests/unit/test_keymap.py
+++ b/tests/unit/test_keymap.py
@@ -43,8 +43,8 @@
             item = self.map.find(key)
             assert item.holder == receiver
             assert item.token == self.map.token > before.token
-            was = before.find(key)
-            former = {holder.server_id for holder in (was.holder, *was.previous)}
+            earlier = before.find(key)
+            former = {holder.server_id for holder in (earlier.holder, *earlier.previous)}
             assert former - {receiver.server_id} <= {h.server_id for h in item.previous}
 
     @rule(part=st.integers(0, 3))
--- a/tests/unit/test_leader_core.py
+++ b/tests/unit/test_leader_core.py
@@ -369,8 +369,8 @@
     core = two_servers()
     views = unresponsive_view(record(0), record(1), record(2), unresponsive={"s0"})
     for call in of_kind(core.tick(0.0, views, True), SendGrant):
-        done = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
-        core.grant_ended(call, done, 600.0)
+        outcome = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
+        core.grant_ended(call, outcome, 600.0)
     (action,) = of_kind(core.tick(650.0, views, True), StoreMap)
     assert all(item.holder != holder(0) for item in action.keymap.moving)
 
@@ -379,8 +379,8 @@
     core = two_servers()
     views = unresponsive_view(record(0), record(1), record(2))
     for call in of_kind(core.tick(0.0, views, True), SendGrant):
-        done = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
-        core.grant_ended(call, done, 600.0)
+        outcome = CallOutcome.NO_ANSWER if call.holder == holder(0) else CallOutcome.DONE
+        core.grant_ended(call, outcome, 600.0)
     assert of_kind(core.tick(650.0, views, True), StoreMap) == []
 
 
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -87,8 +87,8 @@
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_two_nodes_that_both_count_keep_to_the_limit(per_s):
     first = flood(group({"s0": per_s}), 0.0, 20_000.0)["s0"]
-    behind = flood(group({"s0": per_s}, share=STANDBY_SHARE), 3.0, 20_000.0)["s0"]
-    assert most([*first, *behind]) <= allowed(per_s)
+    standby = flood(group({"s0": per_s}, share=STANDBY_SHARE), 3.0, 20_000.0)["s0"]
+    assert most([*first, *standby]) <= allowed(per_s)
 
 
 # The first dispatcher is gone and returns. Its standby counts in full until the first one is
@@ -255,6 +255,6 @@
     times.add("s0", [20.0], 0.0)
     for step in range(1, 20):
         load.add(step * 300.0, [100] * 15)
-    asked = SERVICE, [record(0)], core, load, times, 6000.0
-    assert estimate(*asked).unresponsive == {"s0"}
-    assert estimate(*asked, limited={"s0"}).unresponsive == set()
+    arguments = SERVICE, [record(0)], core, load, times, 6000.0
+    assert estimate(*arguments).unresponsive == {"s0"}
+    assert estimate(*arguments, limited={"s0"}).unresponsive == set()
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -48,13 +48,13 @@
     return made
 
 
-def row(count, caller=CALLER, every_ms=400.0, first=0):
+def successive_crashes(count, caller=CALLER, every_ms=400.0, first=0):
     return [crash(first + n, 1000.0 + n * every_ms, caller) for n in range(count)]
 
 
 def test_three_crashes_quarantine_a_request_and_two_do_not():
-    assert ledger_of(*row(2)).decide(REQUEST) is None
-    decision = ledger_of(*row(3)).decide(REQUEST)
+    assert ledger_of(*successive_crashes(2)).decide(REQUEST) is None
+    decision = ledger_of(*successive_crashes(3)).decide(REQUEST)
     assert decision.until_ms == 1800.0 + QUARANTINE_MS
     assert [item.server_id for item in decision.crashes] == ["s0", "s1", "s2"]
 
@@ -173,7 +173,7 @@
 
 
 def test_an_answer_shows_that_a_request_crashes_no_servers():
-    ledger = ledger_of(*row(2))
+    ledger = ledger_of(*successive_crashes(2))
     assert ledger.note_answer(REQUEST, 1500.0)
     ledger.note_crash(DIGEST, crash(7, 1800.0))
     assert ledger.decide(REQUEST) is None
@@ -181,7 +181,7 @@
 
 def test_a_request_that_was_answered_before_is_held_after_more_ends():
     """It may be a bystander that is sent often, or runs for long, where servers crash often."""
-    ledger = ledger_of(*row(1))
+    ledger = ledger_of(*successive_crashes(1))
     ledger.note_answer(REQUEST, 1500.0)
     for number in range(CRASHES_AFTER_ANSWER):
         assert ledger.decide(REQUEST) is None
@@ -190,25 +190,25 @@
 
 
 def test_a_quarantined_request_whose_answer_comes_late_is_let_through():
-    ledger = ledger_of(*row(3))
+    ledger = ledger_of(*successive_crashes(3))
     ledger.note_answer(REQUEST, 2000.0)
     assert ledger.decide(REQUEST) is None
 
 
 def test_only_the_caller_under_whose_requests_servers_crashed_is_quarantined():
-    ledger = ledger_of(*row(5))
+    ledger = ledger_of(*successive_crashes(5))
     assert ledger.decide(REQUEST)
     assert ledger.decide(Fingerprint(DIGEST, OTHER)) is None
     assert ledger.decide(Fingerprint(b"another", CALLER)) is None
 
 
 def test_a_request_that_crashes_servers_for_several_callers_is_quarantined_for_all():
-    ledger = ledger_of(*row(2), crash(5, 2500.0, OTHER))
+    ledger = ledger_of(*successive_crashes(2), crash(5, 2500.0, OTHER))
     assert ledger.decide(Fingerprint(DIGEST, b"third"))
 
 
 def test_a_request_that_some_callers_get_answered_is_quarantined_for_the_others_only():
-    ledger = ledger_of(*row(2), crash(5, 2500.0, OTHER))
+    ledger = ledger_of(*successive_crashes(2), crash(5, 2500.0, OTHER))
     ledger.note_answer(Fingerprint(DIGEST, b"third"), 2600.0)
     assert ledger.decide(Fingerprint(DIGEST, b"third")) is None
     ledger.note_crash(DIGEST, crash(6, 3000.0))
@@ -353,7 +353,7 @@
 
 def test_each_crash_after_the_third_doubles_the_time_up_to_a_bound():
     for more in range(7):
-        crashes = row(CRASHES_TO_QUARANTINE + more)
+        crashes = successive_crashes(CRASHES_TO_QUARANTINE + more)
         decision = ledger_of(*crashes).decide(REQUEST)
         assert decision.until_ms - decision.last.crashed_ms == QUARANTINE_MS * 2 ** min(
             more, MAX_DOUBLINGS
@@ -361,7 +361,7 @@
 
 
 def test_a_record_is_dropped_after_its_retention_time():
-    ledger = ledger_of(*row(9))
+    ledger = ledger_of(*successive_crashes(9))
     (item,) = [known for _, known in ledger]
     assert item.expires_ms <= item.newest_ms + QUARANTINE_MS * 2**MAX_DOUBLINGS + RETENTION_MS
     ledger.expire(item.expires_ms - 1)
@@ -372,7 +372,7 @@
 
 
 def test_records_are_bounded_and_the_one_with_most_crashes_stays():
-    ledger = ledger_of(*row(3))
+    ledger = ledger_of(*successive_crashes(3))
     for number in range(MAX_RECORDS * 3):
         ledger.note_crash(b"%d" % number, crash(number, 2000.0 + number))
     assert len(ledger) == MAX_RECORDS
@@ -381,7 +381,7 @@
 
 
 def test_the_crashes_of_a_record_are_bounded():
-    ledger = ledger_of(*row(30))
+    ledger = ledger_of(*successive_crashes(30))
     (item,) = [known for _, known in ledger]
     assert len(item.crashes) == MAX_CRASHES
 
@@ -455,7 +455,7 @@
 
 def test_a_delayed_report_does_not_hide_that_crashes_are_successive():
     """A node that was suspended reads at once the reports of several seconds."""
-    crashes = row(3)
+    crashes = successive_crashes(3)
     known, late = CrashRecord(), CrashLedger()
     for item in crashes:
         known = known.with_crash(item)
@@ -465,7 +465,7 @@
 
 
 def test_nodes_with_the_same_records_have_the_same_checksum():
-    first, second = ledger_of(*row(3)), CrashLedger()
+    first, second = ledger_of(*successive_crashes(3)), CrashLedger()
     assert first.checksum != second.checksum
     for digest, known in first:
         second.merge(digest, messages.decode(messages.encode(digest, known, 2000.0), 777_000.0))
--- a/tests/unit/test_soak_verdict.py
+++ b/tests/unit/test_soak_verdict.py
@@ -44,10 +44,10 @@
     return judge_soak(site, SimpleNamespace(requests=[sent], answers=answers), faults)
 
 
-def request(sent_s, end_s, end=End.CLOSED, of=None, keyed=True, kept=False):
+def request(sent_s, end_s, end=End.CLOSED, gateway=None, keyed=True, kept=False):
     """Return a request; times are in seconds after SIGTERM."""
     return SentRequest(
-        "r1", of or incarnation(), kept, 100, STOP_S + sent_s, keyed, STOP_S + end_s, end
+        "r1", gateway or incarnation(), kept, 100, STOP_S + sent_s, keyed, STOP_S + end_s, end
     )
 
 
@@ -82,11 +82,11 @@
 )
 def test_other_requests_that_reached_no_upstream_are_to_be_answered_too(kept, end, stop_s):
     own = incarnation(stop_s, code=None)
-    verdict = judged(request(4.5, 5.4, end, kept=kept, of=own), arrived=False)
+    verdict = judged(request(4.5, 5.4, end, kept=kept, gateway=own), arrived=False)
     assert (verdict.reached_none, len(verdict.found)) == (1, 1)
     assert "reached no upstream" in verdict.found[0]
     fault = [(STOP_S + 4.0, STOP_S + 5.0)]
-    disturbed = request(4.5, 5.4, end, kept=kept, of=incarnation(stop_s, None, fault))
+    disturbed = request(4.5, 5.4, end, kept=kept, gateway=incarnation(stop_s, None, fault))
     assert judged(disturbed, arrived=False).found == []
 
 
@@ -117,7 +117,7 @@
     fault = (STOP_S + span[0], STOP_S + span[1])
     own = incarnation(faults=[fault] if kind == "process" else [])
     faults = [fault] if kind == "store" else []
-    verdict = judged(request(4.5, 5.4, of=own), work=(4.6, 5.4), store_faults=faults)
+    verdict = judged(request(4.5, 5.4, gateway=own), work=(4.6, 5.4), store_faults=faults)
     assert (verdict.excused, verdict.lost) == (excused, 1 - excused)
 
 
@@ -134,11 +134,11 @@
 
 def test_process_that_ends_by_itself_is_found():
     unsignalled = incarnation(stop_s=None, code=1)
-    assert judged(request(1.0, 2.0, End.ANSWERED, of=unsignalled)).found == [
+    assert judged(request(1.0, 2.0, End.ANSWERED, gateway=unsignalled)).found == [
         "node-0 ended by itself with code 1: a word"
     ]
     killed = incarnation(stop_s=None, code=-9, faults=[(STOP_S, FOREVER)])
-    assert judged(request(1.0, 2.0, End.ANSWERED, of=killed)).found == []
+    assert judged(request(1.0, 2.0, End.ANSWERED, gateway=killed)).found == []
 
 
 def test_stops_are_counted():
@@ -153,7 +153,7 @@
     assert judged(sent, busy=[0, 3]).found == ["node-0 ended with requests under way: [0, 3]"]
     late = incarnation()
     late.killed_after_grace = True
-    found = judged(request(1.0, 2.0, End.ANSWERED, of=late)).found
+    found = judged(request(1.0, 2.0, End.ANSWERED, gateway=late)).found
     assert found == ["node-0 outlasted its grace time 1 times"]
     late.faults.append((STOP_S, STOP_S + 1.0))
-    assert judged(request(1.0, 2.0, End.ANSWERED, of=late), busy=[3]).found == []
+    assert judged(request(1.0, 2.0, End.ANSWERED, gateway=late), busy=[3]).found == []
--- a/tests/unit/test_wishes.py
+++ b/tests/unit/test_wishes.py
@@ -26,15 +26,17 @@
 class Records:
     """An upstream and the requests that reached it."""
 
-    def __init__(self, of=None):
-        self.of = of or incarnation()
+    def __init__(self, gateway=None):
+        self.gateway = gateway or incarnation()
         self.sent = {}
         self.upstream = SimpleNamespace(arrived=[], leaving_answers=[], rejected=[])
         self.site = SimpleNamespace(upstreams={SERVER: self.upstream})
 
-    def send(self, at_s, of=None):
+    def send(self, at_s, gateway=None):
         name = f"r{len(self.sent)}"
-        self.sent[name] = SimpleNamespace(name=name, incarnation=of or self.of, sent_s=at_s)
+        self.sent[name] = SimpleNamespace(
+            name=name, incarnation=gateway or self.gateway, sent_s=at_s
+        )
         arrived = request(name)
         arrived.received_ms = at_s * 1000
         self.upstream.arrived.append(arrived)
