--- a/tests/unit/key_mutations.py
+++ b/tests/unit/key_mutations.py
@@ -1,6 +1,6 @@
 """Mutations that switch off safety mechanisms of the key leadership.
 
-With any of them, the simulation has to find a violation.
+With each of them, the simulation has to find a violation.
 """
 
 from contextlib import ExitStack, contextmanager
@@ -72,7 +72,7 @@
         NO_WAIT_FOR_OLD_MAPS,
         mock.patch.object(LeaderCore, "inherit", inherit_nothing),
     ],
-    # A replaced leader also stops when it learns of its successor.
+    # A replaced leader also stops when it learns of its successor; this is switched off too.
     "suspensions not counted": [
         mock.patch.object(election, "observe_renewal", observe_renewal_without_stopping),
         mock.patch.object(SimKeyNode, "now_ms", property(steady_clock)),
--- a/tests/unit/test_answer_times.py
+++ b/tests/unit/test_answer_times.py
@@ -34,9 +34,9 @@
 
 
 def reported(per_report, reports=10, every_ms=300.0):
-    """Return the times of a server with ``per_report`` answers in each report, and the last time.
+    """Return the answer times of a server, and the time of the last report.
 
-    Reports arrive every 0.3 s.
+    Each report has ``per_report`` answers; a report arrives every 0.3 s by default.
     """
     made = AnswerTimes()
     for number in range(reports):
@@ -72,7 +72,7 @@
     assert made.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETION_WINDOW_MS - 1) is None
 
 
-# A server that had lost its busy keys counted as one that completes nothing, and got no keys again.
+# A server that had lost its busy keys counted as completing nothing, and got no keys any more.
 def test_a_server_of_whose_keys_nobody_asks_does_not_fall_behind():
     times = AnswerTimes()
     times.add("s0", [10.0] * 20, 0.0)
--- a/tests/unit/test_cold_servers.py
+++ b/tests/unit/test_cold_servers.py
@@ -37,9 +37,9 @@
 
 
 def flood(made, start_ms, span_ms, step_ms=5.0):
-    """Request a slot every few milliseconds; return the times of grants by server.
+    """Request slots every few milliseconds and release them at once.
 
-    Each slot is released at once.
+    Returns the times at which slots were granted, by server.
     """
     granted_ms = {}
     now_ms, number = start_ms, int(start_ms) * 1000
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -270,7 +270,7 @@
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """Nodes request and release slots, or are lost; a model keeps track of who may hold a slot."""
+    """Requests, releases and expiry of slots; a model tracks which requests wait or hold a slot."""
 
     @initialize()
     def start(self):
@@ -381,7 +381,7 @@
 
 
 def unresponsive_group(slots=2):
-    """Return a group whose server answered once in 100 ms, and then no request any more."""
+    """Return a group whose server answered one request in 100 ms and no later ones."""
     made = group(record(0, slots=slots))
     made.request_slot(slot_request(1), 0.0)
     made.release(Requester(NODE, 1), 100.0, False, 100.0)
@@ -397,7 +397,7 @@
     made = unresponsive_group()
     made.request_slot(slot_request(8, until_ms=5000.0), 150.0)
     made.request_slot(slot_request(9, until_ms=5000.0), 150.0)
-    assert made.in_use == 3  # one is queued at the server
+    assert made.in_use == 3  # one of them is queued at the server
     assert made.expire(400.0) == []
     (result,) = made.expire(100.0 + 100.0 * UNRESPONSIVE_FACTOR + 1)
     assert isinstance(result, SlotRejected)
--- a/tests/unit/test_election.py
+++ b/tests/unit/test_election.py
@@ -18,7 +18,7 @@
 
 
 class ElectionMachine(RuleBasedStateMachine):
-    """Nodes that use a store with compare-and-set, whose answers may be lost."""
+    """Nodes that write the lease to a store by compare-and-set; its answers may be lost."""
 
     def __init__(self):
         super().__init__()
--- a/tests/unit/test_first_copies.py
+++ b/tests/unit/test_first_copies.py
@@ -65,7 +65,7 @@
 
 
 @given(EVENTS)
-@example([("ask", 0, 4.452043429804655), ("ask", 1, 0.0)])  # 60.00000000000001 ms
+@example([("ask", 0, 4.452043429804655), ("ask", 1, 0.0)])  # rounding gave 60.00000000000001 ms
 def test_copies_wait_only_while_a_first_copy_runs_and_no_longer_than_the_limit(events):
     copies, now_ms = FirstCopies(), 0.0
     for kind, requester, after_ms in events:
--- a/tests/unit/test_found_by_simulation.py
+++ b/tests/unit/test_found_by_simulation.py
@@ -1,4 +1,4 @@
-"""Faults that the simulation showed, each as its shortest sequence of events."""
+"""Faults that the simulation found, each as its shortest sequence of events."""
 
 from ploverhatch.leadership import election
 from ploverhatch.leadership.election import AUTHORITY_MS, ElectionState, LeaseObject
--- a/tests/unit/test_key_experiment.py
+++ b/tests/unit/test_key_experiment.py
@@ -1,4 +1,4 @@
-"""Keys on noisy servers in virtual time, with the decisions of the product."""
+"""The key experiment: the gateway's decisions about keys on noisy servers, in virtual time."""
 
 import math
 from dataclasses import replace
--- a/tests/unit/test_key_simulation.py
+++ b/tests/unit/test_key_simulation.py
@@ -9,7 +9,7 @@
 
 PAIRS = list(combinations(sorted(FAULTS), 2))
 UNREACHABLE_AND_RESTARTED = (1, ("cut-server", "kill-all", "restart-server"))
-# Schedules, as a seed and faults, with a violation if the mechanism is switched off.
+# Schedules (a seed and faults) that have a violation when the mechanism is switched off.
 FAILING_SCHEDULES = {
     "lapse not waited out": (1, ("late-orders", "store-loses-answers")),
     "release not awaited": UNREACHABLE_AND_RESTARTED,
@@ -22,12 +22,12 @@
 }
 
 
-# Schedules on which earlier versions had a violation, found by random seeds.
+# Schedules, found by random seeds, that had a violation in earlier versions.
 FOUND_SCHEDULES = {
     "late grant revived a lease": [
         (194, ("cut-leader-from-store", "late-orders", "cut-server", "hot-key", "kill-all"))
     ],
-    "next life took a renewal": [
+    "next incarnation accepted a renewal": [
         (12, ("rebirth", "rebirth", "store-down")),
         (31, ("rebirth", "drain-server")),
         (10, ("rebirth", "stop-leader")),
@@ -38,7 +38,7 @@
         (299, ("late-orders", "split-leader", "drain-server")),
         (646, ("store-slow", "late-orders", "store-down", "hot-key", "split-leader")),
     ],
-    "two leaders before": [
+    "earlier leader still had authority": [
         (4582, ("restart-server", "drain-server", "kill-leader", "kill-node", "split-leader")),
         (
             5084,
@@ -78,12 +78,12 @@
         assert verdict.clean, explain(verdict)
 
 
-@pytest.mark.parametrize("schedule", FOUND_SCHEDULES["next life took a renewal"])
+@pytest.mark.parametrize("schedule", FOUND_SCHEDULES["next incarnation accepted a renewal"])
 def test_a_server_that_is_back_at_its_address(schedule):
     """The next incarnation accepted a renewal or a repeated grant at an unchanged token.
 
-    The schedules do so after a closed connection within a term, at a change of leaders, and for
-    a range that moved.
+    The schedules show this after a connection closed within a term, at a change of leaders, and
+    for a range that moved.
     """
     verdict = run_schedule(*schedule)
     assert verdict.clean, explain(verdict)
@@ -102,13 +102,13 @@
 
 @pytest.mark.parametrize("schedule", FOUND_SCHEDULES["late grant revived a lease"])
 def test_a_late_grant_and_a_server_cut_from_the_leader(schedule):
-    """A node used a map 4 s old, whose holder had an expired lease that a late grant revived."""
+    """A node used a map that was 4 s old; a late grant had revived its holder's expired lease."""
     verdict = run_schedule(*schedule)
     assert verdict.clean, explain(verdict)
 
 
 def test_a_late_order_and_a_cut_leader():
-    """A node without a current view sent requests by a map 12 s old.
+    """A node without a current view sent requests according to a map that was 12 s old.
 
     The old holder had accepted a late grant, and the new leader could not reach it.
     """
@@ -117,7 +117,7 @@
         assert verdict.clean, explain(verdict)
 
 
-@pytest.mark.parametrize("schedule", FOUND_SCHEDULES["two leaders before"])
+@pytest.mark.parametrize("schedule", FOUND_SCHEDULES["earlier leader still had authority"])
 def test_a_leader_replaced_before_its_predecessors_time_was_over(schedule):
     """The third leader waited for the leases of the second one only.
 
--- a/tests/unit/test_leader_core.py
+++ b/tests/unit/test_leader_core.py
@@ -420,7 +420,7 @@
 
 
 def test_a_leader_that_is_about_to_resign_ends_its_moves_and_begins_none():
-    """Its successor would have the range released again, and requests for its keys would wait."""
+    """The successor has ranges of unfinished moves released again, and requests for them wait."""
     core = two_servers()
     records = view(record(0, draining=True), record(1))
     store(core, core.tick(1000.0, records, True), 2)
@@ -455,7 +455,7 @@
 
 
 def test_where_most_holders_are_backing_off_their_keys_stay():
-    """The other holders could not bear them."""
+    """The other holders could not serve these keys as well."""
     core = two_servers()
     views = shedding_view(record(0), record(1), record(2), shedding={"s0", "s1"})
     assert of_kind(core.tick(0.0, views, True), StoreMap) == []
@@ -491,7 +491,7 @@
 
 
 def test_a_new_leader_renews_nothing_that_another_one_granted():
-    """Only its predecessor's connections would have shown that a server has restarted."""
+    """Only the predecessor had connections that would show the restart of a server."""
     stored = two_servers().keymap(SERVICE)
     later = LeaderCore()
     later.inherit(replace(stored, revision=3), 0.0, 0.0, same_incarnations=False)
@@ -516,7 +516,7 @@
 # ---- a store that was restored with an older map ---------------------------------------------
 
 
-# An older map, read back after a write that failed, made former holders the holders again.
+# An older map, read after a failed write, gave ranges back to their former holders.
 def test_a_map_of_before_is_written_over_and_gives_nobody_keys():
     core = two_servers()
     moved = begin_moves(core.keymap(SERVICE), [Move(0, 100, holder(1))])
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -83,7 +83,8 @@
     assert len(times) >= 0.9 * per_s * 30
 
 
-# Two dispatchers count: the first one and its standby, which some nodes take for the first.
+# Two dispatchers grant slots at the same time: the first one in rank, and its standby, which some
+# nodes take for the first.
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_two_nodes_that_both_count_keep_to_the_limit(per_s):
     first = flood(group({"s0": per_s}), 0.0, 20_000.0)["s0"]
@@ -91,8 +92,8 @@
     assert most([*first, *standby]) <= allowed(per_s)
 
 
-# The first dispatcher is gone and returns. Its standby counts in full until the first one is
-# asked again.
+# The first dispatcher fails and returns. Its standby grants the whole limit until nodes ask the
+# first one again.
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_a_change_of_the_node_that_counts_keeps_to_the_limit(per_s):
     gone_ms = 5000.0
@@ -206,7 +207,7 @@
     assert rate_held(keymap, "s1") + rate_held(keymap, "s2") >= 30
 
 
-# A single key above the limit counted as one that no server can bear.
+# A single key above the limit counted as too busy for any server.
 def test_a_key_that_is_too_much_for_a_limited_holder_leaves_it():
     keymap = plan_rounds(leader(), {"s0": 0.4})
     assert rate_held(keymap, "s0") == 0
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -76,7 +76,7 @@
     ("a", {"b": DEAD, "c": DEAD}, "abc", True),
     ("a", {"b": DEAD, "c": SILENT}, "abc", False),
     ("a", {"b": DEAD, "c": ALIVE}, "abc", False),
-    ("a", {"b": DEAD, "c": DEAD, "d": ALIVE}, "abd", False),  # the own log is newer
+    ("a", {"b": DEAD, "c": DEAD, "d": ALIVE}, "abd", False),  # the node's own log is newer
     ("a", {"b": Evidence.ALIVE_SAME, "c": DEAD, "d": DEAD}, "abcd", True),
     # b may still decide with the voters abc.
     ("a", {"b": ALIVE, "c": DEAD, "d": DEAD}, "abcd", False),
--- a/tests/unit/test_outdated_keymaps.py
+++ b/tests/unit/test_outdated_keymaps.py
@@ -14,7 +14,7 @@
     return KeyMap("svc", made.ranges, made.token, revision)
 
 
-# A map with lower tokens at a later revision made former holders the holders again.
+# A map with lower tokens at a later revision gave ranges back to their former holders.
 def test_an_older_map_at_a_later_revision_does_not_change_the_holders():
     directory = Directory()
     directory.put_keymap(keymap(1, 8, 100))
@@ -24,7 +24,8 @@
     assert directory.outdated_keymaps == {"svc"}
 
 
-# After two restores of one snapshot a leader issued tokens that servers knew from the first one.
+# After the second restore of a snapshot, a leader issued tokens that servers already knew from
+# the time after the first restore.
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.integers(0, 1000), st.booleans()), max_size=12),
     st.integers(0, 1000),
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -159,11 +159,11 @@
     assert keymap.find(5).holder == candidates[1].holder
 
 
-# ---- moves beyond chance -------------------------------------------------------------------
+# ---- moves with random variation of the counts ---------------------------------------------
 
 
 def counted(random, keys_rates):
-    """Return the rates that counts over the window show."""
+    """Return the rates as measured by random counts over the window."""
     span_s = PlanLimits().window_s
     return {key: poisson(random, rate * span_s) / span_s for key, rate in keys_rates.items()}
 
@@ -178,7 +178,10 @@
 
 
 def moves_by_chance(seed, limits):
-    """Return the moves among 60 equal servers, at 0.7 of their capacity, with counted rates."""
+    """Return the number of moves among 60 equal servers, at 0.7 of their capacity, in ten plans.
+
+    Each plan gets newly counted rates.
+    """
     random = Random(seed)
     candidates = [candidate(number, slots=3, service_ms=210.0) for number in range(60)]
     keymap = settled_map(candidates)
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's adapter, and that no other package knows the platform's names."""
+"""Tests of the platform's adapter, and a check that only it knows the platform's names."""
 
 import re
 from pathlib import Path
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -77,11 +77,11 @@
 def test_many_ends_at_one_time_let_no_held_request_through(counts):
     """A quarantined request stays quarantined, however many of its copies crash servers at once.
 
-    Guards against a record that drops the crashes its decision rests on. Eight crashes are kept
-    of a request. If nine or more servers crashed under copies that ran at the same time, these
-    displaced the successive crashes, or the copies at the same servers, and the request was let
-    through: of sixty callers' copies most were sent after the decision, and all sixteen servers
-    of a service crashed.
+    Guards against a record that drops the crashes its decision rests on. A record keeps eight
+    crashes. If nine or more servers crashed under copies that ran at the same time, their crashes
+    displaced the successive ones, or those of several copies at one server, and the request was
+    let through: most copies of sixty callers were sent after the decision, and all sixteen
+    servers of a service crashed.
     """
     ledger = ledger_of(*copies(*counts))
     assert ledger.decide(Fingerprint(DIGEST, b"another"))
@@ -113,16 +113,16 @@
     """Here three copies ran at each of two servers, which the platform counts as six crashes.
 
     Guards against counting servers only: a popular request that crashes its servers was sent to
-    the third one in five to eight copies at once. A popular request that is harmless is under
-    way wherever a server crashes, but is answered between two crashes: nine test runs with
-    crashes among popular requests (405 crashes under requests) quarantine none.
+    the third server in five to eight copies at once. A popular request that is harmless is under
+    way wherever a server crashes, but is answered between two crashes: in nine test runs with
+    crashes among popular requests (405 crashes under requests), none was quarantined.
     """
     crashes = [crash(n, 1000.0 + 3400.0 * n, b"caller %d" % c) for n in range(2) for c in range(3)]
     assert ledger_of(*crashes).decide(Fingerprint(DIGEST, b"another"))
 
 
 def copies(*counts, every_ms=3400.0, took_ms=WORK_MS):
-    """Return crashes of servers, each under copies of so many callers of its own."""
+    """Return crashes of servers, each of which has its own callers, as many as its count."""
     return [
         crash(n, 1000.0 + every_ms * n, b"caller %d at %d" % (c, n), took_ms)
         for n, count in enumerate(counts)
@@ -227,12 +227,12 @@
     note_crashes(ledger, b"beside", [1, 2, 3])
     assert ledger.decide(REQUEST)
     assert ledger.decide(Fingerprint(b"beside", CALLER)) is None
-    note_crashes(ledger, b"beside", [4])  # the other request was not at this crash
+    note_crashes(ledger, b"beside", [4])  # the other request was not under way at this crash
     assert ledger.decide(Fingerprint(b"beside", CALLER))
 
 
 def test_a_request_that_works_for_long_is_not_held_for_what_others_did():
-    """Where a server crashes each second it has no time to be answered."""
+    """Where a server crashes every second, a long request has no time to be answered."""
     ledger = CrashLedger()
     note_crashes(ledger, DIGEST, [0, 3, 6])
     note_crashes(ledger, b"another cause", [10, 13, 16])
@@ -241,7 +241,7 @@
     assert ledger.decide(REQUEST)
     assert ledger.decide(Fingerprint(b"another cause", CALLER))
     assert ledger.decide(Fingerprint(b"long", CALLER)) is None
-    note_crashes(ledger, b"long", [30, 40, 50])  # none of the other requests was at these crashes
+    note_crashes(ledger, b"long", [30, 40, 50])  # no other request ran at these crashes
     assert ledger.decide(Fingerprint(b"long", CALLER))
 
 
@@ -276,7 +276,7 @@
 
 
 def test_a_long_request_is_not_quarantined_for_crashes_of_an_earlier_suspect():
-    """Requests wait in queues here, so that their times say nothing (soak test seed 946)."""
+    """Requests wait in queues here, so their times don't show the cause (soak test seed 946)."""
     ledger = CrashLedger()
     for number, cause_ms, long_ms in ((6, 452.0, 405.0), (7, 33.0, 49.0)):
         at_ms = 1000.0 + 2650.0 * (number - 6)
@@ -454,7 +454,7 @@
 
 
 def test_a_delayed_report_does_not_hide_that_crashes_are_successive():
-    """A node that was suspended reads at once the reports of several seconds."""
+    """A node that resumes after a suspension reads the reports of several seconds at once."""
     crashes = successive_crashes(3)
     known, late = CrashRecord(), CrashLedger()
     for item in crashes:
@@ -505,7 +505,7 @@
 
 
 class Fleet:
-    """Nodes that report crashes to each other by datagrams, which may be lost, and may be down."""
+    """Nodes, some of them down, that report crashes to each other by datagrams that may be lost."""
 
     def __init__(self, chance, nodes=8, loss=0.1):
         self.chance = chance
@@ -562,8 +562,8 @@
 def late_sends(seed, restarts=True, all_lost_ms=math.inf):
     """Send a request that crashes its server each 0.4 to 4 s; return the number of late sends.
 
-    A send is late after the propagation time from the third crash, at a node that has been up
-    for as long.
+    A send is late if it comes more than the propagation time after the third crash, from a node
+    that has been up for longer than that time.
     """
     chance = random.Random(seed)
     fleet = Fleet(chance)
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -126,7 +126,8 @@
     assert publisher.split_changes(KIND, 1, 9, [(change(2), 10), (change(3), 101)], 100) == []
 
 
-# A part relayed a server's earlier record again, which replaced its later one (it drains).
+# A part of an update relayed a server's earlier record again, which replaced the later record of
+# the server, by which it drains.
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_part_of_changes_told_again_leaves_what_came_later(gone):
     taken = {}
@@ -149,8 +150,8 @@
     """A store, a leader that reads it, and a follower that gets the leader's relay.
 
     Messages get lost, arrive out of order and arrive twice. Whenever the follower is covered, it
-    knows every change that is older than the limit. Its objects are those of its cursor. Times are
-    milliseconds.
+    knows every change that is older than the limit. Its objects are those of its cursor, except
+    between the parts of an update. Times are milliseconds.
     """
 
     def __init__(self):
--- a/tests/unit/test_renewals.py
+++ b/tests/unit/test_renewals.py
@@ -74,7 +74,7 @@
         self.carry_out(self.core.grant_ended(call, outcome, now_ms), now_ms)
 
     def longest_gap_ms(self):
-        """Return the longest time between two renewals of a range that were answered."""
+        """Return the longest time that a range was without an answered renewal."""
         for tick in range(int(LENGTH_MS / TICK_MS)):
             now_ms = tick * TICK_MS
             while self.calls and self.calls[0][0] <= now_ms:
--- a/tests/unit/test_routing_decisions.py
+++ b/tests/unit/test_routing_decisions.py
@@ -219,7 +219,7 @@
 
 
 def test_what_a_server_completes_bounds_its_work():
-    """Under overload, time in the queue was mistaken for a slow server."""
+    """Under overload, time in the queue counted as service time, and the server as slow."""
     times = AnswerTimes()
     for report in range(10):
         times.add("busy", [400] * 15, report * 150.0)
--- a/tests/unit/test_sending.py
+++ b/tests/unit/test_sending.py
@@ -1,4 +1,4 @@
-"""Whether requests may be sent to a server: any order of notices, entries and starts.
+"""Whether requests may be sent to a server after notices, entries and starts in any order.
 
 The result is compared with a simple model.
 """
--- a/tests/unit/test_slot_experiment.py
+++ b/tests/unit/test_slot_experiment.py
@@ -1,4 +1,4 @@
-"""The dispatchers of the product and other policies to choose a server, in virtual time."""
+"""The gateway's dispatchers and other policies to choose a server, compared in virtual time."""
 
 from dataclasses import replace
 
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("load", [0.7, 1.0, 1.3])
 def test_no_request_is_left_without_an_answer(load):
-    """No server ever has more requests than its slots and queue hold, which it would not answer."""
+    """No server ever gets more requests than its slots and queue hold; it wouldn't answer them."""
     assert run_policy("shared slots", load=load)[1].never_answered == 0
     assert run_policy("by chance", load=1.3)[1].never_answered > 0
 
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("load", [0.7, 0.85, 1.0])
 def test_many_servers_are_divided_by_zone(load):
-    """All zones are equal here; for others see "open" in docs/LARGE-DEPLOYMENT.md."""
+    """All zones are equal here; for unequal zones see "open" in docs/LARGE-DEPLOYMENT.md."""
     size = {"nodes": 100, "servers": 100, "load": load, "speeds": (1.0,)}
     credit, tally = run_policy("shared slots", **size)
     assert credit > run_policy("two choices, 500 ms old", **size)[0]
--- a/tests/unit/test_soak_verdict.py
+++ b/tests/unit/test_soak_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on a soak, from records that each test provides."""
+"""The verdict on a soak test, from records that each test here provides."""
 
 from types import SimpleNamespace
 
--- a/tests/unit/test_standbys.py
+++ b/tests/unit/test_standbys.py
@@ -172,7 +172,7 @@
 
 
 def test_the_move_of_a_map_stored_after_a_promotion_waits_for_the_standby():
-    """The answer to its write was lost, so the store may accept it after the promotion."""
+    """The answer to the map's write was lost, so the map may be stored after the promotion."""
     core = leading(assigned())
     (action,) = of_kind(core.tick(LEAVES_MS, view(0), True), StoreMap)
     core.map_not_stored(SERVICE)
--- a/tests/unit/test_store_pages.py
+++ b/tests/unit/test_store_pages.py
@@ -1,4 +1,4 @@
-"""Answers of the store: a malformed object of a foreign writer never hides the other objects."""
+"""Answers of the store: a malformed object of another writer never hides the other objects."""
 
 import json
 
