--- a/tests/unit/test_answer_times.py
+++ b/tests/unit/test_answer_times.py
@@ -8,26 +8,28 @@
 )
 
 
-def times():
-    made = AnswerTimes()
-    made.add("s0", [100, 120], 1000.0)
-    return made
+def answered_times():
+    times = AnswerTimes()
+    times.add("s0", [100, 120], 1000.0)
+    return times
 
 
 def test_a_busy_server_that_answers_no_node_is_unresponsive():
-    assert times().is_unresponsive("s0", rate=20.0, now_ms=1000.0 + UNRESPONSIVE_MS)
+    assert answered_times().is_unresponsive("s0", rate=20.0, now_ms=1000.0 + UNRESPONSIVE_MS)
 
 
 def test_a_server_with_few_requests_is_not_unresponsive():
-    assert not times().is_unresponsive("s0", rate=2.0, now_ms=2500.0)
+    assert not answered_times().is_unresponsive("s0", rate=2.0, now_ms=2500.0)
 
 
 def test_a_server_is_not_unresponsive_before_reports_can_arrive():
-    assert not times().is_unresponsive("s0", rate=500.0, now_ms=1000.0 + UNRESPONSIVE_MS - 1)
+    assert not answered_times().is_unresponsive(
+        "s0", rate=500.0, now_ms=1000.0 + UNRESPONSIVE_MS - 1
+    )
 
 
 def test_a_server_that_never_answered_is_not_unresponsive():
-    assert not times().is_unresponsive("s1", rate=500.0, now_ms=90_000.0)
+    assert not answered_times().is_unresponsive("s1", rate=500.0, now_ms=90_000.0)
 
 
 # ---- servers that fall behind --------------------------------------------------------------
@@ -38,38 +40,38 @@
 
     Each report has ``per_report`` answers; a report arrives every 0.3 s by default.
     """
-    made = AnswerTimes()
+    times = AnswerTimes()
     for number in range(reports):
-        made.add("s0", [200] * per_report, number * every_ms)
-    return made, (reports - 1) * every_ms
+        times.add("s0", [200] * per_report, number * every_ms)
+    return times, (reports - 1) * every_ms
 
 
 def test_completed_requests_of_a_server_that_falls_behind_give_its_service_time():
-    made, now_ms = reported(per_report=1)
-    service_ms = made.saturated_service_ms("s0", slots=3, rate=20.0, now_ms=now_ms)
+    times, now_ms = reported(per_report=1)
+    service_ms = times.saturated_service_ms("s0", slots=3, rate=20.0, now_ms=now_ms)
     assert 700.0 <= service_ms <= 1000.0  # 3.3 per second with three slots
 
 
 def test_a_server_that_completes_nothing_any_more_counts_as_very_slow():
-    made, now_ms = reported(per_report=4)
-    assert made.saturated_service_ms("s0", 3, rate=20.0, now_ms=now_ms + 2000.0) > 4000.0
+    times, now_ms = reported(per_report=4)
+    assert times.saturated_service_ms("s0", 3, rate=20.0, now_ms=now_ms + 2000.0) > 4000.0
 
 
 def test_a_server_that_keeps_up_does_not_fall_behind_by_chance():
-    made, now_ms = reported(per_report=4)  # 13.3 per second
+    times, now_ms = reported(per_report=4)  # 13.3 per second
     for rate in (10.0, 13.0, 18.0, 24.0):
-        assert made.saturated_service_ms("s0", 3, rate=rate, now_ms=now_ms) is None
+        assert times.saturated_service_ms("s0", 3, rate=rate, now_ms=now_ms) is None
 
 
 def test_too_few_requests_prove_nothing():
-    made, now_ms = reported(per_report=0)
-    assert made.saturated_service_ms("s0", 3, rate=3.0, now_ms=now_ms) is None
+    times, now_ms = reported(per_report=0)
+    assert times.saturated_service_ms("s0", 3, rate=3.0, now_ms=now_ms) is None
 
 
 def test_a_server_known_for_a_short_time_does_not_fall_behind():
-    made = AnswerTimes()
-    made.add("s0", [200], 0.0)
-    assert made.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETION_WINDOW_MS - 1) is None
+    times = AnswerTimes()
+    times.add("s0", [200], 0.0)
+    assert times.saturated_service_ms("s0", 3, rate=50.0, now_ms=COMPLETION_WINDOW_MS - 1) is None
 
 
 # A server that had lost its busy keys counted as completing nothing, and got no keys any more.
--- a/tests/unit/test_cold_servers.py
+++ b/tests/unit/test_cold_servers.py
@@ -24,10 +24,10 @@
     )
 
 
-def group(records, until_ms, now_ms=0.0, per_s=SUSTAINED_PER_S):
-    made = Group()
-    made.set_members(records, now_ms, ServerBounds(until_ms, per_s))
-    return made
+def make_group(records, until_ms, now_ms=0.0, per_s=SUSTAINED_PER_S):
+    group = Group()
+    group.set_members(records, now_ms, ServerBounds(until_ms, per_s))
+    return group
 
 
 def most_in_a_second(times_ms):
@@ -36,7 +36,7 @@
     )
 
 
-def flood(made, start_ms, span_ms, step_ms=5.0):
+def flood(group, start_ms, span_ms, step_ms=5.0):
     """Request slots every few milliseconds and release them at once.
 
     Returns the times at which slots were granted, by server.
@@ -45,17 +45,17 @@
     now_ms, number = start_ms, int(start_ms) * 1000
     while now_ms < start_ms + span_ms:
         number += 1
-        results = made.request_slot(slot_request(number, now_ms), now_ms) + made.expire(now_ms)
+        results = group.request_slot(slot_request(number, now_ms), now_ms) + group.expire(now_ms)
         for result in (item for item in results if isinstance(item, SlotGranted)):
             granted_ms.setdefault(result.server_id, []).append(now_ms)
-            made.release(result.requester, 0.0, False, now_ms)
+            group.release(result.requester, 0.0, False, now_ms)
         now_ms += step_ms
     return granted_ms
 
 
 def test_a_cold_server_gets_its_rate_and_no_more():
-    made = group([record(0)], {"s0": 1e9})
-    times = flood(made, 0.0, 5000.0)["s0"]
+    group = make_group([record(0)], {"s0": 1e9})
+    times = flood(group, 0.0, 5000.0)["s0"]
     assert most_in_a_second(times) <= SUSTAINED_PER_S + 1
     assert len(times) >= SUSTAINED_PER_S * 5 - 1  # the rate is used in full
 
@@ -64,49 +64,49 @@
     times = [
         time
         for number in range(2)
-        for time in flood(group([record(0)], {"s0": 1e9}), 100.0 * number, 4000.0)["s0"]
+        for time in flood(make_group([record(0)], {"s0": 1e9}), 100.0 * number, 4000.0)["s0"]
     ]
     assert most_in_a_second(sorted(times)) <= FAILS_ABOVE
 
 
 def test_without_the_rate_a_cold_server_would_be_overloaded(monkeypatch):
     monkeypatch.setattr(RequestRate, "has_token", lambda self, now_ms: True)
-    assert most_in_a_second(flood(group([record(0)], {"s0": 1e9}), 0.0, 2000.0)["s0"]) > 100
+    assert most_in_a_second(flood(make_group([record(0)], {"s0": 1e9}), 0.0, 2000.0)["s0"]) > 100
 
 
 def test_warm_servers_get_the_requests_in_excess_of_the_rate_of_a_cold_one():
-    made = group([record(0), record(1)], {"s0": 1e9})
-    granted_ms = flood(made, 0.0, 2000.0)
+    group = make_group([record(0), record(1)], {"s0": 1e9})
+    granted_ms = flood(group, 0.0, 2000.0)
     assert most_in_a_second(granted_ms.get("s0", [])) <= SUSTAINED_PER_S + 1
     assert len(granted_ms["s1"]) > 300
 
 
 def test_the_bound_ends_when_the_server_is_warm():
-    made = group([record(0)], {"s0": 1000.0})
-    flood(made, 0.0, 990.0)
-    assert len(flood(made, 1001.0, 500.0)["s0"]) > 90
+    group = make_group([record(0)], {"s0": 1000.0})
+    flood(group, 0.0, 990.0)
+    assert len(flood(group, 1001.0, 500.0)["s0"]) > 90
 
 
 def test_a_server_that_turns_cold_again_is_bounded_from_then_on():
-    made = group([record(0)], {})
-    assert len(flood(made, 0.0, 500.0)["s0"]) > 90
-    made.set_members([record(0)], 500.0, ServerBounds({"s0": 1e9}, SUSTAINED_PER_S))
-    assert most_in_a_second(flood(made, 500.0, 3000.0)["s0"]) <= SUSTAINED_PER_S + 1
+    group = make_group([record(0)], {})
+    assert len(flood(group, 0.0, 500.0)["s0"]) > 90
+    group.set_members([record(0)], 500.0, ServerBounds({"s0": 1e9}, SUSTAINED_PER_S))
+    assert most_in_a_second(flood(group, 500.0, 3000.0)["s0"]) <= SUSTAINED_PER_S + 1
 
 
 def test_without_a_bound_a_cold_server_is_merely_the_last_choice():
-    made = group([record(0), record(1)], {"s0": 1e9}, per_s=0.0)
-    results = [made.request_slot(slot_request(number, 0.0), 0.0)[0] for number in range(7)]
+    group = make_group([record(0), record(1)], {"s0": 1e9}, per_s=0.0)
+    results = [group.request_slot(slot_request(number, 0.0), 0.0)[0] for number in range(7)]
     assert [result.server_id for result in results[:2]] == ["s1", "s1"]
     assert {result.server_id for result in results} == {"s0", "s1"}
 
 
 def test_a_request_waits_for_the_next_token_of_a_cold_server():
-    made = group([record(0)], {"s0": 1e9})
-    assert isinstance(made.request_slot(slot_request(1, 0.0), 0.0)[0], SlotGranted)
-    assert isinstance(made.request_slot(slot_request(2, 0.0), 0.0)[0], SlotQueued)
-    assert made.expire(100.0) == []
-    (result,) = made.expire(150.0)
+    group = make_group([record(0)], {"s0": 1e9})
+    assert isinstance(group.request_slot(slot_request(1, 0.0), 0.0)[0], SlotGranted)
+    assert isinstance(group.request_slot(slot_request(2, 0.0), 0.0)[0], SlotQueued)
+    assert group.expire(100.0) == []
+    (result,) = group.expire(150.0)
     assert isinstance(result, SlotGranted)
 
 
--- a/tests/unit/test_dispatcher.py
+++ b/tests/unit/test_dispatcher.py
@@ -38,18 +38,18 @@
     return SlotRequest(Requester(NODE, number), priority, useful_ms, until_ms, lease_ms, avoid)
 
 
-def group(*records):
-    made = Group()
+def make_group(*records):
+    group = Group()
     bounds = ServerBounds({item.server_id: item.warmup_ms for item in records})
-    made.set_members(records or [record(0)], 0.0, bounds)
-    return made
+    group.set_members(records or [record(0)], 0.0, bounds)
+    return group
 
 
 def full_group():
-    made = group(record(0, slots=2))
+    group = make_group(record(0, slots=2))
     for number in range(3):
-        assert isinstance(made.request_slot(slot_request(number), 0.0)[0], SlotGranted)
-    return made
+        assert isinstance(group.request_slot(slot_request(number), 0.0)[0], SlotGranted)
+    return group
 
 
 def granted_numbers(results):
@@ -57,134 +57,137 @@
 
 
 def test_a_server_gets_no_more_than_its_capacity():
-    made = group()
-    results = [made.request_slot(slot_request(number), 0.0)[0] for number in range(CAPACITY + 1)]
+    group = make_group()
+    results = [group.request_slot(slot_request(number), 0.0)[0] for number in range(CAPACITY + 1)]
     assert all(isinstance(result, SlotGranted) for result in results[:CAPACITY])
     assert isinstance(results[CAPACITY], SlotQueued)
 
 
 def test_idle_servers_come_first():
-    made = group(record(0), record(1))
+    group = make_group(record(0), record(1))
     granted = Counter(
-        made.request_slot(slot_request(number), 0.0)[0].server_id for number in range(2 * SLOTS)
+        group.request_slot(slot_request(number), 0.0)[0].server_id for number in range(2 * SLOTS)
     )
     assert granted == {"s0": SLOTS, "s1": SLOTS}
 
 
 def test_the_fast_server_comes_first():
-    made = group(record(0), record(1))
+    group = make_group(record(0), record(1))
     for number, service_ms in ((1, 400.0), (2, 50.0)):
-        made.request_slot(slot_request(number, avoid="s1" if number == 1 else "s0"), 0.0)
-        made.release(Requester(NODE, number), service_ms, False, 1.0)
+        group.request_slot(slot_request(number, avoid="s1" if number == 1 else "s0"), 0.0)
+        group.release(Requester(NODE, number), service_ms, False, 1.0)
     granted = [
-        made.request_slot(slot_request(number), 2.0)[0].server_id
+        group.request_slot(slot_request(number), 2.0)[0].server_id
         for number in range(10, 10 + SLOTS)
     ]
     assert granted == ["s1"] * SLOTS
 
 
 def test_a_cold_server_comes_later():
-    made = group(record(0, warmup_ms=3000.0), record(1))
-    assert made.request_slot(slot_request(1), 10.0)[0].server_id == "s1"
+    group = make_group(record(0, warmup_ms=3000.0), record(1))
+    assert group.request_slot(slot_request(1), 10.0)[0].server_id == "s1"
 
 
 def test_a_server_that_failed_is_avoided_for_a_while():
-    made = group(record(0), record(1))
-    failed = made.request_slot(slot_request(1), 0.0)[0].server_id
-    made.release(Requester(NODE, 1), 0.0, True, 1.0)
-    assert made.request_slot(slot_request(2, avoid=""), 2.0)[0].server_id != failed
-    assert made.request_slot(slot_request(3, avoid=""), FAILING_MS * 2)[0].server_id in {"s0", "s1"}
+    group = make_group(record(0), record(1))
+    failed = group.request_slot(slot_request(1), 0.0)[0].server_id
+    group.release(Requester(NODE, 1), 0.0, True, 1.0)
+    assert group.request_slot(slot_request(2, avoid=""), 2.0)[0].server_id != failed
+    assert group.request_slot(slot_request(3, avoid=""), FAILING_MS * 2)[0].server_id in {
+        "s0",
+        "s1",
+    }
 
 
 def test_the_last_server_is_tried_though_it_failed():
-    made = group(record(0))
-    made.request_slot(slot_request(1), 0.0)
-    made.release(Requester(NODE, 1), 0.0, True, 1.0)
-    assert isinstance(made.request_slot(slot_request(2), 2.0)[0], SlotGranted)
+    group = make_group(record(0))
+    group.request_slot(slot_request(1), 0.0)
+    group.release(Requester(NODE, 1), 0.0, True, 1.0)
+    assert isinstance(group.request_slot(slot_request(2), 2.0)[0], SlotGranted)
 
 
 def test_the_more_urgent_goes_first():
-    made = full_group()
+    group = full_group()
     for number, priority in ((10, 2), (11, 0), (12, 2), (13, 0)):
         assert isinstance(
-            made.request_slot(slot_request(number, priority, until_ms=5000.0), 0.0)[0], SlotQueued
+            group.request_slot(slot_request(number, priority, until_ms=5000.0), 0.0)[0], SlotQueued
         )
     order = []
     for number in range(3):
-        order += granted_numbers(made.release(Requester(NODE, number), 100.0, False, 1.0))
-    order += granted_numbers(made.release(Requester(NODE, 11), 100.0, False, 1.0))
+        order += granted_numbers(group.release(Requester(NODE, number), 100.0, False, 1.0))
+    order += granted_numbers(group.release(Requester(NODE, 11), 100.0, False, 1.0))
     assert order == [11, 13, 10, 12]
 
 
 def test_a_request_that_cannot_be_in_time_is_rejected_at_once():
-    made = full_group()
-    (result,) = made.request_slot(slot_request(10, until_ms=20.0), 0.0)
+    group = full_group()
+    (result,) = group.request_slot(slot_request(10, until_ms=20.0), 0.0)
     assert isinstance(result, SlotRejected)
     assert result.retry_after_ms >= 50.0
-    assert made.waiting == 0
+    assert group.waiting == 0
 
 
 def test_a_request_that_was_not_in_time_is_rejected():
-    made = full_group()
-    made.request_slot(slot_request(10, until_ms=200.0), 0.0)
-    (result,) = made.expire(200.0)
+    group = full_group()
+    group.request_slot(slot_request(10, until_ms=200.0), 0.0)
+    (result,) = group.expire(200.0)
     assert result.requester.number == 10
     assert isinstance(result, SlotRejected)
 
 
 def test_a_request_that_can_meet_its_objective_goes_before_one_that_cannot():
-    made = full_group()
-    made.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    made.request_slot(slot_request(11, until_ms=900.0, useful_ms=700.0), 50.0)
-    assert granted_numbers(made.release(Requester(NODE, 0), 10.0, False, 150.0)) == [11]
+    group = full_group()
+    group.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    group.request_slot(slot_request(11, until_ms=900.0, useful_ms=700.0), 50.0)
+    assert granted_numbers(group.release(Requester(NODE, 0), 10.0, False, 150.0)) == [11]
 
 
 def test_a_late_request_waits_on_while_no_other_does():
-    made = full_group()
-    made.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    assert made.expire(300.0) == []
-    assert granted_numbers(made.release(Requester(NODE, 0), 10.0, False, 400.0)) == [10]
+    group = full_group()
+    group.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    assert group.expire(300.0) == []
+    assert granted_numbers(group.release(Requester(NODE, 0), 10.0, False, 400.0)) == [10]
 
 
 def test_a_late_request_is_rejected_while_others_can_meet_their_objective():
-    made = full_group()
-    made.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
-    made.request_slot(slot_request(11, until_ms=900.0, useful_ms=700.0), 50.0)
-    (result,) = made.expire(150.0)
+    group = full_group()
+    group.request_slot(slot_request(10, until_ms=900.0, useful_ms=100.0), 0.0)
+    group.request_slot(slot_request(11, until_ms=900.0, useful_ms=700.0), 50.0)
+    (result,) = group.expire(150.0)
     assert isinstance(result, SlotRejected)
     assert result.requester.number == 10
 
 
 def test_service_time_is_measured_on_requests_that_did_not_queue_at_the_server():
-    made = group(record(0, slots=2))
+    group = make_group(record(0, slots=2))
     for number in range(3):
-        made.request_slot(slot_request(number), 0.0)
-    made.release(Requester(NODE, 2), 400.0, False, 400.0)  # queued behind the others
-    assert made._servers["s0"].service_ms == 0.0
-    made.release(Requester(NODE, 1), 200.0, False, 400.0)
-    assert made._servers["s0"].service_ms == 200.0
+        group.request_slot(slot_request(number), 0.0)
+    group.release(Requester(NODE, 2), 400.0, False, 400.0)  # queued behind the others
+    assert group._servers["s0"].service_ms == 0.0
+    group.release(Requester(NODE, 1), 200.0, False, 400.0)
+    assert group._servers["s0"].service_ms == 200.0
 
 
 def test_a_slot_that_is_never_released_becomes_free():
-    made = full_group()
-    made.request_slot(slot_request(10, until_ms=2000.0), 0.0)
-    assert granted_numbers(made.expire(999.0)) == []
-    assert granted_numbers(made.expire(1000.0)) == [10]
+    group = full_group()
+    group.request_slot(slot_request(10, until_ms=2000.0), 0.0)
+    assert granted_numbers(group.expire(999.0)) == []
+    assert granted_numbers(group.expire(1000.0)) == [10]
 
 
 def test_a_repeated_request_gets_the_same_result():
-    made = full_group()
-    assert granted_numbers(made.request_slot(slot_request(0), 1.0)) == [0]
-    made.request_slot(slot_request(10), 1.0)
-    assert isinstance(made.request_slot(slot_request(10), 2.0)[0], SlotQueued)
-    assert (made.in_use, made.waiting) == (3, 1)
+    group = full_group()
+    assert granted_numbers(group.request_slot(slot_request(0), 1.0)) == [0]
+    group.request_slot(slot_request(10), 1.0)
+    assert isinstance(group.request_slot(slot_request(10), 2.0)[0], SlotQueued)
+    assert (group.in_use, group.waiting) == (3, 1)
 
 
 def test_a_place_in_the_queue_is_released():
-    made = full_group()
-    made.request_slot(slot_request(10), 0.0)
-    made.release(Requester(NODE, 10), 0.0, False, 1.0)
-    assert granted_numbers(made.release(Requester(NODE, 0), 10.0, False, 2.0)) == []
+    group = full_group()
+    group.request_slot(slot_request(10), 0.0)
+    group.release(Requester(NODE, 10), 0.0, False, 1.0)
+    assert granted_numbers(group.release(Requester(NODE, 0), 10.0, False, 2.0)) == []
 
 
 def test_a_group_without_servers_has_no_known_server():
@@ -192,29 +195,29 @@
 
 
 def test_a_leaving_server_gets_no_more_requests():
-    made = group(record(0), record(1))
-    made.set_members([record(1)], 0.0)
-    assert {made.request_slot(slot_request(number), 0.0)[0].server_id for number in range(3)} == {
+    group = make_group(record(0), record(1))
+    group.set_members([record(1)], 0.0)
+    assert {group.request_slot(slot_request(number), 0.0)[0].server_id for number in range(3)} == {
         "s1"
     }
 
 
 def test_slots_in_use_still_count_when_a_server_comes_back():
-    made = full_group()
-    made.set_members([], 1.0)
-    made.set_members([record(0, slots=2)], 2.0)
-    assert isinstance(made.request_slot(slot_request(10), 3.0)[0], SlotQueued)
+    group = full_group()
+    group.set_members([], 1.0)
+    group.set_members([record(0, slots=2)], 2.0)
+    assert isinstance(group.request_slot(slot_request(10), 3.0)[0], SlotQueued)
 
 
 def test_the_own_zone_is_preferred_unless_it_is_much_slower():
-    made = group(record(0, zone="a"), record(1, zone="b"))
+    group = make_group(record(0, zone="a"), record(1, zone="b"))
     from_zone_b = replace(slot_request(1), zone="b")
-    assert made.request_slot(from_zone_b, 0.0)[0].server_id == "s1"
-    result = made.request_slot(replace(slot_request(2), zone="a"), 0.0)[0]
+    assert group.request_slot(from_zone_b, 0.0)[0].server_id == "s1"
+    result = group.request_slot(replace(slot_request(2), zone="a"), 0.0)[0]
     assert result.server_id == "s0"
-    made.release(Requester(NODE, 1), 100.0, False, 1.0)
-    made.release(Requester(NODE, 2), 300.0, False, 1.0)
-    assert made.request_slot(replace(slot_request(3), zone="a"), 2.0)[0].server_id == "s1"
+    group.release(Requester(NODE, 1), 100.0, False, 1.0)
+    group.release(Requester(NODE, 2), 300.0, False, 1.0)
+    assert group.request_slot(replace(slot_request(3), zone="a"), 2.0)[0].server_id == "s1"
 
 
 @pytest.mark.parametrize("holder, expected", [("s1", ["s1"]), ("none", [])])
@@ -319,9 +322,9 @@
         self.number += 1
         until_ms = self.now + wait
         useful_ms = self.now + wait * part
-        made = slot_request(self.number, priority, until_ms, hold, useful_ms=useful_ms)
-        self.requests[self.number] = made
-        self.handle(self.group.request_slot(made, self.now))
+        wanted = slot_request(self.number, priority, until_ms, hold, useful_ms=useful_ms)
+        self.requests[self.number] = wanted
+        self.handle(self.group.request_slot(wanted, self.now))
 
     @rule(data=st.data())
     def repeat_request(self, data):
@@ -382,87 +385,89 @@
 
 def unresponsive_group(slots=2):
     """Return a group whose server answered one request in 100 ms and no later ones."""
-    made = group(record(0, slots=slots))
-    made.request_slot(slot_request(1), 0.0)
-    made.release(Requester(NODE, 1), 100.0, False, 100.0)
+    group = make_group(record(0, slots=slots))
+    group.request_slot(slot_request(1), 0.0)
+    group.release(Requester(NODE, 1), 100.0, False, 100.0)
     for number in range(2, 2 + slots):
         assert isinstance(
-            made.request_slot(slot_request(number, until_ms=5000.0, lease_ms=3000.0), 100.0)[0],
+            group.request_slot(slot_request(number, until_ms=5000.0, lease_ms=3000.0), 100.0)[0],
             SlotGranted,
         )
-    return made
+    return group
 
 
 def test_requests_waiting_for_an_unresponsive_server_are_rejected_before_its_requests_time_out():
-    made = unresponsive_group()
-    made.request_slot(slot_request(8, until_ms=5000.0), 150.0)
-    made.request_slot(slot_request(9, until_ms=5000.0), 150.0)
-    assert made.in_use == 3  # one of them is queued at the server
-    assert made.expire(400.0) == []
-    (result,) = made.expire(100.0 + 100.0 * UNRESPONSIVE_FACTOR + 1)
+    group = unresponsive_group()
+    group.request_slot(slot_request(8, until_ms=5000.0), 150.0)
+    group.request_slot(slot_request(9, until_ms=5000.0), 150.0)
+    assert group.in_use == 3  # one of them is queued at the server
+    assert group.expire(400.0) == []
+    (result,) = group.expire(100.0 + 100.0 * UNRESPONSIVE_FACTOR + 1)
     assert isinstance(result, SlotRejected)
     assert result.requester.number == 9
 
 
 def test_an_unresponsive_server_gets_one_request_at_a_time():
-    made = unresponsive_group()
+    group = unresponsive_group()
     for number in (2, 3):
-        made.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
-    assert isinstance(made.request_slot(slot_request(10, until_ms=3000.0), 2100.0)[0], SlotGranted)
-    assert isinstance(made.request_slot(slot_request(11, until_ms=3000.0), 2100.0)[0], SlotRejected)
+        group.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
+    assert isinstance(group.request_slot(slot_request(10, until_ms=3000.0), 2100.0)[0], SlotGranted)
+    assert isinstance(
+        group.request_slot(slot_request(11, until_ms=3000.0), 2100.0)[0], SlotRejected
+    )
 
 
 def test_one_answer_makes_a_server_responsive():
-    made = unresponsive_group()
+    group = unresponsive_group()
     for number in (2, 3):
-        made.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
-    made.request_slot(slot_request(10, until_ms=3000.0), 2100.0)
-    made.release(Requester(NODE, 10), 100.0, False, 2200.0)
+        group.release(Requester(NODE, number), 0.0, True, 1000.0, unanswered=True)
+    group.request_slot(slot_request(10, until_ms=3000.0), 2100.0)
+    group.release(Requester(NODE, 10), 100.0, False, 2200.0)
     results = [
-        made.request_slot(slot_request(number, until_ms=3000.0), 2200.0)[0]
+        group.request_slot(slot_request(number, until_ms=3000.0), 2200.0)[0]
         for number in range(20, 23)
     ]
     assert all(isinstance(result, SlotGranted) for result in results)
 
 
 def test_a_server_that_breaks_connections_is_not_unresponsive():
-    made = unresponsive_group()
+    group = unresponsive_group()
     for number in (2, 3):
-        made.release(Requester(NODE, number), 0.0, True, 150.0)
+        group.release(Requester(NODE, number), 0.0, True, 150.0)
     results = [
-        made.request_slot(slot_request(number, until_ms=3000.0), 150.0)[0]
+        group.request_slot(slot_request(number, until_ms=3000.0), 150.0)[0]
         for number in range(20, 23)
     ]
     assert all(isinstance(result, SlotGranted) for result in results)
 
 
 def test_a_slow_server_that_answers_sometimes_is_not_unresponsive():
-    made = unresponsive_group()
-    made.release(Requester(NODE, 2), 400.0, False, 500.0)
-    assert isinstance(made.request_slot(slot_request(10, until_ms=3000.0), 600.0)[0], SlotGranted)
+    group = unresponsive_group()
+    group.release(Requester(NODE, 2), 400.0, False, 500.0)
+    assert isinstance(group.request_slot(slot_request(10, until_ms=3000.0), 600.0)[0], SlotGranted)
 
 
 def test_an_unresponsive_server_does_not_affect_the_others_of_its_group():
-    made = group(record(0, slots=2), record(1, slots=2))
+    group = make_group(record(0, slots=2), record(1, slots=2))
     for number in range(6):
-        made.request_slot(slot_request(number, until_ms=5000.0, lease_ms=5000.0), 0.0)
-    answered = [n for n in range(6) if made._leases[Requester(NODE, n)].server_id == "s1"]
+        group.request_slot(slot_request(number, until_ms=5000.0, lease_ms=5000.0), 0.0)
+    answered = [n for n in range(6) if group._leases[Requester(NODE, n)].server_id == "s1"]
     for number in answered:
-        made.release(Requester(NODE, number), 100.0, False, 900.0)
+        group.release(Requester(NODE, number), 100.0, False, 900.0)
     granted = [
-        made.request_slot(slot_request(number, until_ms=5000.0), 900.0)[0]
+        group.request_slot(slot_request(number, until_ms=5000.0), 900.0)[0]
         for number in range(10, 13)
     ]
     assert [result.server_id for result in granted] == ["s1"] * 3
 
 
 def test_clearing_the_queue_returns_the_waiting_requesters():
-    made = full_group()
+    group = full_group()
     for number in (10, 11):
-        assert isinstance(made.request_slot(slot_request(number), 0.0)[0], SlotQueued)
-    assert [requester.number for requester in made.clear_queue()] == [10, 11]
-    assert (made.waiting, made.in_use) == (0, 3)
-    assert granted_numbers(made.release(Requester(NODE, 0), 50.0, False, 1.0)) == []
+        assert isinstance(group.request_slot(slot_request(number), 0.0)[0], SlotQueued)
+    assert [requester.number for requester in group.clear_queue()] == [10, 11]
+    assert (group.waiting, group.in_use) == (0, 3)
+    assert granted_numbers(group.release(Requester(NODE, 0), 50.0, False, 1.0)) == []
 
 
 # ---- excluded servers ----------------------------------------------------------------------
@@ -473,28 +478,28 @@
 
 
 def test_an_excluded_server_is_not_granted():
-    made = group(record(0), record(1))
+    group = make_group(record(0), record(1))
     for number in range(CAPACITY):
-        (result,) = made.request_slot(request_excluding(number, "s0"), 0.0)
+        (result,) = group.request_slot(request_excluding(number, "s0"), 0.0)
         assert result.server_id == "s1"
-    assert isinstance(made.request_slot(request_excluding(CAPACITY, "s0"), 0.0)[0], SlotQueued)
+    assert isinstance(group.request_slot(request_excluding(CAPACITY, "s0"), 0.0)[0], SlotQueued)
 
 
 def test_a_request_that_excludes_all_servers_has_no_known_server():
-    made = group(record(0))
-    assert isinstance(made.request_slot(request_excluding(0, "s0"), 0.0)[0], NoKnownServer)
+    group = make_group(record(0))
+    assert isinstance(group.request_slot(request_excluding(0, "s0"), 0.0)[0], NoKnownServer)
 
 
 def test_a_request_with_excluded_servers_blocks_no_other():
-    made = group(record(0, slots=2), record(1, slots=2))
+    group = make_group(record(0, slots=2), record(1, slots=2))
     granted = {
-        number: made.request_slot(slot_request(number), 0.0)[0].server_id for number in range(6)
+        number: group.request_slot(slot_request(number), 0.0)[0].server_id for number in range(6)
     }
-    assert isinstance(made.request_slot(request_excluding(6, "s0"), 0.0)[0], SlotQueued)
-    assert isinstance(made.request_slot(slot_request(7), 0.0)[0], SlotQueued)
+    assert isinstance(group.request_slot(request_excluding(6, "s0"), 0.0)[0], SlotQueued)
+    assert isinstance(group.request_slot(slot_request(7), 0.0)[0], SlotQueued)
     at_first = next(number for number, server_id in granted.items() if server_id == "s0")
-    results = made.release(Requester(NODE, at_first), 10.0, False, 10.0)
+    results = group.release(Requester(NODE, at_first), 10.0, False, 10.0)
     assert granted_numbers(results) == [7]
     at_second = next(number for number, server_id in granted.items() if server_id == "s1")
-    results = made.release(Requester(NODE, at_second), 10.0, False, 20.0)
+    results = group.release(Requester(NODE, at_second), 10.0, False, 20.0)
     assert granted_numbers(results) == [6]
--- a/tests/unit/test_evacuation.py
+++ b/tests/unit/test_evacuation.py
@@ -76,26 +76,26 @@
     assert {item.zone for item in members} == {"a", "c"}
 
 
-def directory(cold_per_s):
-    made = Directory()
+def make_directory(cold_per_s):
+    directory = Directory()
     services = {SERVICE: Service(SERVICE, False, 100, 3000.0, cold_per_s)}
-    made.apply_table(RouteTable(1, {}, services))
-    made.replace_servers([record(number) for number in range(3)])
-    return made
+    directory.apply_table(RouteTable(1, {}, services))
+    directory.replace_servers([record(number) for number in range(3)])
+    return directory
 
 
 def test_servers_of_a_zone_that_is_no_longer_evacuated_count_as_cold():
-    made = directory(cold_per_s=6.7)
-    made.set_evacuated({"b"})
-    made.set_evacuated(())
-    assert made.servers.cold_until_ms.keys() == {"s1"}
+    directory = make_directory(cold_per_s=6.7)
+    directory.set_evacuated({"b"})
+    directory.set_evacuated(())
+    assert directory.servers.cold_until_ms.keys() == {"s1"}
 
 
 def test_without_a_bound_for_cold_servers_none_counts_as_cold():
-    made = directory(cold_per_s=0.0)
-    made.set_evacuated({"b"})
-    made.set_evacuated(())
-    assert made.servers.cold_until_ms == {}
+    directory = make_directory(cold_per_s=0.0)
+    directory.set_evacuated({"b"})
+    directory.set_evacuated(())
+    assert directory.servers.cold_until_ms == {}
 
 
 # ---- keys --------------------------------------------------------------------------------
--- a/tests/unit/test_limited_rates.py
+++ b/tests/unit/test_limited_rates.py
@@ -41,11 +41,11 @@
     return ServerRecord(f"s{number}", SERVICE, "10.0.1.1", 9000 + number, "a", slots, False)
 
 
-def group(limits, count=1, share=1.0):
-    made = Group()
+def make_group(limits, count=1, share=1.0):
+    group = Group()
     bounds = ServerBounds(limit_per_s=limits, share=share)
-    made.set_members([record(number) for number in range(count)], 0.0, bounds)
-    return made
+    group.set_members([record(number) for number in range(count)], 0.0, bounds)
+    return group
 
 
 def slot_request(number, now_ms, wait_ms=400.0):
@@ -54,7 +54,7 @@
     )
 
 
-def flood(made, start_ms, end_ms, step_ms=5.0):
+def flood(group, start_ms, end_ms, step_ms=5.0):
     """Request slots every few milliseconds and release them at once.
 
     Returns the times at which slots were granted, by server.
@@ -63,10 +63,10 @@
     now_ms, number = start_ms, 0
     while now_ms < end_ms:
         number += 1
-        answers = made.request_slot(slot_request(number, now_ms), now_ms) + made.expire(now_ms)
+        answers = group.request_slot(slot_request(number, now_ms), now_ms) + group.expire(now_ms)
         for answer in (item for item in answers if isinstance(item, SlotGranted)):
             granted_ms.setdefault(answer.server_id, []).append(now_ms)
-            made.release(answer.requester, 0.0, False, now_ms)
+            group.release(answer.requester, 0.0, False, now_ms)
         now_ms += step_ms
     return granted_ms
 
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 100.0])
 def test_a_limited_server_gets_its_rate_and_no_more(per_s):
-    times = flood(group({"s0": per_s}), 0.0, 30_000.0)["s0"]
+    times = flood(make_group({"s0": per_s}), 0.0, 30_000.0)["s0"]
     assert most(times) <= per_s * SPAN_MS / 1000 + max(1.0, 0.02 * per_s) + 1
     assert len(times) >= 0.9 * per_s * 30
 
@@ -87,8 +87,8 @@
 # nodes take for the first.
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_two_nodes_that_both_count_keep_to_the_limit(per_s):
-    first = flood(group({"s0": per_s}), 0.0, 20_000.0)["s0"]
-    standby = flood(group({"s0": per_s}, share=STANDBY_SHARE), 3.0, 20_000.0)["s0"]
+    first = flood(make_group({"s0": per_s}), 0.0, 20_000.0)["s0"]
+    standby = flood(make_group({"s0": per_s}, share=STANDBY_SHARE), 3.0, 20_000.0)["s0"]
     assert most([*first, *standby]) <= allowed(per_s)
 
 
@@ -97,48 +97,50 @@
 @pytest.mark.parametrize("per_s", [0.4, 1.2, 2.5, 6.0, 50.0])
 def test_a_change_of_the_node_that_counts_keeps_to_the_limit(per_s):
     gone_ms = 5000.0
-    before = flood(group({"s0": per_s}), 0.0, gone_ms)["s0"]
-    between = flood(group({"s0": per_s}), gone_ms + UNREACHABLE_MS, 10_000.0 + SKIPPED_MS)["s0"]
-    after = flood(group({"s0": per_s}), 10_000.0, 20_000.0)["s0"]
+    before = flood(make_group({"s0": per_s}), 0.0, gone_ms)["s0"]
+    between = flood(make_group({"s0": per_s}), gone_ms + UNREACHABLE_MS, 10_000.0 + SKIPPED_MS)[
+        "s0"
+    ]
+    after = flood(make_group({"s0": per_s}), 10_000.0, 20_000.0)["s0"]
     assert most([*before, *between, *after]) <= allowed(per_s)
 
 
 def test_servers_without_a_limit_get_the_requests_above_the_limit():
-    granted_ms = flood(group({"s0": 2.5}, count=2), 0.0, 4000.0)
+    granted_ms = flood(make_group({"s0": 2.5}, count=2), 0.0, 4000.0)
     assert len(granted_ms["s0"]) <= 11
     assert len(granted_ms["s1"]) > 700
 
 
 def test_a_server_with_a_limit_of_zero_gets_a_request_now_and_then():
-    times = flood(group({"s0": 0.0}), 0.0, 30_000.0)["s0"]
+    times = flood(make_group({"s0": 0.0}), 0.0, 30_000.0)["s0"]
     assert most(times) <= allowed(0.0)
     assert len(times) >= MIN_LIMIT_PER_S * 30 - 1
 
 
 def test_a_request_that_cannot_be_served_in_time_is_rejected_with_a_time_to_retry():
-    made = group({"s0": 0.5})
-    made.request_slot(slot_request(1, 0.0), 0.0)
-    (answer,) = made.request_slot(slot_request(2, 1.0), 1.0)
+    group = make_group({"s0": 0.5})
+    group.request_slot(slot_request(1, 0.0), 0.0)
+    (answer,) = group.request_slot(slot_request(2, 1.0), 1.0)
     assert answer == SlotRejected(Requester(NODE, 2), 2000.0)
 
 
 def test_a_limit_applies_from_the_moment_at_which_it_is_known():
     limits = {}
-    made = group(limits)
-    assert len(flood(made, 0.0, 1000.0)["s0"]) > 150
+    group = make_group(limits)
+    assert len(flood(group, 0.0, 1000.0)["s0"]) > 150
     limits["s0"] = 2.5
-    assert len(flood(made, 1000.0, 5000.0)["s0"]) <= 11
+    assert len(flood(group, 1000.0, 5000.0)["s0"]) <= 11
     del limits["s0"]
-    assert len(flood(made, 5000.0, 6000.0)["s0"]) > 150
+    assert len(flood(group, 5000.0, 6000.0)["s0"]) > 150
 
 
 def test_a_group_whose_servers_are_left_to_other_dispatchers_grants_nothing():
-    made = group({"s0": 2.5, "s1": 4.0}, count=2)
-    assert not made.grants_nothing(0.0)
-    made.set_bounds(ServerBounds(limit_per_s={"s0": 2.5, "s1": 4.0}, share=0.0))
-    assert made.grants_nothing(0.0)
-    made.set_bounds(ServerBounds(limit_per_s={"s0": 2.5}, share=0.0))
-    assert not made.grants_nothing(0.0)
+    group = make_group({"s0": 2.5, "s1": 4.0}, count=2)
+    assert not group.grants_nothing(0.0)
+    group.set_bounds(ServerBounds(limit_per_s={"s0": 2.5, "s1": 4.0}, share=0.0))
+    assert group.grants_nothing(0.0)
+    group.set_bounds(ServerBounds(limit_per_s={"s0": 2.5}, share=0.0))
+    assert not group.grants_nothing(0.0)
 
 
 @settings(max_examples=200, derandomize=True, database=None, deadline=None)
@@ -235,12 +237,12 @@
 
 # With all holders limited, each busy key counted as dominant, and keys moved in every round.
 def test_where_all_holders_are_limited_keys_do_not_move_back_and_forth():
-    core, chance = leader(4), random.Random(1)
+    core, rng = leader(4), random.Random(1)
     limits = dict.fromkeys(["s0", "s1", "s2", "s3"], 6.0)
     records = [record(number) for number in range(4)]
     moves = set()
     for number in range(1, 21):
-        rates = {key: chance.uniform(4.0, 10.0) for key in range(0, 65536, 5461)}
+        rates = {key: rng.uniform(4.0, 10.0) for key in range(0, 65536, 5461)}
         view = ServiceView(records, rates, dict.fromkeys(limits, 20.0), limit_per_s=limits)
         actions = core.tick(1000.0 * number, {SERVICE: view}, True)
         for action in (item for item in actions if isinstance(item, StoreMap)):
--- a/tests/unit/test_outdated_keymaps.py
+++ b/tests/unit/test_outdated_keymaps.py
@@ -10,8 +10,8 @@
 
 def keymap(number, token, revision):
     holder = Holder(f"s{number}", "10.0.0.1", 9000)
-    made = first_assignment(KeyMap("svc", token=token - 1), [Move(0, 65535, holder)])
-    return KeyMap("svc", made.ranges, made.token, revision)
+    assigned = first_assignment(KeyMap("svc", token=token - 1), [Move(0, 65535, holder)])
+    return KeyMap("svc", assigned.ranges, assigned.token, revision)
 
 
 # A map with lower tokens at a later revision gave ranges back to their former holders.
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -42,10 +42,10 @@
 
 
 def ledger_of(*crashes):
-    made = CrashLedger()
+    ledger = CrashLedger()
     for item in crashes:
-        made.note_crash(DIGEST, item)
-    return made
+        ledger.note_crash(DIGEST, item)
+    return ledger
 
 
 def successive_crashes(count, caller=CALLER, every_ms=400.0, first=0):
@@ -413,10 +413,10 @@
 
 @given(EVENTS, st.randoms(use_true_random=False))
 @settings(max_examples=300)
-def test_nodes_that_merge_the_same_records_in_any_order_decide_the_same(events, chance):
+def test_nodes_that_merge_the_same_records_in_any_order_decide_the_same(events, rng):
     records = [record_of(event) for event in events]
     repeated = [*records, *records[: len(records) // 2]]
-    chance.shuffle(repeated)
+    rng.shuffle(repeated)
     assert merged(repeated) == merged(records)
 
 
@@ -507,8 +507,8 @@
 class Fleet:
     """Nodes, some of them down, that report crashes to each other by datagrams that may be lost."""
 
-    def __init__(self, chance, nodes=8, loss=0.1):
-        self.chance = chance
+    def __init__(self, rng, nodes=8, loss=0.1):
+        self.rng = rng
         self.loss = loss
         self.ledgers = [CrashLedger() for _ in range(nodes)]
         self.down_until = [0.0] * nodes
@@ -520,7 +520,7 @@
 
     def report(self, number, to, digests, now_ms):
         for digest in digests:
-            if self.up(to, now_ms) and self.chance.random() >= self.loss:
+            if self.up(to, now_ms) and self.rng.random() >= self.loss:
                 sent = messages.encode(digest, self.ledgers[number].get(digest), now_ms)
                 self.ledgers[to].merge(digest, messages.decode(sent, now_ms + 1.0))
 
@@ -532,7 +532,7 @@
     def query_round(self, now_ms):
         """Have each node query another one, as nodes do once a second."""
         for number, ledger in enumerate(self.ledgers):
-            other = self.chance.randrange(len(self.ledgers))
+            other = self.rng.randrange(len(self.ledgers))
             known = self.ledgers[other]
             both_up = self.up(number, now_ms) and self.up(other, now_ms)
             if both_up and known.checksum != ledger.checksum:
@@ -565,11 +565,11 @@
     A send is late if it comes more than the propagation time after the third crash, from a node
     that has been up for longer than that time.
     """
-    chance = random.Random(seed)
-    fleet = Fleet(chance)
+    rng = random.Random(seed)
+    fleet = Fleet(rng)
     now_ms, next_query, third_ms, late, server = 0.0, 1000.0, math.inf, 0, 0
     while now_ms < 60_000.0:
-        now_ms += chance.uniform(400.0, 4000.0)
+        now_ms += rng.uniform(400.0, 4000.0)
         while next_query < now_ms:
             fleet.query_round(next_query)
             fleet.lead(next_query)
@@ -577,10 +577,10 @@
         if now_ms >= all_lost_ms:
             all_lost_ms = math.inf
             for number in range(8):
-                fleet.restart(number, now_ms, chance.uniform(500.0, 5000.0))
-        if restarts and chance.random() < 0.3:
-            fleet.restart(chance.randrange(8), now_ms, chance.uniform(500.0, 5000.0))
-        number = chance.randrange(8)
+                fleet.restart(number, now_ms, rng.uniform(500.0, 5000.0))
+        if restarts and rng.random() < 0.3:
+            fleet.restart(rng.randrange(8), now_ms, rng.uniform(500.0, 5000.0))
+        number = rng.randrange(8)
         if not fleet.up(number, now_ms):
             continue
         decision = fleet.ledgers[number].decide(REQUEST)
--- a/tests/unit/test_renewals.py
+++ b/tests/unit/test_renewals.py
@@ -31,16 +31,16 @@
     step = (LAST_KEY + 1) // ranges
     ends = [*range(step - 1, step * (ranges - 1), step), LAST_KEY]
     pieces = [Move(n * step, end, holder(n % HOLDERS)) for n, end in enumerate(ends)]
-    made = settle(first_assignment(KeyMap(SERVICE), pieces), lambda item: True)
-    rows = [replace(item, token=n + 1) for n, item in enumerate(made.ranges)]
-    return replace(made, ranges=tuple(rows), revision=1)
+    keymap = settle(first_assignment(KeyMap(SERVICE), pieces), lambda item: True)
+    rows = [replace(item, token=n + 1) for n, item in enumerate(keymap.ranges)]
+    return replace(keymap, ranges=tuple(rows), revision=1)
 
 
 class Term:
     """A leader that has inherited a map, in simulated time."""
 
-    def __init__(self, chance, keymap, unanswered):
-        self.chance = chance
+    def __init__(self, rng, keymap, unanswered):
+        self.rng = rng
         self.unanswered = unanswered
         self.answer_ms = ANSWER_MS
         self.core = LeaderCore()
@@ -61,7 +61,7 @@
                 self.core.map_not_stored(SERVICE)
             elif isinstance(action, SendGrant):
                 self.core.grant_sent(action.holder, now_ms)
-                answered = self.chance.random() >= self.unanswered
+                answered = self.rng.random() >= self.unanswered
                 end_ms = now_ms + (self.answer_ms if answered else NO_ANSWER_MS)
                 heapq.heappush(self.calls, (end_ms, next(self.numbers), action, answered, now_ms))
 
--- a/tests/unit/test_standing.py
+++ b/tests/unit/test_standing.py
@@ -39,10 +39,10 @@
 
 
 def servers(*records):
-    made = ServerSet()
+    known = ServerSet()
     for item in records or [record()]:
-        made.put(item, 0.0)
-    return made
+        known.put(item, 0.0)
+    return known
 
 
 # ---- how an answer is read -----------------------------------------------------------------
