--- a/tests/unit/test_key_experiment.py
+++ b/tests/unit/test_key_experiment.py
@@ -1,4 +1,4 @@
-"""Keys on noisy servers in virtual time, with the decisions of the product."""
+"""The key experiment: the gateway's decisions about keys on noisy servers, in virtual time."""
 
 import math
 from dataclasses import replace
@@ -61,6 +61,6 @@
 
 
 def test_the_command_prints_a_table():
-    found = CliRunner().invoke(experiment_keys, ["--situation", "10 servers", "--seeds", "1"])
-    assert found.exit_code == 0
-    assert "| 10 servers |" in found.output
+    result = CliRunner().invoke(experiment_keys, ["--situation", "10 servers", "--seeds", "1"])
+    assert result.exit_code == 0
+    assert "| 10 servers |" in result.output
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -42,19 +42,19 @@
 
 
 def ledger_of(*crashes):
-    made = CrashLedger()
+    ledger = CrashLedger()
     for item in crashes:
-        made.note_crash(DIGEST, item)
-    return made
+        ledger.note_crash(DIGEST, item)
+    return ledger
 
 
-def row(count, caller=CALLER, every_ms=400.0, first=0):
+def successive_crashes(count, caller=CALLER, every_ms=400.0, first=0):
     return [crash(first + n, 1000.0 + n * every_ms, caller) for n in range(count)]
 
 
 def test_three_crashes_quarantine_a_request_and_two_do_not():
-    assert ledger_of(*row(2)).decide(REQUEST) is None
-    decision = ledger_of(*row(3)).decide(REQUEST)
+    assert ledger_of(*successive_crashes(2)).decide(REQUEST) is None
+    decision = ledger_of(*successive_crashes(3)).decide(REQUEST)
     assert decision.until_ms == 1800.0 + QUARANTINE_MS
     assert [item.server_id for item in decision.crashes] == ["s0", "s1", "s2"]
 
@@ -77,11 +77,11 @@
 def test_many_ends_at_one_time_let_no_held_request_through(counts):
     """A quarantined request stays quarantined, however many of its copies crash servers at once.
 
-    Guards against a record that drops the crashes its decision rests on. Eight crashes are kept
-    of a request. If nine or more servers crashed under copies that ran at the same time, these
-    displaced the successive crashes, or the copies at the same servers, and the request was let
-    through: of sixty callers' copies most were sent after the decision, and all sixteen servers
-    of a service crashed.
+    Guards against a record that drops the crashes its decision rests on. A record keeps eight
+    crashes. If nine or more servers crashed under copies that ran at the same time, their crashes
+    displaced the successive ones, or those of several copies at one server, and the request was
+    let through: most copies of sixty callers were sent after the decision, and all sixteen
+    servers of a service crashed.
     """
     ledger = ledger_of(*copies(*counts))
     assert ledger.decide(Fingerprint(DIGEST, b"another"))
@@ -113,16 +113,16 @@
     """Here three copies ran at each of two servers, which the platform counts as six crashes.
 
     Guards against counting servers only: a popular request that crashes its servers was sent to
-    the third one in five to eight copies at once. A popular request that is harmless is under
-    way wherever a server crashes, but is answered between two crashes: nine test runs with
-    crashes among popular requests (405 crashes under requests) quarantine none.
+    the third server in five to eight copies at once. A popular request that is harmless is under
+    way wherever a server crashes, but is answered between two crashes: in nine test runs with
+    crashes among popular requests (405 crashes under requests), none was quarantined.
     """
     crashes = [crash(n, 1000.0 + 3400.0 * n, b"caller %d" % c) for n in range(2) for c in range(3)]
     assert ledger_of(*crashes).decide(Fingerprint(DIGEST, b"another"))
 
 
 def copies(*counts, every_ms=3400.0, took_ms=WORK_MS):
-    """Return crashes of servers, each under copies of so many callers of its own."""
+    """Return crashes of servers, each of which has its own callers, as many as its count."""
     return [
         crash(n, 1000.0 + every_ms * n, b"caller %d at %d" % (c, n), took_ms)
         for n, count in enumerate(counts)
@@ -173,7 +173,7 @@
 
 
 def test_an_answer_shows_that_a_request_crashes_no_servers():
-    ledger = ledger_of(*row(2))
+    ledger = ledger_of(*successive_crashes(2))
     assert ledger.note_answer(REQUEST, 1500.0)
     ledger.note_crash(DIGEST, crash(7, 1800.0))
     assert ledger.decide(REQUEST) is None
@@ -181,7 +181,7 @@
 
 def test_a_request_that_was_answered_before_is_held_after_more_ends():
     """It may be a bystander that is sent often, or runs for long, where servers crash often."""
-    ledger = ledger_of(*row(1))
+    ledger = ledger_of(*successive_crashes(1))
     ledger.note_answer(REQUEST, 1500.0)
     for number in range(CRASHES_AFTER_ANSWER):
         assert ledger.decide(REQUEST) is None
@@ -190,25 +190,25 @@
 
 
 def test_a_quarantined_request_whose_answer_comes_late_is_let_through():
-    ledger = ledger_of(*row(3))
+    ledger = ledger_of(*successive_crashes(3))
     ledger.note_answer(REQUEST, 2000.0)
     assert ledger.decide(REQUEST) is None
 
 
 def test_only_the_caller_under_whose_requests_servers_crashed_is_quarantined():
-    ledger = ledger_of(*row(5))
+    ledger = ledger_of(*successive_crashes(5))
     assert ledger.decide(REQUEST)
     assert ledger.decide(Fingerprint(DIGEST, OTHER)) is None
     assert ledger.decide(Fingerprint(b"another", CALLER)) is None
 
 
 def test_a_request_that_crashes_servers_for_several_callers_is_quarantined_for_all():
-    ledger = ledger_of(*row(2), crash(5, 2500.0, OTHER))
+    ledger = ledger_of(*successive_crashes(2), crash(5, 2500.0, OTHER))
     assert ledger.decide(Fingerprint(DIGEST, b"third"))
 
 
 def test_a_request_that_some_callers_get_answered_is_quarantined_for_the_others_only():
-    ledger = ledger_of(*row(2), crash(5, 2500.0, OTHER))
+    ledger = ledger_of(*successive_crashes(2), crash(5, 2500.0, OTHER))
     ledger.note_answer(Fingerprint(DIGEST, b"third"), 2600.0)
     assert ledger.decide(Fingerprint(DIGEST, b"third")) is None
     ledger.note_crash(DIGEST, crash(6, 3000.0))
@@ -227,12 +227,12 @@
     note_crashes(ledger, b"beside", [1, 2, 3])
     assert ledger.decide(REQUEST)
     assert ledger.decide(Fingerprint(b"beside", CALLER)) is None
-    note_crashes(ledger, b"beside", [4])  # the other request was not at this crash
+    note_crashes(ledger, b"beside", [4])  # the other request was not under way at this crash
     assert ledger.decide(Fingerprint(b"beside", CALLER))
 
 
 def test_a_request_that_works_for_long_is_not_held_for_what_others_did():
-    """Where a server crashes each second it has no time to be answered."""
+    """Where a server crashes every second, a long request has no time to be answered."""
     ledger = CrashLedger()
     note_crashes(ledger, DIGEST, [0, 3, 6])
     note_crashes(ledger, b"another cause", [10, 13, 16])
@@ -241,7 +241,7 @@
     assert ledger.decide(REQUEST)
     assert ledger.decide(Fingerprint(b"another cause", CALLER))
     assert ledger.decide(Fingerprint(b"long", CALLER)) is None
-    note_crashes(ledger, b"long", [30, 40, 50])  # none of the other requests was at these crashes
+    note_crashes(ledger, b"long", [30, 40, 50])  # no other request ran at these crashes
     assert ledger.decide(Fingerprint(b"long", CALLER))
 
 
@@ -276,7 +276,7 @@
 
 
 def test_a_long_request_is_not_quarantined_for_crashes_of_an_earlier_suspect():
-    """Requests wait in queues here, so that their times say nothing (soak test seed 946)."""
+    """Requests wait in queues here, so their times don't show the cause (soak test seed 946)."""
     ledger = CrashLedger()
     for number, cause_ms, long_ms in ((6, 452.0, 405.0), (7, 33.0, 49.0)):
         at_ms = 1000.0 + 2650.0 * (number - 6)
@@ -353,7 +353,7 @@
 
 def test_each_crash_after_the_third_doubles_the_time_up_to_a_bound():
     for more in range(7):
-        crashes = row(CRASHES_TO_QUARANTINE + more)
+        crashes = successive_crashes(CRASHES_TO_QUARANTINE + more)
         decision = ledger_of(*crashes).decide(REQUEST)
         assert decision.until_ms - decision.last.crashed_ms == QUARANTINE_MS * 2 ** min(
             more, MAX_DOUBLINGS
@@ -361,7 +361,7 @@
 
 
 def test_a_record_is_dropped_after_its_retention_time():
-    ledger = ledger_of(*row(9))
+    ledger = ledger_of(*successive_crashes(9))
     (item,) = [known for _, known in ledger]
     assert item.expires_ms <= item.newest_ms + QUARANTINE_MS * 2**MAX_DOUBLINGS + RETENTION_MS
     ledger.expire(item.expires_ms - 1)
@@ -372,7 +372,7 @@
 
 
 def test_records_are_bounded_and_the_one_with_most_crashes_stays():
-    ledger = ledger_of(*row(3))
+    ledger = ledger_of(*successive_crashes(3))
     for number in range(MAX_RECORDS * 3):
         ledger.note_crash(b"%d" % number, crash(number, 2000.0 + number))
     assert len(ledger) == MAX_RECORDS
@@ -381,7 +381,7 @@
 
 
 def test_the_crashes_of_a_record_are_bounded():
-    ledger = ledger_of(*row(30))
+    ledger = ledger_of(*successive_crashes(30))
     (item,) = [known for _, known in ledger]
     assert len(item.crashes) == MAX_CRASHES
 
@@ -413,10 +413,10 @@
 
 @given(EVENTS, st.randoms(use_true_random=False))
 @settings(max_examples=300)
-def test_nodes_that_merge_the_same_records_in_any_order_decide_the_same(events, chance):
+def test_nodes_that_merge_the_same_records_in_any_order_decide_the_same(events, rng):
     records = [record_of(event) for event in events]
     repeated = [*records, *records[: len(records) // 2]]
-    chance.shuffle(repeated)
+    rng.shuffle(repeated)
     assert merged(repeated) == merged(records)
 
 
@@ -454,8 +454,8 @@
 
 
 def test_a_delayed_report_does_not_hide_that_crashes_are_successive():
-    """A node that was suspended reads at once the reports of several seconds."""
-    crashes = row(3)
+    """A node that resumes after a suspension reads the reports of several seconds at once."""
+    crashes = successive_crashes(3)
     known, late = CrashRecord(), CrashLedger()
     for item in crashes:
         known = known.with_crash(item)
@@ -465,7 +465,7 @@
 
 
 def test_nodes_with_the_same_records_have_the_same_checksum():
-    first, second = ledger_of(*row(3)), CrashLedger()
+    first, second = ledger_of(*successive_crashes(3)), CrashLedger()
     assert first.checksum != second.checksum
     for digest, known in first:
         second.merge(digest, messages.decode(messages.encode(digest, known, 2000.0), 777_000.0))
@@ -505,10 +505,10 @@
 
 
 class Fleet:
-    """Nodes that report crashes to each other by datagrams, which may be lost, and may be down."""
+    """Nodes, some of them down, that report crashes to each other by datagrams that may be lost."""
 
-    def __init__(self, chance, nodes=8, loss=0.1):
-        self.chance = chance
+    def __init__(self, rng, nodes=8, loss=0.1):
+        self.rng = rng
         self.loss = loss
         self.ledgers = [CrashLedger() for _ in range(nodes)]
         self.down_until = [0.0] * nodes
@@ -520,7 +520,7 @@
 
     def report(self, number, to, digests, now_ms):
         for digest in digests:
-            if self.up(to, now_ms) and self.chance.random() >= self.loss:
+            if self.up(to, now_ms) and self.rng.random() >= self.loss:
                 sent = messages.encode(digest, self.ledgers[number].get(digest), now_ms)
                 self.ledgers[to].merge(digest, messages.decode(sent, now_ms + 1.0))
 
@@ -532,7 +532,7 @@
     def query_round(self, now_ms):
         """Have each node query another one, as nodes do once a second."""
         for number, ledger in enumerate(self.ledgers):
-            other = self.chance.randrange(len(self.ledgers))
+            other = self.rng.randrange(len(self.ledgers))
             known = self.ledgers[other]
             both_up = self.up(number, now_ms) and self.up(other, now_ms)
             if both_up and known.checksum != ledger.checksum:
@@ -562,14 +562,14 @@
 def late_sends(seed, restarts=True, all_lost_ms=math.inf):
     """Send a request that crashes its server each 0.4 to 4 s; return the number of late sends.
 
-    A send is late after the propagation time from the third crash, at a node that has been up
-    for as long.
+    A send is late if it comes more than the propagation time after the third crash, from a node
+    that has been up for longer than that time.
     """
-    chance = random.Random(seed)
-    fleet = Fleet(chance)
+    rng = random.Random(seed)
+    fleet = Fleet(rng)
     now_ms, next_query, third_ms, late, server = 0.0, 1000.0, math.inf, 0, 0
     while now_ms < 60_000.0:
-        now_ms += chance.uniform(400.0, 4000.0)
+        now_ms += rng.uniform(400.0, 4000.0)
         while next_query < now_ms:
             fleet.query_round(next_query)
             fleet.lead(next_query)
@@ -577,10 +577,10 @@
         if now_ms >= all_lost_ms:
             all_lost_ms = math.inf
             for number in range(8):
-                fleet.restart(number, now_ms, chance.uniform(500.0, 5000.0))
-        if restarts and chance.random() < 0.3:
-            fleet.restart(chance.randrange(8), now_ms, chance.uniform(500.0, 5000.0))
-        number = chance.randrange(8)
+                fleet.restart(number, now_ms, rng.uniform(500.0, 5000.0))
+        if restarts and rng.random() < 0.3:
+            fleet.restart(rng.randrange(8), now_ms, rng.uniform(500.0, 5000.0))
+        number = rng.randrange(8)
         if not fleet.up(number, now_ms):
             continue
         decision = fleet.ledgers[number].decide(REQUEST)
