--- a/ploverhatch/consensus/log.py
+++ b/ploverhatch/consensus/log.py
@@ -50,10 +50,10 @@
         for entry in entries:
             if entry.index <= self.base_index:
                 continue
-            known = self.term_at(entry.index)
-            if known == entry.term:
+            stored_term = self.term_at(entry.index)
+            if stored_term == entry.term:
                 continue
-            if known is not None:
+            if stored_term is not None:
                 del self._entries[entry.index - self.base_index - 1 :]
                 dropped = True
             self._entries.append(entry)
--- a/ploverhatch/consensus/replica.py
+++ b/ploverhatch/consensus/replica.py
@@ -316,7 +316,7 @@
         if not request.transfer and (follows_leader or self.has_lease(now_ms)):
             return
         if request.pre_vote:
-            granted = request.term > self.term and self._is_current(request)
+            granted = request.term > self.term and self._is_up_to_date(request)
             reply = wire.VoteReply(term=request.term, pre_vote=True, granted=granted)
             self._post(sender, reply)
             return
@@ -325,14 +325,14 @@
         granted = (
             request.term == self.term
             and self._voted_for in {"", sender}
-            and self._is_current(request)
+            and self._is_up_to_date(request)
         )
         if granted:
             self._voted_for = sender
             self._reset_election(now_ms)
         self._post(sender, wire.VoteReply(term=self.term, granted=granted))
 
-    def _is_current(self, request: wire.VoteRequest) -> bool:
+    def _is_up_to_date(self, request: wire.VoteRequest) -> bool:
         theirs = (request.last_term, request.last_index)
         return theirs >= (self.log.last_term, self.log.last_index)
 
@@ -514,11 +514,11 @@
             ),
             reverse=True,
         )
-        candidate = matches[self._majority() - 1]
+        quorum_index = matches[self._majority() - 1]
         # Counting replicas commits only entries of the current term (Raft, section 5.4.2).
-        if candidate <= self.commit_index or self.log.term_at(candidate) != self.term:
+        if quorum_index <= self.commit_index or self.log.term_at(quorum_index) != self.term:
             return
-        self.commit_index = candidate
+        self.commit_index = quorum_index
         if self._apply_committed():
             self._announce_commit(now_ms)
         if not self.is_voter and self.membership_settled():
@@ -599,15 +599,15 @@
 
         :returns: whether one of them must be sent to observers.
         """
-        public = False
+        any_streamed = False
         pending = self.commit_index - self.state.index
         for entry in self.log.slice(self.state.index + 1, pending):
             result = self.state.apply(entry)
-            public = public or entry.kind not in RECORD_KINDS
+            any_streamed = any_streamed or entry.kind not in RECORD_KINDS
             self._actions.append(Applied(entry, result))
         if self.log.last_index - self.log.base_index > COMPACT_AFTER_ENTRIES:
             self.log.compact(max(self.log.base_index, self.state.index - KEPT_ENTRIES))
-        return public
+        return any_streamed
 
     def _post(self, recipient: str, message: Any) -> None:
         """Queue a message, stamped with the epoch of this replica."""
--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -143,7 +143,7 @@
         self._founding_term = 0
         self._configured: tuple[OwnershipController, int] | None = None
         self._compiled = CompiledConfiguration()
-        self._out: list[CoreAction] = []
+        self._actions: list[CoreAction] = []
         self.replica = Replica(member.node_id, timing)
         self.controller: OwnershipController | None = None
         self.nodes: dict[str, tuple[float, wire.NodeStatus]] = {}
@@ -264,7 +264,7 @@
         """Tell whether entries other than record entries were just applied."""
         return any(
             isinstance(action, EntryPublished) and action.entry.kind not in RECORD_KINDS
-            for action in self._out
+            for action in self._actions
         )
 
     # ---- proposals ----------------------------------------------------------------
@@ -273,7 +273,7 @@
         try:
             indices, actions = self.replica.propose([item.command for item in proposals], now_ms)
         except NotLeaderError as error:
-            self._out += [ProposalRejected(proposal, error.leader_id) for proposal in proposals]
+            self._actions += [ProposalRejected(proposal, error.leader_id) for proposal in proposals]
             return
         for index, proposal in zip(indices, proposals, strict=True):
             self._proposals[index] = (self.replica.term, proposal)
@@ -285,9 +285,9 @@
             return
         term, proposal = waiting
         if term == entry.term:
-            self._out.append(ProposalCommitted(proposal, result))
+            self._actions.append(ProposalCommitted(proposal, result))
         else:
-            self._out.append(ProposalRejected(proposal, self.replica.leader_id))
+            self._actions.append(ProposalRejected(proposal, self.replica.leader_id))
 
     # ---- leadership ---------------------------------------------------------------
 
@@ -310,7 +310,7 @@
         for action in controller.tick(now_ms, self.replica.has_lease(now_ms)):
             match action:
                 case CallServer():
-                    self._out.append(CallBackend(controller, action))
+                    self._actions.append(CallBackend(controller, action))
                 case ProposeAssignment(change):
                     self._propose([Proposal(change)], now_ms)
 
@@ -344,7 +344,7 @@
                 self.addresses[member.node_id] = member
                 self._handle_replica_actions(replica.add_learner(member, now_ms), now_ms)
             case ChangeVoters(voters):
-                self._out.append(VotersChanged(tuple(item.node_id for item in voters)))
+                self._actions.append(VotersChanged(tuple(item.node_id for item in voters)))
                 _, actions = replica.propose_membership(list(voters), now_ms)
                 self._handle_replica_actions(actions, now_ms)
 
@@ -398,16 +398,16 @@
         for action in actions:
             match action:
                 case Send():
-                    self._out.append(action)
+                    self._actions.append(action)
                 case Applied(entry, result):
                     self._on_applied(entry, result, now_ms)
                 case Restored():
-                    self._out.append(StateReplaced())
+                    self._actions.append(StateReplaced())
                 case RoleChanged(leading, term):
                     self._on_role_changed(leading, term, now_ms)
 
     def _on_applied(self, entry: wire.LogEntry, result: ClaimResult | None, now_ms: float) -> None:
-        self._out.append(EntryPublished(entry))
+        self._actions.append(EntryPublished(entry))
         self._resolve_proposal(entry, result)
         if self.controller is not None and entry.kind == ASSIGNMENT_KIND:
             command = decode_command(entry)
@@ -416,7 +416,7 @@
 
     def _on_role_changed(self, leading: bool, term: int, now_ms: float) -> None:
         self.controller = None
-        self._out.append(LeadershipChanged(leading, term))
+        self._actions.append(LeadershipChanged(leading, term))
         if leading:
             self._voter_check_ms = now_ms + VOTER_CHECK_MS
             return
@@ -431,5 +431,5 @@
         self.replica = Replica(self._member.node_id, self._timing)
 
     def _pop_actions(self) -> list[CoreAction]:
-        actions, self._out = self._out, []
+        actions, self._actions = self._actions, []
         return actions
--- a/ploverhatch/membership/voters.py
+++ b/ploverhatch/membership/voters.py
@@ -75,9 +75,9 @@
     if len(view.voters) > view.wanted:
         return _remove(view, failing or _redundant_voters(view, healthy))
     if len(healthy) < view.wanted:
-        step = _add_voter(view, healthy)
-        if step is not None:
-            return step
+        action = _add_voter(view, healthy)
+        if action is not None:
+            return action
     leaving = [node_id for node_id in failing if node_id not in view.lost]
     if leaving and len(healthy) >= 1:
         return _remove(view, leaving)
@@ -114,15 +114,15 @@
 
 
 def _remove(view: VoterView, removable: list[str]) -> VoterAction:
-    others = sorted(removable, key=lambda node_id: node_id == view.leader_id)
-    if not others:
+    leader_last = sorted(removable, key=lambda node_id: node_id == view.leader_id)
+    if not leader_last:
         return None
-    gone = others[0]
-    return _change(view, [member for member in view.voters.values() if member.node_id != gone])
+    removed = leader_last[0]
+    return _change(view, [member for member in view.voters.values() if member.node_id != removed])
 
 
 def _change(view: VoterView, voters: list[wire.Member]) -> VoterAction:
-    names = [member.node_id for member in voters]
-    if not recovery_stays_safe(names, view.recorded):
+    voter_ids = [member.node_id for member in voters]
+    if not recovery_stays_safe(voter_ids, view.recorded):
         return None
     return ChangeVoters(tuple(voters))
--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -153,9 +153,9 @@
             if node_id != self._member.node_id
         }
         if self._watch.observe(evidence, tuple(known), elapsed_ms()):
-            self._found(record, cell_record)
+            self._found_epoch(record, cell_record)
 
-    def _found(self, record: StoredObject, cell_record: CellRecord) -> None:
+    def _found_epoch(self, record: StoredObject, cell_record: CellRecord) -> None:
         membership = wire.MembershipChange(epoch=cell_record.epoch + 1, voters=[self._member])
         operation = f"found/{self._member.node_id}/{membership.epoch}"
         try:
--- a/ploverhatch/node/observer.py
+++ b/ploverhatch/node/observer.py
@@ -105,24 +105,24 @@
 
     def _subscribe_to(self, parent: wire.Member) -> bool:
         for _ in range(MAX_REDIRECTS):
-            answer = self._ask(parent)
-            if isinstance(answer, wire.StreamAck):
+            reply = self._request_subscription(parent)
+            if isinstance(reply, wire.StreamAck):
                 return True
-            if not isinstance(answer, wire.Redirect) or not answer.nodes:
+            if not isinstance(reply, wire.Redirect) or not reply.nodes:
                 return False
-            parent = self._random.choice(answer.nodes)
+            parent = self._random.choice(reply.nodes)
             if parent.node_id == self._member.node_id:
                 return False
         return False
 
-    def _ask(self, parent: wire.Member) -> Any:
+    def _request_subscription(self, parent: wire.Member) -> Any:
         state = self._view.state
         request = wire.Subscribe(from_index=state.index, epoch=state.epoch, member=self._member)
         self._parent = parent.node_id
         self._last_update_ms = elapsed_ms()
         try:
             address = (parent.host, parent.port)
-            _, answer = self._network.request(address, parent.node_id, request, REQUEST_TIMEOUT_S)
+            _, reply = self._network.request(address, parent.node_id, request, REQUEST_TIMEOUT_S)
         except PeerUnreachableError:
             return None
-        return answer
+        return reply
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -107,7 +107,7 @@
 
     def _watch_loop(self) -> None:
         if not self._listed:
-            self._take_over(self._store.list(), replace=True)
+            self._commit_objects(self._store.list(), replace=True)
             self._listed = True
             return
         after = self._view.state.configuration.generation
@@ -117,9 +117,9 @@
             self._listed = False
             return
         if changes.revision > after:
-            self._take_over(changes, replace=False)
+            self._commit_objects(changes, replace=False)
 
-    def _take_over(self, listed: ObjectList, replace: bool) -> None:
+    def _commit_objects(self, listed: ObjectList, replace: bool) -> None:
         """Commit the objects of a list or watch result at its revision.
 
         The cell object is left out, since the cell itself writes it.
--- a/ploverhatch/node/upstreams.py
+++ b/ploverhatch/node/upstreams.py
@@ -103,7 +103,7 @@
             full, or at ``give_up_ms``.
         """
         now_ms = elapsed_ms()
-        priority, share = self._terms(group, upstream.spec)
+        priority, share = self._priority_and_share(group, upstream.spec)
         ticket = Ticket(group, priority, share, now_ms)
         if not upstream.queue.offer(ticket):
             return None
@@ -121,7 +121,7 @@
             upstream.waiters.pop(id(ticket), None)
         return ticket
 
-    def _terms(self, group: str, spec: ServerSpec) -> tuple[int, float]:
+    def _priority_and_share(self, group: str, spec: ServerSpec) -> tuple[int, float]:
         """Return the priority and the share of a group on a back end."""
         policy = self._view.policy
         if policy is None or group not in policy.groups:
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -151,7 +151,7 @@
         """Encode an update once and queue it for every observer."""
         update = wire.StreamUpdate(
             epoch=self.state.epoch,
-            previous_index=self._previous_public_index(before=len(entries)),
+            previous_index=self._previous_streamed_index(before=len(entries)),
             through_index=through,
             entries=entries,
         )
@@ -160,7 +160,7 @@
             if not connection.send(payload):
                 self.feeds.pop(connection, None)
 
-    def _previous_public_index(self, before: int) -> int:
+    def _previous_streamed_index(self, before: int) -> int:
         """Return the index of the public entry before the newest ``before`` public ones.
 
         Record entries are not sent to observers, so for an observer each entry follows the
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -96,7 +96,7 @@
         self._term = term
         self._state = state
         self._limits = limits or PlacementLimits()
-        self._lease_floor_ms = now_ms + timing.lease_bound_ms
+        self._initial_lease_until_ms = now_ms + timing.lease_bound_ms
         self._sequence = 0
         self._rebalance_due_ms = now_ms + REBALANCE_MS
         self._policy: PolicyTable | None = None
@@ -121,7 +121,9 @@
         self._specs = specs
         owners = {item.server for item in self._state.assignments if item.server}
         for name in sorted(set(specs) | owners):
-            self.sessions.setdefault(name, ServerSession(self._lease_floor_ms, due_ms=now_ms))
+            self.sessions.setdefault(
+                name, ServerSession(self._initial_lease_until_ms, due_ms=now_ms)
+            )
 
     def note_machines_leaving(self, servers: Iterable[str]) -> None:
         """Note which servers the machine list of the platform shows as leaving."""
@@ -320,7 +322,7 @@
     def _renew_tokens(self, now_ms: float) -> wire.AssignmentChange:
         """Return all slices once, to be committed again with tokens of the new epoch."""
         change = wire.AssignmentChange()
-        if now_ms < self._lease_floor_ms or self._renewal_proposed:
+        if now_ms < self._initial_lease_until_ms or self._renewal_proposed:
             return change
         self._renewal_proposed = True
         change.slices = [
@@ -402,7 +404,7 @@
 
     def _queue_grant(self, server: str, span: SliceRange, token: int, now_ms: float) -> None:
         session = self.sessions.setdefault(
-            server, ServerSession(self._lease_floor_ms, due_ms=now_ms)
+            server, ServerSession(self._initial_lease_until_ms, due_ms=now_ms)
         )
         session.grants[span] = token
         session.due_ms = now_ms
--- a/ploverhatch/ownership/placement.py
+++ b/ploverhatch/ownership/placement.py
@@ -81,12 +81,12 @@
     def __init__(self, view: PlacementView, group: Group) -> None:
         self.view = view
         self.group = group
-        self.general = tuple(draw for draw in group.draws if draw.keys is None)
+        self.general_draws = tuple(draw for draw in group.draws if draw.keys is None)
         self.slices = view.assignments.group(group.name)
         known = sum(view.loads.get((group.name, item.range.first), 0.0) for item in self.slices)
         # A slice without measured load gets a small load, so that such slices are spread.
-        self.base = max(known, 1.0) * 0.02 / max(len(self.slices), group.slices, 1)
-        self.capacity = self.capacities(self.general)
+        self.base_load = max(known, 1.0) * 0.02 / max(len(self.slices), group.slices, 1)
+        self.capacity = self.capacities(self.general_draws)
         self.load: dict[str, float] = defaultdict(float)
         for item in self.slices:
             if item.server:
@@ -104,7 +104,7 @@
 
     def slice_load(self, span: SliceRange) -> float:
         measured = self.view.loads.get((span.group, span.first), 0.0)
-        return measured + self.base
+        return measured + self.base_load
 
     def utilization(self, server: str, extra: float = 0.0) -> float:
         return (self.load[server] + extra) / self.capacity[server]
@@ -143,9 +143,9 @@
 def _plan_group(plan_: _GroupPlan, limits: PlacementLimits, now_ms: float) -> list[Target]:
     if not plan_.slices:
         return _first_placement(plan_)
-    urgent = _replace_lost(plan_)
+    urgent = _reassign_lost(plan_)
     urgent += _move_from_drained(plan_)
-    urgent += _labelled_keys(plan_)
+    urgent += _move_labelled_keys(plan_)
     if urgent:
         return urgent
     return _rebalance(plan_, limits, now_ms)
@@ -154,10 +154,10 @@
 def _first_placement(plan_: _GroupPlan) -> list[Target]:
     targets = []
     for span in even_ranges(plan_.group.name, plan_.group.slices):
-        server = plan_.least_utilized(plan_.base)
+        server = plan_.least_utilized(plan_.base_load)
         if server is None:
             return []
-        plan_.move_load(plan_.base, "", server)
+        plan_.move_load(plan_.base_load, "", server)
         targets.append(Target(span, server, "first placement"))
     return targets
 
@@ -166,7 +166,7 @@
     """Return the capacities of the servers that the labels of a slice's key allow."""
     if span.first != span.last:
         return plan_.capacity
-    for draws, key_hash in _special_keys(plan_):
+    for draws, key_hash in _selected_keys(plan_):
         if key_hash == span.first:
             return plan_.capacities(draws) or plan_.capacity
     return plan_.capacity
@@ -191,11 +191,11 @@
     return [SliceRange(span.group, first, last) for first, last in zip(firsts, lasts, strict=True)]
 
 
-def _replace_pieces(plan_: _GroupPlan, item: Slice, reason: str) -> list[Target]:
+def _reassign_pieces(plan_: _GroupPlan, item: Slice, reason: str) -> list[Target]:
     """Assign the pieces of a slice to the least utilized servers."""
     pieces = _pieces(plan_, item)
     if len(pieces) == 1:
-        target = _replace(plan_, item, reason)
+        target = _reassign(plan_, item, reason)
         return [target] if target else []
     amount = plan_.slice_load(item.range) / len(pieces)
     targets = []
@@ -207,7 +207,7 @@
     return targets
 
 
-def _replace(plan_: _GroupPlan, item: Slice, reason: str) -> Target | None:
+def _reassign(plan_: _GroupPlan, item: Slice, reason: str) -> Target | None:
     amount = plan_.slice_load(item.range)
     server = plan_.least_utilized(amount, _eligible(plan_, item.range))
     if server is None or server == item.server:
@@ -221,7 +221,7 @@
     return sorted(plan_.slices, key=lambda item: -plan_.slice_load(item.range))
 
 
-def _replace_lost(plan_: _GroupPlan) -> list[Target]:
+def _reassign_lost(plan_: _GroupPlan) -> list[Target]:
     conditions = plan_.view.conditions
     found: list[Target] = []
     for item in _largest_first(plan_):
@@ -229,7 +229,7 @@
             continue
         orphan = not item.server or conditions.get(item.server) is Condition.LOST
         if orphan:
-            found += _replace_pieces(plan_, item, "owner lost")
+            found += _reassign_pieces(plan_, item, "owner lost")
     return found
 
 
@@ -242,26 +242,26 @@
         condition = conditions.get(item.server)
         allowed = condition is not Condition.UP or item.server in _eligible(plan_, item.range)
         if condition is Condition.DRAINING or not allowed and condition is Condition.UP:
-            found.append(_replace(plan_, item, "owner leaves or is not selected"))
+            found.append(_reassign(plan_, item, "owner leaves or is not selected"))
     return [target for target in found if target]
 
 
-def _special_keys(plan_: _GroupPlan) -> list[tuple[tuple[Draw, ...], int]]:
+def _selected_keys(plan_: _GroupPlan) -> list[tuple[tuple[Draw, ...], int]]:
     """Return keys whose labels match a draw with a key selector."""
-    special = [draw for draw in plan_.group.draws if draw.keys is not None]
-    if not special:
+    selecting = [draw for draw in plan_.group.draws if draw.keys is not None]
+    if not selecting:
         return []
     result = []
     for key, labels in plan_.view.key_labels.get(plan_.group.name, {}).items():
-        draws = tuple(draw for draw in special if matches(draw.keys, labels))
+        draws = tuple(draw for draw in selecting if matches(draw.keys, labels))
         if draws:
             result.append((draws, hash_key(plan_.group.name, key)))
     return result
 
 
-def _labelled_keys(plan_: _GroupPlan) -> list[Target]:
+def _move_labelled_keys(plan_: _GroupPlan) -> list[Target]:
     targets = []
-    for draws, key_hash in _special_keys(plan_):
+    for draws, key_hash in _selected_keys(plan_):
         span = SliceRange(plan_.group.name, key_hash, key_hash)
         owner = plan_.view.assignments.find(plan_.group.name, key_hash)
         among = plan_.capacities(draws)
@@ -269,9 +269,9 @@
             continue
         if any(moving.contains(key_hash) for moving in plan_.view.moving):
             continue
-        server = plan_.least_utilized(plan_.base, among)
+        server = plan_.least_utilized(plan_.base_load, among)
         if server is not None:
-            plan_.move_load(plan_.base, owner.server, server)
+            plan_.move_load(plan_.base_load, owner.server, server)
             targets.append(Target(span, server, "key label selects other servers"))
     return targets
 
