--- a/ploverhatch/consensus/actions.py
+++ b/ploverhatch/consensus/actions.py
@@ -1,4 +1,4 @@
-"""Roles, actions and errors of a replica, and a leader's state of its followers."""
+"""Roles, actions and errors of a replica, and the state that a leader keeps per follower."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -65,7 +65,7 @@
 class MembershipPendingError(Exception):
     """A change of the voters is refused, since an earlier entry is not committed yet.
 
-    That entry is either an earlier change of the voters or the first of this term.
+    That entry is either an earlier change of the voters or the first entry of this term.
     """
 
 
--- a/ploverhatch/consensus/replica.py
+++ b/ploverhatch/consensus/replica.py
@@ -6,10 +6,10 @@
 
 * Term, vote and log are kept in memory only. A restarted process has a new
   ``node_id`` and joins as a learner, so a node never votes twice in one term.
-* A leader may act on its leadership only while :meth:`Replica.has_lease` is true: a
-  majority answered a heartbeat that was sent within the leader lease, which is
-  shorter than the election timeout, and each voter refuses to elect another leader
-  for an election timeout after it heard from its leader.
+* A leader may act on its leadership only while :meth:`Replica.has_lease` is true,
+  that is, while a majority has acknowledged messages sent less than a leader lease
+  ago. The leader lease is shorter than the election timeout, and each voter refuses
+  to elect another leader for an election timeout after it heard from its leader.
 
 This module does no I/O and reads no clock: events carry ``now_ms`` (elapsed
 milliseconds), and actions are returned.
@@ -46,7 +46,7 @@
 
 @dataclass
 class Replica:
-    """A replica; ``state`` is the applied state and ``log`` holds the entries."""
+    """A replica; ``state`` is the applied state, and ``log`` holds the uncompacted entries."""
 
     node_id: str
     timing: ControlTiming
@@ -95,7 +95,7 @@
         return self.role is Role.LEADER
 
     def has_lease(self, now_ms: float) -> bool:
-        """Tell whether no other leader can exist at ``now_ms``."""
+        """Tell whether this replica leads and no other leader can exist at ``now_ms``."""
         if self.role is not Role.LEADER:
             return False
         acknowledged = sorted(
@@ -105,9 +105,9 @@
         return now_ms < quorum_ms + self.timing.leader_lease_ms
 
     def ready(self) -> bool:
-        """Tell whether a leader has applied an entry of its own term.
+        """Tell whether this replica leads and has applied an entry of its own term.
 
-        Before that its state may lack commands that earlier leaders committed.
+        Before that, its state may lack commands that earlier leaders committed.
         """
         return self.is_leader and self.state.index >= self._first_index_of_term
 
@@ -137,7 +137,7 @@
     # ---- events -------------------------------------------------------------
 
     def start(self, now_ms: float) -> list[Action]:
-        """Start the election timer; only a voter of the initial membership can use it."""
+        """Start the election timer, which has an effect only on voters."""
         self._reset_election(now_ms)
         return self._pop_actions()
 
@@ -158,7 +158,7 @@
         """Found the next epoch as a surviving voter of the last one.
 
         Entries that are not known to be committed are kept, since the dead leader may
-        have acknowledged them after the reply of this replica. They count as entries
+        have committed and acknowledged them after this replica stored them. They count as entries
         of the new epoch, and joining nodes receive them by snapshot, so that every
         replica computes the same tokens.
         """
@@ -169,7 +169,7 @@
         return self.bootstrap(membership, now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Run the actions that are due at ``now_ms``: elections, heartbeats, resignation."""
+        """Start an election, send heartbeats or step down, if that is due at ``now_ms``."""
         if self.role is Role.LEADER:
             self._tick_leader(now_ms)
         elif self.is_voter and now_ms >= self._election_due_ms:
@@ -226,7 +226,7 @@
     def propose_membership(
         self, voters: list[wire.Member], now_ms: float
     ) -> tuple[list[int], list[Action]]:
-        """Propose a change of the voters by at most one member.
+        """Propose a set of voters, which must differ from the current set by at most one member.
 
         :returns: the indices of the entries, and actions.
         :raises MembershipPendingError: an earlier change is not committed, or no entry of
@@ -431,7 +431,7 @@
             self._step_down(self.term, now_ms)
 
     def _lost_quorum(self, now_ms: float) -> bool:
-        """Tell whether less than a majority of the voters replied recently (check-quorum)."""
+        """Tell whether fewer than a majority of the voters replied recently (check-quorum)."""
         limit_ms = 2 * self.timing.election_ms
         replied = sum(
             node_id == self.node_id or self.since_reply_ms(node_id, now_ms) < limit_ms
@@ -446,7 +446,10 @@
     def _replicate(self, node_id: str, now_ms: float, heartbeat: bool = False) -> None:
         """Send missing entries to a follower.
 
-        Only one batch is in flight at a time; heartbeats are always sent.
+        Only one batch is in flight at a time; if no reply comes within a heartbeat
+        interval, its entries are sent again. Heartbeats are sent meanwhile without entries.
+        A follower that needs compacted entries gets a snapshot instead, and no heartbeats
+        while the snapshot is in flight.
         """
         progress = self._progress[node_id]
         stalled = now_ms - progress.sent_ms > self.timing.heartbeat_ms
--- a/ploverhatch/control/compiled.py
+++ b/ploverhatch/control/compiled.py
@@ -21,7 +21,7 @@
         self._source = ""
 
     def refresh(self, configuration: ConfigurationState) -> bool:
-        """Compile the configuration unless its generation is known; tell whether it did."""
+        """Adopt a configuration; return false if its generation is unchanged."""
         if configuration.generation == self._generation:
             return False
         self._generation = configuration.generation
--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -43,8 +43,8 @@
 NODE_STATUS_MAX_AGE_MS = 3000.0
 EXPIRE_CHECK_MS = 10_000.0
 FIRST_EPOCH = 1
-VOTER_TICKS = 3
-OBSERVER_TICKS = 10
+VOTER_TICKS = 3  # tick interval of a voter, in ticks of a leader
+OBSERVER_TICKS = 10  # tick interval of other nodes, in ticks of a leader
 
 
 @dataclass(frozen=True)
@@ -219,7 +219,7 @@
     ) -> list[CoreAction]:
         """Found the epoch that this node won by compare-and-set on the platform.
 
-        :param survived: whether this node voted in the last epoch and keeps its log.
+        :param survived: whether this node was a voter of the last epoch, whose log it keeps.
         """
         self._recorded = frozenset(item.node_id for item in membership.voters)
         if membership.epoch > FIRST_EPOCH:
@@ -253,7 +253,7 @@
         return self._pop_actions()
 
     def next_tick_ms(self) -> float:
-        """Return the milliseconds until the next tick; it grows from leader to observer."""
+        """Return the milliseconds until the next tick, which depend on the role of this node."""
         if self.replica.is_leader:
             return self._timing.tick_ms
         if self.replica.is_voter:
--- a/ploverhatch/membership/recovery.py
+++ b/ploverhatch/membership/recovery.py
@@ -5,7 +5,7 @@
 the old epoch can never commit again:
 
 * a voter of the old epoch may found one when so many other voters are *proven* dead
-  that no quorum is left, and no surviving voter has a longer log;
+  that no quorum is left, and no voter that answers has a newer log;
 * any other node may found one when every recorded voter is proven dead.
 
 A missing reply proves nothing: a voter that is cut off or frozen may return.
@@ -24,7 +24,7 @@
     """Result of a request to the address of a voter."""
 
     ALIVE = "alive"
-    ALIVE_AHEAD = "alive-ahead"  # its log is newer than the one of this node
+    ALIVE_AHEAD = "alive-ahead"  # its log is newer than that of this node
     ALIVE_SAME = "alive-same"  # it knows the same voters as this node
     REFUSED = "refused"  # nothing listens there, so the process is gone
     REPLACED = "replaced"  # another process answers there
@@ -66,8 +66,8 @@
         :param evidence: the evidence by node id of the voters.
         :param known_voters: the voters in the log of this node, if it is a voter; they may
             be newer than the record.
-        :returns: whether a new epoch may replace the one of the record. The evidence must
-            have allowed it for ``PROOF_SPAN_MS`` without interruption.
+        :returns: whether a new epoch may be founded. If there is a cell object, the evidence
+            must have allowed this for ``PROOF_SPAN_MS`` without interruption.
         """
         if self.record.version == 0:
             return True
@@ -85,7 +85,7 @@
             return dead >= set(recorded)
         if Evidence.ALIVE_AHEAD in evidence.values():
             return False
-        # A surviving voter that knows the same voters as this node does not decide by a
-        # quorum of the recorded ones.
+        # A living voter that knows the same voters as this node needs a quorum of these, so
+        # it cannot help a quorum of the recorded voters to commit.
         agreed = {node_id for node_id, found in evidence.items() if found is Evidence.ALIVE_SAME}
         return quorum_is_lost(known_voters, dead) and quorum_is_lost(recorded, dead | agreed)
--- a/ploverhatch/membership/voters.py
+++ b/ploverhatch/membership/voters.py
@@ -1,4 +1,4 @@
-"""Chooses the voters: one per zone, replaced as machines come and go.
+"""Chooses the voters: one per zone; a voter that fails or leaves is replaced.
 
 This module does no I/O and reads no clock.
 """
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True)
 class AddLearner:
-    """Step: start replicating to a node."""
+    """Action: start replicating to a node."""
 
     member: wire.Member
 
 
 @dataclass(frozen=True)
 class ChangeVoters:
-    """Step: commit a set of voters that differs in one member."""
+    """Action: commit a set of voters that differs from the current set by one member."""
 
     voters: tuple[wire.Member, ...]
 
@@ -65,7 +65,7 @@
 
 
 def choose_voters(view: VoterView) -> VoterAction:
-    """Return the next step towards the wanted number of healthy voters, or ``None``."""
+    """Return the next action towards the wanted number of healthy voters, or ``None``."""
     failing = [
         node_id
         for node_id in view.voters
--- a/ploverhatch/node/control.py
+++ b/ploverhatch/node/control.py
@@ -89,7 +89,7 @@
 class FoundCell:
     """This node won an epoch, of which it is the only voter.
 
-    ``survived`` tells whether it voted in the last epoch and keeps the log of that epoch.
+    ``survived`` tells whether it was a voter of the last epoch, whose log it keeps.
     """
 
     membership: wire.MembershipChange
@@ -260,9 +260,11 @@
         return next((item for item in voters if item.node_id == node_id), None)
 
     def _share_state(self) -> bool:
-        """Make the view use the state of the replica, once that state is as new.
+        """Make the view use the state of the replica, unless that state is older.
 
         The log of a learner may be behind the view, whose state must never become older.
+
+        :returns: whether the view uses the state of the replica.
         """
         mine, shown = self.replica.state, self._view.state
         if shown is mine:
--- a/ploverhatch/node/crash_guard.py
+++ b/ploverhatch/node/crash_guard.py
@@ -1,7 +1,7 @@
-"""Quarantines requests that crash back ends, by the crashes that this node observed.
+"""Quarantines requests that crash back ends, based on the crashes that this node observed.
 
 The decision is the same as in gateways (:mod:`ploverhatch.quarantine`). Nodes of a cell do
-not exchange their observations, so each node decides by its own.
+not exchange their observations, so each node decides on its own observations.
 """
 
 from collections.abc import Iterable
@@ -50,7 +50,7 @@
 
 
 class CrashGuard:
-    """Records the crashes of back ends that this node observed, and decides by them."""
+    """Records the crashes of back ends, and decides whether requests may be sent."""
 
     def __init__(self) -> None:
         self._ledger = CrashLedger()
@@ -58,11 +58,11 @@
         self._changed = Signal()
 
     def check(self, request: GuardedRequest, may_have_run: bool) -> None:
-        """Return when a request may be sent, after the trial of another copy if there is one.
+        """Wait until a request may be sent, that is, until no other copy of it is on trial.
 
         Once a back end has crashed while it ran a request, only one copy at a time is sent
-        until one is answered: otherwise all waiting copies would go to the next owner
-        together, and after its crash to a third.
+        until a copy is answered: otherwise all waiting copies would go to the next owner
+        together and, after its crash, to the owner after that.
 
         :raises RefusedError: the request is quarantined, or the trial of another copy
             takes longer than ``TRIAL_WAIT_MS``.
@@ -103,7 +103,7 @@
             self._changed.raise_()
 
     def note_crash(self, request: GuardedRequest, server: str, sent_ms: float) -> None:
-        """Note that the process of a back end had ended when its answer was missing."""
+        """Note that the process of a back end ended before it answered a request."""
         now_ms = elapsed_ms()
         self._ledger.expire(now_ms)
         LOG.warning(
--- a/ploverhatch/node/metrics.py
+++ b/ploverhatch/node/metrics.py
@@ -8,7 +8,7 @@
 
 
 class RouterMetrics:
-    """Counters of the request path."""
+    """Metrics of the request path."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         self._requests = Counter(
--- a/ploverhatch/node/observer.py
+++ b/ploverhatch/node/observer.py
@@ -1,8 +1,8 @@
 """Observer task: keeps the view up to date from the stream of a parent node.
 
 Parents and observers form a tree: a node that already feeds its maximum number of
-observers redirects a new one to them. So each node feeds a bounded number of observers,
-and lower levels of the tree cause no work at the leader.
+observers redirects a new observer to these. So each node feeds a bounded number of
+observers, and lower levels of the tree cause no work at the leader.
 """
 
 import random
@@ -95,7 +95,7 @@
                 return
 
     def _subscribe(self) -> bool:
-        """Subscribe to a parent, trying nodes of the own zone first."""
+        """Subscribe to a parent, trying nodes of the same zone first."""
         candidates = [
             item for item in self.known_members.values() if item.node_id != self._member.node_id
         ]
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -1,7 +1,7 @@
 """Platform task: applies the configuration of the store while this node leads.
 
 Only the leader of the cell watches the store. It also records the voters there, so that
-new nodes find the cell and a new epoch can be fenced off.
+new nodes find the cell and a node can found a new epoch by compare-and-set.
 """
 
 import json
--- a/ploverhatch/node/process.py
+++ b/ploverhatch/node/process.py
@@ -167,7 +167,7 @@
         self.admin_http.abort()
 
     def drain(self) -> bool:
-        """Shut down gracefully: hand over the cell duties, finish requests, then stop.
+        """Shut down gracefully: give up leadership and vote, finish requests, then stop.
 
         :returns: whether all requests in flight finished within their time limits.
         """
@@ -176,8 +176,8 @@
         self._hand_over()
         timing = self.settings.timing
         clean = self.http.drain(timing.drain_limit_ms / 1000, timing.drain_linger_ms / 1000)
-        # Requests that outlast the drain are answered with an unknown outcome: a caller whose
-        # connection was just closed would not learn even that.
+        # Requests that outlast the drain are answered with an unknown outcome: if only their
+        # connections were closed, the callers would not learn even that.
         given_up = self.router.end_under_way()
         answered = self.http.await_answers(FINAL_ANSWERS_LIMIT_S)
         settled = self.router.await_background_commits(BACKGROUND_COMMITS_LIMIT_S)
@@ -237,7 +237,7 @@
         )
 
     def _known_voters(self) -> list[wire.Member]:
-        """Return the voters by the log of this node if it votes, else by the view."""
+        """Return the voters named by the log of this node if it is a voter, else by its view."""
         replica = self.control.replica
         if replica.is_voter:
             return list(replica.voters.values())
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -98,7 +98,7 @@
 class Call:
     """A request of a caller, matched to a route.
 
-    ``deadline_ms`` ends the request, and ``give_up_ms`` the waiting before it is sent.
+    The request ends at ``deadline_ms``, and the wait before it is sent at ``give_up_ms``.
     """
 
     route: Route
@@ -258,7 +258,7 @@
         )
 
     def _repeat(self, outcome: ClaimResult, record: wire.RecordState) -> tuple[HttpReply, Result]:
-        """Answer a repeat of a request whose key is already claimed."""
+        """Answer a request whose idempotency key is already claimed."""
         if outcome is ClaimResult.MISMATCH:
             raise RefusedError(results.KEY_REUSED)
         if outcome is ClaimResult.LOST:
@@ -469,8 +469,10 @@
             cancelled = upstream.client.cancel(request.request_id, CANCEL_TIMEOUT_S)
         except (ConnectionError, ValueError, KeyError):
             cancelled = False
-            # The error of the cancel call is no evidence of a crash: the call may have used a
-            # kept connection that broke with the process just after that of the request.
+            # Only a refused new connection proves that the process has ended. The error of the
+            # cancel call does not: a persistent connection also breaks when the process ends,
+            # possibly later than the connection of the request, and its failure does not show
+            # whether a process still listens.
             if upstream.client.has_ended(CANCEL_TIMEOUT_S):
                 self._crash_guard.note_crash(call.guarded, upstream.spec.name, sent_ms)
         if cancelled:
--- a/ploverhatch/node/upstreams.py
+++ b/ploverhatch/node/upstreams.py
@@ -39,7 +39,7 @@
         self.clock_read_ms = received_ms
 
     def not_after(self, budget_ms: float, now_ms: float) -> float:
-        """Return the clock value of the back end ``budget_ms`` from now, or an earlier one."""
+        """Return the clock value of the back end ``budget_ms`` from now, or an earlier value."""
         return self.clock_ms + (now_ms - self.clock_read_ms) + budget_ms
 
     def retry_after_s(self) -> float:
@@ -80,7 +80,7 @@
     def get(self, server: str) -> Upstream | None:
         """Return the upstream of a back end, or ``None`` if it is unknown.
 
-        It is created anew when the address, the connections or the slots change.
+        A new upstream is created when the address or the number of connections or slots changes.
         """
         spec = self._view.servers.get(server)
         known = self._upstreams.get(server)
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -161,10 +161,10 @@
                 self.feeds.pop(connection, None)
 
     def _previous_streamed_index(self, before: int) -> int:
-        """Return the index of the public entry before the newest ``before`` public ones.
+        """Return the index of the streamed entry before the newest ``before`` streamed entries.
 
         Record entries are not sent to observers, so for an observer each entry follows the
-        previous public entry.
+        previous streamed entry.
         """
         position = len(self._history) - before - 1
         return int(self._history[position].index) if position >= 0 else 0
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -85,7 +85,7 @@
     ) -> None:
         """Begin a leadership.
 
-        :param founding: whether this leadership founds an epoch after an earlier one
+        :param founding: whether this leadership founds an epoch after an earlier epoch
             was lost. The log may lack the last assignments of the lost epoch, so the
             leader grants nothing until every lease has expired, and then assigns all
             slices again with tokens of the new epoch.
@@ -237,8 +237,8 @@
     def _awaits_first_replies(self) -> bool:
         """Tell whether a configured server has neither replied nor failed a call yet.
 
-        A new group placed before that would have all its slices on the few servers
-        that replied first.
+        A group that is placed while there is such a server would have all its slices
+        on the few servers that replied first.
         """
         return any(
             not self.sessions[name].boot_id and not self.sessions[name].failures
@@ -300,7 +300,7 @@
         self.moves[target.range] = Move(target.server, source, target.reason)
 
     def _ready_assignments(self, now_ms: float) -> wire.AssignmentChange:
-        """Return the moves whose old owner can no longer execute, as assignments."""
+        """Return, as assignments, the moves whose old owner no longer executes requests."""
         items = []
         for span, move in self.moves.items():
             if move.proposed or not self._source_released(span, move, now_ms):
--- a/ploverhatch/ownership/placement.py
+++ b/ploverhatch/ownership/placement.py
@@ -41,8 +41,8 @@
     moves_per_round: int = 8
     move_interval_ms: float = 10_000.0
     imbalance_target: float = 1.08
-    min_gain_fraction: float = 0.02  # cut of the highest utilization, of the mean
-    noise_deviations: float = 3.5  # a smaller excess may be random
+    min_gain_fraction: float = 0.02  # cut of the highest utilization, relative to the mean
+    noise_deviations: float = 3.5  # standard deviations; a smaller excess may be random
     smoothing_ms: float = 8000.0  # time constant of the measured rates
     hot_key_fraction: float = 0.25  # of the mean load per server
 
@@ -84,7 +84,7 @@
         self.general_draws = tuple(draw for draw in group.draws if draw.keys is None)
         self.slices = view.assignments.group(group.name)
         known = sum(view.loads.get((group.name, item.range.first), 0.0) for item in self.slices)
-        # A slice without measured load gets a small load, so that such slices are spread.
+        # A small base load per slice spreads the slices without measured load as well.
         self.base_load = max(known, 1.0) * 0.02 / max(len(self.slices), group.slices, 1)
         self.capacity = self.capacities(self.general_draws)
         self.load: dict[str, float] = defaultdict(float)
@@ -163,7 +163,10 @@
 
 
 def _eligible(plan_: _GroupPlan, span: SliceRange) -> dict[str, float]:
-    """Return the capacities of the servers that the labels of a slice's key allow."""
+    """Return the capacities of the servers that may own a range.
+
+    Only a range of a single key may be restricted, by the labels of that key.
+    """
     if span.first != span.last:
         return plan_.capacity
     for draws, key_hash in _selected_keys(plan_):
@@ -217,7 +220,7 @@
 
 
 def _largest_first(plan_: _GroupPlan) -> list[Slice]:
-    """Return the slices by falling load; placing small ones last evens out the load."""
+    """Return the slices by descending load; placing small ones last evens out the load."""
     return sorted(plan_.slices, key=lambda item: -plan_.slice_load(item.range))
 
 
@@ -247,7 +250,7 @@
 
 
 def _selected_keys(plan_: _GroupPlan) -> list[tuple[tuple[Draw, ...], int]]:
-    """Return keys whose labels match a draw with a key selector."""
+    """Return the hashes of the keys that draws with a key selector match, with these draws."""
     selecting = [draw for draw in plan_.group.draws if draw.keys is not None]
     if not selecting:
         return []
@@ -353,7 +356,7 @@
 ) -> list[tuple[SliceRange, float, str]]:
     """Return the ranges that may move: whole slices, halves of slices and hot keys.
 
-    Each range comes with its load in requests per second and the reason of the move.
+    Each range comes with its load in requests per second and the reason for the move.
     """
     view = plan_.view
     hot = _hot_keys(plan_, limits)
--- a/ploverhatch/ownership/sessions.py
+++ b/ploverhatch/ownership/sessions.py
@@ -33,7 +33,7 @@
 
 @dataclass
 class Move:
-    """A change of the owner of one range that is not complete."""
+    """An incomplete change of the owner of one range."""
 
     target: str
     source: str
@@ -54,7 +54,7 @@
 
 
 def drop_pending(session: ServerSession, span: SliceRange) -> None:
-    """Remove a range from the grants of a session that are not delivered yet."""
+    """Remove a range from the undelivered grants of a session."""
     kept: dict[SliceRange, int] = {}
     for pending, token in session.grants.items():
         for part in subtract(pending, [span]):
