--- a/ploverhatch/consensus/replica.py
+++ b/ploverhatch/consensus/replica.py
@@ -600,7 +600,7 @@
     def _apply_committed(self) -> bool:
         """Apply entries up to the commit index.
 
-        :returns: whether one of them must be sent to observers.
+        :returns: whether an applied entry must be sent to observers.
         """
         any_streamed = False
         pending = self.commit_index - self.state.index
--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -67,7 +67,7 @@
         self._watch: RecoveryWatch | None = None
 
     def find_cell(self) -> list[wire.Member]:
-        """Ask all known addresses once and return the voters of the running cell.
+        """Ask the known addresses in turn and return the voters of the running cell.
 
         The list is empty if no cell was found. In that case this node may found an epoch,
         of which it is the only voter.
--- a/ploverhatch/node/crash_guard.py
+++ b/ploverhatch/node/crash_guard.py
@@ -77,6 +77,8 @@
     def allows(self, request: GuardedRequest, may_have_run: bool) -> bool:
         """Tell whether a request may be sent now; false while another copy is on trial.
 
+        A request that may be sent only as a trial becomes the copy on trial.
+
         :raises RefusedError: the request is quarantined.
         """
         if not self._ledger.may_contain(request.short_digest):
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -140,7 +140,7 @@
     # ---- cell object ----------------------------------------------------------
 
     def _cell_loop(self) -> None:
-        """Write the voters to the cell object when it differs from them."""
+        """Write the voters to the cell object if it differs and names no newer epoch."""
         membership = self._view.state.membership
         current = self._store.get(KIND_CELL, self._cell)
         if current is not None and int(current.body.get("epoch", 0)) > membership.epoch:
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -347,7 +347,7 @@
     def _attempt_or_answer_lost(
         self, call: Call, owner: Slice, upstream: Upstream, state: RequestState
     ) -> tuple[AttemptEnd | None, BackendReply | None]:
-        """Run one attempt; if an earlier one may have run, refusals become ANSWER_LOST."""
+        """Run one attempt; refusals become ANSWER_LOST if an earlier attempt may have run."""
         try:
             return self._attempt(call, owner, upstream, state.may_have_run)
         except RefusedError as error:
@@ -390,7 +390,8 @@
     ) -> tuple[AttemptEnd | None, BackendReply | None]:
         """Run one attempt; the first result is ``None`` if a back end answered.
 
-        :raises RefusedError: no slot was free in time, or the deadline has passed.
+        :raises RefusedError: the queue is full, no slot was free in time, the request is
+            quarantined, or the deadline has passed.
         """
         self.meter.count(call.route.group, owner.range.first, call.key_hash)
         ticket = self._upstreams.acquire_slot(upstream, call.route.group, call.give_up_ms)
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -82,7 +82,8 @@
     def apply_update(self, update: wire.StreamUpdate) -> bool:
         """Apply a batch of entries from the stream.
 
-        :returns: false if entries are missing, so that a new subscription is needed.
+        :returns: false if entries are missing or the epoch differs, so that a new subscription
+            is needed.
         """
         if update.epoch != self.state.epoch or update.previous_index > self.state.index:
             return False
--- a/ploverhatch/ownership/placement.py
+++ b/ploverhatch/ownership/placement.py
@@ -59,8 +59,8 @@
     servers: dict[str, ServerSpec]
     conditions: dict[str, Condition]
     assignments: AssignmentTable
-    loads: dict[tuple[str, int], float] = field(default_factory=dict)  # (group, first)
-    key_loads: dict[tuple[str, int], float] = field(default_factory=dict)  # (group, hash)
+    loads: dict[tuple[str, int], float] = field(default_factory=dict)  # by (group, first hash)
+    key_loads: dict[tuple[str, int], float] = field(default_factory=dict)  # by (group, hash)
     key_labels: dict[str, dict[str, dict[str, str]]] = field(default_factory=dict)
     moved_ms: dict[SliceRange, float] = field(default_factory=dict)
     moving: frozenset[SliceRange] = frozenset()
