--- a/ploverhatch/membership/voters.py
+++ b/ploverhatch/membership/voters.py
@@ -1,4 +1,4 @@
-"""Chooses the voters: one per zone, replaced as machines come and go.
+"""Chooses the voters: one per zone; a voter that fails or leaves is replaced.
 
 This module does no I/O and reads no clock.
 """
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True)
 class AddLearner:
-    """Step: start replicating to a node."""
+    """Action: start replicating to a node."""
 
     member: wire.Member
 
 
 @dataclass(frozen=True)
 class ChangeVoters:
-    """Step: commit a set of voters that differs in one member."""
+    """Action: commit a set of voters that differs from the current set by one member."""
 
     voters: tuple[wire.Member, ...]
 
@@ -65,7 +65,7 @@
 
 
 def choose_voters(view: VoterView) -> VoterAction:
-    """Return the next step towards the wanted number of healthy voters, or ``None``."""
+    """Return the next action towards the wanted number of healthy voters, or ``None``."""
     failing = [
         node_id
         for node_id in view.voters
@@ -75,9 +75,9 @@
     if len(view.voters) > view.wanted:
         return _remove(view, failing or _redundant_voters(view, healthy))
     if len(healthy) < view.wanted:
-        step = _add_voter(view, healthy)
-        if step is not None:
-            return step
+        action = _add_voter(view, healthy)
+        if action is not None:
+            return action
     leaving = [node_id for node_id in failing if node_id not in view.lost]
     if leaving and len(healthy) >= 1:
         return _remove(view, leaving)
@@ -114,15 +114,15 @@
 
 
 def _remove(view: VoterView, removable: list[str]) -> VoterAction:
-    others = sorted(removable, key=lambda node_id: node_id == view.leader_id)
-    if not others:
+    leader_last = sorted(removable, key=lambda node_id: node_id == view.leader_id)
+    if not leader_last:
         return None
-    gone = others[0]
-    return _change(view, [member for member in view.voters.values() if member.node_id != gone])
+    removed = leader_last[0]
+    return _change(view, [member for member in view.voters.values() if member.node_id != removed])
 
 
 def _change(view: VoterView, voters: list[wire.Member]) -> VoterAction:
-    names = [member.node_id for member in voters]
-    if not recovery_stays_safe(names, view.recorded):
+    voter_ids = [member.node_id for member in voters]
+    if not recovery_stays_safe(voter_ids, view.recorded):
         return None
     return ChangeVoters(tuple(voters))
--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -67,7 +67,7 @@
         self._watch: RecoveryWatch | None = None
 
     def find_cell(self) -> list[wire.Member]:
-        """Ask all known addresses once and return the voters of the running cell.
+        """Ask the known addresses in turn and return the voters of the running cell.
 
         The list is empty if no cell was found. In that case this node may found an epoch,
         of which it is the only voter.
@@ -153,9 +153,9 @@
             if node_id != self._member.node_id
         }
         if self._watch.observe(evidence, tuple(known), elapsed_ms()):
-            self._found(record, cell_record)
+            self._found_epoch(record, cell_record)
 
-    def _found(self, record: StoredObject, cell_record: CellRecord) -> None:
+    def _found_epoch(self, record: StoredObject, cell_record: CellRecord) -> None:
         membership = wire.MembershipChange(epoch=cell_record.epoch + 1, voters=[self._member])
         operation = f"found/{self._member.node_id}/{membership.epoch}"
         try:
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -1,7 +1,7 @@
 """Platform task: applies the configuration of the store while this node leads.
 
 Only the leader of the cell watches the store. It also records the voters there, so that
-new nodes find the cell and a new epoch can be fenced off.
+new nodes find the cell and a node can found a new epoch by compare-and-set.
 """
 
 import json
@@ -107,7 +107,7 @@
 
     def _watch_loop(self) -> None:
         if not self._listed:
-            self._take_over(self._store.list(), replace=True)
+            self._commit_objects(self._store.list(), replace=True)
             self._listed = True
             return
         after = self._view.state.configuration.generation
@@ -117,9 +117,9 @@
             self._listed = False
             return
         if changes.revision > after:
-            self._take_over(changes, replace=False)
+            self._commit_objects(changes, replace=False)
 
-    def _take_over(self, listed: ObjectList, replace: bool) -> None:
+    def _commit_objects(self, listed: ObjectList, replace: bool) -> None:
         """Commit the objects of a list or watch result at its revision.
 
         The cell object is left out, since the cell itself writes it.
@@ -140,7 +140,7 @@
     # ---- cell object ----------------------------------------------------------
 
     def _cell_loop(self) -> None:
-        """Write the voters to the cell object when it differs from them."""
+        """Write the voters to the cell object if it differs and names no newer epoch."""
         membership = self._view.state.membership
         current = self._store.get(KIND_CELL, self._cell)
         if current is not None and int(current.body.get("epoch", 0)) > membership.epoch:
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -82,7 +82,8 @@
     def apply_update(self, update: wire.StreamUpdate) -> bool:
         """Apply a batch of entries from the stream.
 
-        :returns: false if entries are missing, so that a new subscription is needed.
+        :returns: false if entries are missing or the epoch differs, so that a new subscription
+            is needed.
         """
         if update.epoch != self.state.epoch or update.previous_index > self.state.index:
             return False
@@ -151,7 +152,7 @@
         """Encode an update once and queue it for every observer."""
         update = wire.StreamUpdate(
             epoch=self.state.epoch,
-            previous_index=self._previous_public_index(before=len(entries)),
+            previous_index=self._previous_streamed_index(before=len(entries)),
             through_index=through,
             entries=entries,
         )
@@ -160,11 +161,11 @@
             if not connection.send(payload):
                 self.feeds.pop(connection, None)
 
-    def _previous_public_index(self, before: int) -> int:
-        """Return the index of the public entry before the newest ``before`` public ones.
+    def _previous_streamed_index(self, before: int) -> int:
+        """Return the index of the streamed entry before the newest ``before`` streamed entries.
 
         Record entries are not sent to observers, so for an observer each entry follows the
-        previous public entry.
+        previous streamed entry.
         """
         position = len(self._history) - before - 1
         return int(self._history[position].index) if position >= 0 else 0
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -85,7 +85,7 @@
     ) -> None:
         """Begin a leadership.
 
-        :param founding: whether this leadership founds an epoch after an earlier one
+        :param founding: whether this leadership founds an epoch after an earlier epoch
             was lost. The log may lack the last assignments of the lost epoch, so the
             leader grants nothing until every lease has expired, and then assigns all
             slices again with tokens of the new epoch.
@@ -96,7 +96,7 @@
         self._term = term
         self._state = state
         self._limits = limits or PlacementLimits()
-        self._lease_floor_ms = now_ms + timing.lease_bound_ms
+        self._initial_lease_until_ms = now_ms + timing.lease_bound_ms
         self._sequence = 0
         self._rebalance_due_ms = now_ms + REBALANCE_MS
         self._policy: PolicyTable | None = None
@@ -121,7 +121,9 @@
         self._specs = specs
         owners = {item.server for item in self._state.assignments if item.server}
         for name in sorted(set(specs) | owners):
-            self.sessions.setdefault(name, ServerSession(self._lease_floor_ms, due_ms=now_ms))
+            self.sessions.setdefault(
+                name, ServerSession(self._initial_lease_until_ms, due_ms=now_ms)
+            )
 
     def note_machines_leaving(self, servers: Iterable[str]) -> None:
         """Note which servers the machine list of the platform shows as leaving."""
@@ -235,8 +237,8 @@
     def _awaits_first_replies(self) -> bool:
         """Tell whether a configured server has neither replied nor failed a call yet.
 
-        A new group placed before that would have all its slices on the few servers
-        that replied first.
+        A group that is placed while there is such a server would have all its slices
+        on the few servers that replied first.
         """
         return any(
             not self.sessions[name].boot_id and not self.sessions[name].failures
@@ -298,7 +300,7 @@
         self.moves[target.range] = Move(target.server, source, target.reason)
 
     def _ready_assignments(self, now_ms: float) -> wire.AssignmentChange:
-        """Return the moves whose old owner can no longer execute, as assignments."""
+        """Return, as assignments, the moves whose old owner no longer executes requests."""
         items = []
         for span, move in self.moves.items():
             if move.proposed or not self._source_released(span, move, now_ms):
@@ -320,7 +322,7 @@
     def _renew_tokens(self, now_ms: float) -> wire.AssignmentChange:
         """Return all slices once, to be committed again with tokens of the new epoch."""
         change = wire.AssignmentChange()
-        if now_ms < self._lease_floor_ms or self._renewal_proposed:
+        if now_ms < self._initial_lease_until_ms or self._renewal_proposed:
             return change
         self._renewal_proposed = True
         change.slices = [
@@ -402,7 +404,7 @@
 
     def _queue_grant(self, server: str, span: SliceRange, token: int, now_ms: float) -> None:
         session = self.sessions.setdefault(
-            server, ServerSession(self._lease_floor_ms, due_ms=now_ms)
+            server, ServerSession(self._initial_lease_until_ms, due_ms=now_ms)
         )
         session.grants[span] = token
         session.due_ms = now_ms
