--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -62,14 +62,14 @@
         accepted_s = time.monotonic()
         wanted = answer.json()["version"]
 
-        def shown(node, wanted=wanted):
+        def await_version(node, wanted=wanted):
             while True:
                 found = cell.admin(node, "GET", path)
                 if found.status == 200 and found.json()["version"] >= wanted:
                     return
                 gevent.sleep(0.001)
 
-        gevent.joinall([gevent.spawn(shown, node) for node in cell.nodes])
+        gevent.joinall([gevent.spawn(await_version, node) for node in cell.nodes])
         spans.append((time.monotonic() - accepted_s) * 1000)
     return {"median_ms": round(statistics.median(spans), 1), "worst_ms": round(max(spans), 1)}
 
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -52,7 +52,7 @@
 TAIL_SHARE, TAIL_FACTOR = 0.01, 5.0  # fraction of requests that take that many times as long
 TICK_MS = 50.0
 REPORT_MS = 300.0
-READ_MS = 150.0
+ESTIMATE_MS = 150.0
 STORE_MS = 8.0  # time to write a map
 CALL_MS = 4.0  # round trip of a call to a server
 RELAY_MS = 35.0  # delay until nodes know of a grant
@@ -173,7 +173,7 @@
         self._noise = random.Random(scenario.seed + 1)
         self._noisy: dict[tuple[str, int], bool] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._tickets = itertools.count()
+        self._sequence = itertools.count()
         self._sigma = math.sqrt(math.log(1 + scenario.spread**2))
         servers = [self._server(number) for number in range(scenario.servers)]
         self._servers = {server.record.server_id: server for server in servers}
@@ -230,7 +230,7 @@
         self.now_ms = end_ms
 
     def _later(self, delay_ms: float, event: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._tickets), event))
+        heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._sequence), event))
 
     def _every(self, period_ms: float, event: Callable[[], None]) -> None:
         def run() -> None:
@@ -399,7 +399,7 @@
     def _tick(self) -> None:
         records = [server.record for server in self._servers.values()]
         estimate = self._estimate
-        if estimate is None or self.now_ms - estimate.taken_ms >= READ_MS:
+        if estimate is None or self.now_ms - estimate.taken_ms >= ESTIMATE_MS:
             estimate = load_estimate.estimate(
                 SERVICE, records, self._core, self._load, self._times, self.now_ms
             )
--- a/ploverhatch/experiment/slots_world.py
+++ b/ploverhatch/experiment/slots_world.py
@@ -107,7 +107,7 @@
             f"s{number}": self._server(number, zone) for number, zone in self._numbered_zones()
         }
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._tickets = itertools.count()
+        self._sequence = itertools.count()
         self._sigma = math.sqrt(math.log(1 + scenario.spread**2))
 
     def _numbered_zones(self) -> list[tuple[int, str]]:
@@ -124,7 +124,7 @@
 
     def later(self, delay_ms: float, event: Callable[[], None]) -> None:
         """Schedule an event after a delay."""
-        heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._tickets), event))
+        heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._sequence), event))
 
     def run(self, handle: Callable[[Request], None]) -> Tally:
         """Run the scenario and return its tally.
--- a/ploverhatch/simulation/checker.py
+++ b/ploverhatch/simulation/checker.py
@@ -29,35 +29,35 @@
 
     violations: list[str] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
-    _open: dict[tuple[str, int], list[Run]] = field(default_factory=dict)
-    _highest: dict[tuple[str, int], int] = field(default_factory=dict)
-    _keys_run: dict[str, str] = field(default_factory=dict)
+    _running: dict[tuple[str, int], list[Run]] = field(default_factory=dict)
+    _highest_tokens: dict[tuple[str, int], int] = field(default_factory=dict)
+    _request_ids: dict[str, str] = field(default_factory=dict)
     _entries: dict[tuple[int, int], tuple[int, int, bytes]] = field(default_factory=dict)
     _generations: dict[str, int] = field(default_factory=dict)
-    _refused: set[str] = field(default_factory=set)
+    _not_run: set[str] = field(default_factory=set)
     _leaders: dict[tuple[int, int], str] = field(default_factory=dict)
 
     def started(self, run: Run) -> None:
         """Note that a server started to execute a request."""
         self.runs.append(run)
-        for other in self._open.get(run.key, []):
+        for other in self._running.get(run.key, []):
             if other.boot_id != run.boot_id:
-                self._fault(run, f"key {run.key} runs on {other.server} and {run.server}")
-        if run.token < self._highest.get(run.key, 0):
-            self._fault(run, f"key {run.key} runs under an older token on {run.server}")
-        self._highest[run.key] = max(run.token, self._highest.get(run.key, 0))
-        self._open.setdefault(run.key, []).append(run)
+                self._add_violation(run, f"key {run.key} runs on {other.server} and {run.server}")
+        if run.token < self._highest_tokens.get(run.key, 0):
+            self._add_violation(run, f"key {run.key} runs under an older token on {run.server}")
+        self._highest_tokens[run.key] = max(run.token, self._highest_tokens.get(run.key, 0))
+        self._running.setdefault(run.key, []).append(run)
         if run.idempotency_key:
-            earlier = self._keys_run.setdefault(run.idempotency_key, run.request_id)
+            earlier = self._request_ids.setdefault(run.idempotency_key, run.request_id)
             if earlier != run.request_id:
-                self._fault(run, f"{run.idempotency_key} ran twice")
-        if run.request_id in self._refused:
-            self._fault(run, f"{run.request_id} ran after it was answered not-run")
+                self._add_violation(run, f"{run.idempotency_key} ran twice")
+        if run.request_id in self._not_run:
+            self._add_violation(run, f"{run.request_id} ran after it was answered not-run")
 
     def ended(self, run: Run, now_ms: float) -> None:
         """Note that an execution ended, or that its server was killed or frozen."""
         run.ended_ms = now_ms
-        running = self._open.get(run.key, [])
+        running = self._running.get(run.key, [])
         if run in running:
             running.remove(run)
 
@@ -66,7 +66,7 @@
         ran = {run.request_id for run in self.runs} & set(request_ids)
         if ran:
             self.violations.append(f"{now_ms:.1f}: {sorted(ran)} ran, answered not-run")
-        self._refused.update(request_ids)
+        self._not_run.update(request_ids)
 
     def committed(self, node: str, epoch: int, entry: wire.LogEntry, now_ms: float) -> None:
         """Note that a node applied a committed entry."""
@@ -91,5 +91,5 @@
             )
         self._generations[process] = max(known, generation)
 
-    def _fault(self, run: Run, sentence: str) -> None:
+    def _add_violation(self, run: Run, sentence: str) -> None:
         self.violations.append(f"{run.started_ms:.1f}: {sentence}")
--- a/ploverhatch/simulation/cluster.py
+++ b/ploverhatch/simulation/cluster.py
@@ -148,16 +148,16 @@
 
     # ---- lookups of routers ------------------------------------------------------------
 
-    def supposed_leader(self, chooser: random.Random) -> SimulatedNode | None:
+    def supposed_leader(self, rng: random.Random) -> SimulatedNode | None:
         """Return a node that considers itself the leader, or sometimes any node."""
         leaders = [node for node in self.nodes.values() if node.core.replica.is_leader]
-        if leaders and chooser.random() < 0.9:
-            return chooser.choice(leaders)
-        return chooser.choice(list(self.nodes.values()))
+        if leaders and rng.random() < 0.9:
+            return rng.choice(leaders)
+        return rng.choice(list(self.nodes.values()))
 
-    def look_up(self, key: tuple[str, int], chooser: random.Random) -> tuple[str, int] | None:
+    def look_up(self, key: tuple[str, int], rng: random.Random) -> tuple[str, int] | None:
         """Return the owner and token of a key as known to a random node."""
-        node = chooser.choice(list(self.nodes.values()))
+        node = rng.choice(list(self.nodes.values()))
         found = node.core.replica.state.assignments.find(*key)
         return (found.server, found.token) if found and found.server else None
 
@@ -166,10 +166,10 @@
     def _next_request(self) -> None:
         self.world.after(REQUEST_MS, self._next_request)
         self._requests += 1
-        chooser = self.world.random
-        once = chooser.random() < 0.5
+        rng = self.world.random
+        once = rng.random() < 0.5
         group = "permits" if once else "reads"
-        key = (group, hash_key(group, f"k{chooser.randrange(KEYS_PER_GROUP)}"))
+        key = (group, hash_key(group, f"k{rng.randrange(KEYS_PER_GROUP)}"))
         self._send(key, f"once-{self._requests}" if once else "", MAX_REPEATS)
 
     def all_keys(self) -> list[tuple[str, int]]:
--- a/ploverhatch/simulation/keys/cell.py
+++ b/ploverhatch/simulation/keys/cell.py
@@ -194,7 +194,7 @@
         self, node: SimKeyNode, action: SendRelease, answer: Callable[[CallOutcome], None]
     ) -> None:
         """Deliver a release to a server; a fraction ``late_fraction`` gets no answer in time."""
-        name = action.range_id
+        span = action.range_id
         answered: list[CallOutcome] = []
 
         def reply(outcome: CallOutcome) -> None:
@@ -210,7 +210,7 @@
                 return
             lost = self.world.random.random() < self.late_fraction
             done = (lambda: None) if lost else (lambda: reply(CallOutcome.DONE))
-            reached.release(name.first, name.last, name.token, done)
+            reached.release(span.first, span.last, span.token, done)
             self.world.after(2000.0, lambda: reply(CallOutcome.NO_ANSWER))
 
         self.world.after(self.world.random.uniform(0.2, 2.0), arrive)
--- a/ploverhatch/simulation/keys/faults.py
+++ b/ploverhatch/simulation/keys/faults.py
@@ -22,39 +22,39 @@
 STOP_MS = (2600.0, 5400.0)  # from the signal of a planned stop to the exit of the process
 
 
-def _some_node(cell: KeyCell) -> str:
+def _random_node(cell: KeyCell) -> str:
     return cell.world.random.choice(sorted(cell.nodes))
 
 
-def _leader_or_some(cell: KeyCell) -> str:
-    return cell.leader() or _some_node(cell)
+def _leader_or_random(cell: KeyCell) -> str:
+    return cell.leader() or _random_node(cell)
 
 
-def _some_server(cell: KeyCell) -> str:
+def _random_server(cell: KeyCell) -> str:
     return cell.world.random.choice(
         sorted(incarnation for incarnation, server in cell.servers.items() if server.up)
     )
 
 
-def _nothing() -> None:
+def _no_heal() -> None:
     return None
 
 
 def kill_node(cell: KeyCell) -> Heal:
     """Kill a node."""
-    cell.kill_node(_some_node(cell), cell.world.random.uniform(300, 4000))
-    return _nothing
+    cell.kill_node(_random_node(cell), cell.world.random.uniform(300, 4000))
+    return _no_heal
 
 
 def kill_leader(cell: KeyCell) -> Heal:
     """Kill the leader."""
-    cell.kill_node(_leader_or_some(cell), cell.world.random.uniform(300, 4000))
-    return _nothing
+    cell.kill_node(_leader_or_random(cell), cell.world.random.uniform(300, 4000))
+    return _no_heal
 
 
 def stop_leader(cell: KeyCell) -> Heal:
     """Start a planned stop of the leader; its process exits later and starts again."""
-    name = _leader_or_some(cell)
+    name = _leader_or_random(cell)
     node = cell.nodes[name]
     node.stop()
 
@@ -63,26 +63,26 @@
             cell.kill_node(name, cell.world.random.uniform(300, 1500))
 
     cell.world.after(cell.world.random.uniform(*STOP_MS), end)
-    return _nothing
+    return _no_heal
 
 
 def kill_all(cell: KeyCell) -> Heal:
     """Kill all nodes at once."""
     for name in list(cell.nodes):
         cell.kill_node(name, cell.world.random.uniform(300, 1500))
-    return _nothing
+    return _no_heal
 
 
 def freeze_leader(cell: KeyCell) -> Heal:
     """Pause the leader and resume it later."""
-    node = cell.nodes[_leader_or_some(cell)]
+    node = cell.nodes[_leader_or_random(cell)]
     node.freeze()
     return node.thaw
 
 
 def suspend_leader(cell: KeyCell) -> Heal:
     """Suspend the leader's machine, which stops its timers too."""
-    node = cell.nodes[_leader_or_some(cell)]
+    node = cell.nodes[_leader_or_random(cell)]
     node.suspend()
     return node.thaw
 
@@ -102,14 +102,14 @@
 
 def cut_leader_from_store(cell: KeyCell) -> Heal:
     """Cut the leader off from the store."""
-    name = _leader_or_some(cell)
+    name = _leader_or_random(cell)
     cell.store.cut.add(name)
     return lambda: cell.store.cut.discard(name)
 
 
 def cut_leader_from_servers(cell: KeyCell) -> Heal:
     """Cut the leader off from all servers."""
-    node = cell.nodes[_leader_or_some(cell)]
+    node = cell.nodes[_leader_or_random(cell)]
     node.cut_from_servers = True
 
     def heal() -> None:
@@ -152,21 +152,21 @@
 
 def restart_server(cell: KeyCell) -> Heal:
     """Crash a server; a server with a new name starts at its address."""
-    server = cell.servers[_some_server(cell)]
+    server = cell.servers[_random_server(cell)]
     server.crash()
-    delay = cell.world.random.uniform(50, 4000)
-    cell.world.after(delay, cell.server_starter(server.port))
-    return _nothing
+    delay_ms = cell.world.random.uniform(50, 4000)
+    cell.world.after(delay_ms, cell.server_starter(server.port))
+    return _no_heal
 
 
 def rebirth(cell: KeyCell) -> Heal:
     """Crash a server and restart it under its name, twice; its entry in the store is late."""
-    server = cell.servers[_some_server(cell)]
-    name, chance = registered_name(server.incarnation), cell.world.random
+    server = cell.servers[_random_server(cell)]
+    name, rng = registered_name(server.incarnation), cell.world.random
 
     def crash(crashed: SimKeyServer) -> float:
-        down_ms, entry_ms = chance.uniform(50, 2000), chance.uniform(0, MAX_ENTRY_DELAY_MS)
-        port = crashed.port if chance.random() < 0.5 else crashed.port + 100
+        down_ms, entry_ms = rng.uniform(50, 2000), rng.uniform(0, MAX_ENTRY_DELAY_MS)
+        port = crashed.port if rng.random() < 0.5 else crashed.port + 100
         cell.restart_under_same_name(crashed, port, down_ms, entry_ms)
         return down_ms + entry_ms
 
@@ -179,8 +179,8 @@
         if incarnations[-1].up:
             crash(incarnations[-1])
 
-    cell.world.after(crash(server) + chance.uniform(100, 6000), crash_again)
-    return _nothing
+    cell.world.after(crash(server) + rng.uniform(100, 6000), crash_again)
+    return _no_heal
 
 
 def _cut(cell: KeyCell, pairs: set[tuple[str, str]]) -> Heal:
@@ -194,14 +194,14 @@
 
 def cut_server(cell: KeyCell) -> Heal:
     """Cut a server off from all nodes as leaders; requests still reach it."""
-    incarnation = _some_server(cell)
+    incarnation = _random_server(cell)
     return _cut(cell, {(name, incarnation) for name in cell.nodes})
 
 
 def split_leader(cell: KeyCell) -> Heal:
     """Cut the leader off from the store, and all other nodes off from up to two servers."""
-    leader = _leader_or_some(cell)
-    incarnations = {_some_server(cell), _some_server(cell)}
+    leader = _leader_or_random(cell)
+    incarnations = {_random_server(cell), _random_server(cell)}
     heal_cut = _cut(
         cell,
         {
@@ -222,11 +222,11 @@
 
 def drain_server(cell: KeyCell) -> Heal:
     """Have a server announce that it is leaving and exit later; another one replaces it."""
-    server = cell.servers[_some_server(cell)]
+    server = cell.servers[_random_server(cell)]
     server.draining = True
     cell.world.after(4000.0, server.crash)
     cell.world.after(1000.0, cell.server_starter(server.port + 100))
-    return _nothing
+    return _no_heal
 
 
 def evacuate(cell: KeyCell) -> Heal:
@@ -242,7 +242,7 @@
 
 def false_silence(cell: KeyCell) -> Heal:
     """Report up to two servers as unresponsive, although they answer."""
-    cell.unresponsive = {_some_server(cell), _some_server(cell)}
+    cell.unresponsive = {_random_server(cell), _random_server(cell)}
 
     def heal() -> None:
         cell.unresponsive = set()
@@ -321,10 +321,10 @@
     world.run_until(START_MS)
     end_ms = START_MS
     for name in names:
-        start = START_MS + world.random.uniform(0, FAULT_MS)
-        length = world.random.uniform(500, MAX_FAULT_MS)
-        end_ms = max(end_ms, start + length)
-        world.after(start - world.now_ms, _injection(cell, FAULTS[name], length))
+        start_ms = START_MS + world.random.uniform(0, FAULT_MS)
+        length_ms = world.random.uniform(500, MAX_FAULT_MS)
+        end_ms = max(end_ms, start_ms + length_ms)
+        world.after(start_ms - world.now_ms, _injection(cell, FAULTS[name], length_ms))
     world.run_until(end_ms + SETTLE_MS)
     check_from_ms = world.now_ms
     world.run_until(check_from_ms + CHECK_MS)
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -359,12 +359,12 @@
                 ended(CallOutcome.NOT_SENT)
                 return
             core.grant_sent(action.holder, self.now_ms)
-            name = action.range_id
+            span = action.range_id
             self.cell.deliver(
                 self,
                 action.holder,
                 lambda server, late: server.grant(
-                    name.first, name.last, name.token, LEASE_MS, late
+                    span.first, span.last, span.token, LEASE_MS, late
                 ),
                 lambda outcome: self.do(lambda: ended(outcome)),
             )
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -40,7 +40,7 @@
         world: World,
         name: str,
         zone: str,
-        lifetime: int,
+        incarnation: int,
         cluster: "Cluster",
         timing: ControlTiming,
         limits: PlacementLimits,
@@ -48,7 +48,7 @@
     ) -> None:
         super().__init__(world, zone, rate_error)
         self.name = name
-        self.node_id = f"{name}/{lifetime}"
+        self.node_id = f"{name}/{incarnation}"
         self.cluster = cluster
         self.member = wire.Member(node_id=self.node_id, zone=zone, host=name, port=1)
         self.core = ControlCore(self.member, timing, 3, limits)
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -119,8 +119,8 @@
 
         target = self._cluster.supposed_leader(self._world.random)
         if target is not None:
-            back = self._reply_path(target.zone, end)
-            proposal = Proposal(command, back)
+            reply_to = self._reply_path(target.zone, end)
+            proposal = Proposal(command, reply_to)
             self._world.transmit(
                 self._node.zone, target.zone, lambda: target.do(lambda: target.submit(proposal))
             )
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -114,13 +114,13 @@
 
     def later(self, delay_ms: float, task: Task) -> None:
         """Run a task in this process after a delay by its timers, which stop in suspensions."""
-        self._wait_awake(delay_ms, self.suspended_ms, task)
+        self._run_after(delay_ms, self.suspended_ms, task)
 
-    def _wait_awake(self, delay_ms: float, known_ms: float, task: Task) -> None:
+    def _run_after(self, delay_ms: float, counted_ms: float, task: Task) -> None:
         def due() -> None:
             suspended_ms = self.suspended_ms
-            if suspended_ms > known_ms:
-                self._wait_awake(suspended_ms - known_ms, suspended_ms, task)
+            if suspended_ms > counted_ms:
+                self._run_after(suspended_ms - counted_ms, suspended_ms, task)
             else:
                 self.do(task)
 
--- a/tests/probe/test_requests_that_end_back_ends.py
+++ b/tests/probe/test_requests_that_end_back_ends.py
@@ -13,7 +13,7 @@
 SERVICE_MS = 400.0
 
 
-def kill_back_ends_that_run_it(cell, asked):
+def kill_busy_back_ends(cell, asked):
     """Kill each back end that has work until the request is answered; return their number."""
     killed = 0
     while not asked.ready():
@@ -32,7 +32,7 @@
         killed = 0
         for _ in range(3):
             asked = gevent.spawn(cell.get, node, "/weights/killer")
-            killed += kill_back_ends_that_run_it(cell, asked)
+            killed += kill_busy_back_ends(cell, asked)
         assert killed == 3
         alive = [program for program in cell.backends.values() if program.process.poll() is None]
         repeat = cell.get(node, "/weights/killer")
@@ -74,6 +74,6 @@
     with Cell(2, {"weights": BACKENDS, "permits": 1}, service_ms=SERVICE_MS) as cell:
         first, second = cell.nodes
         for _ in range(3):
-            kill_back_ends_that_run_it(cell, gevent.spawn(cell.get, first, "/weights/killer"))
+            kill_busy_back_ends(cell, gevent.spawn(cell.get, first, "/weights/killer"))
         repeat = cell.get(second, "/weights/killer")
         assert (repeat.status, repeat.headers["ploverhatch-result"]) == (503, "2111")
--- a/tests/standin/fault_injection.py
+++ b/tests/standin/fault_injection.py
@@ -111,7 +111,7 @@
             task = rng.choice([self.stop_again, self.hang_up, self.reconfigure])
             task(gateway, rng)
 
-    def stop_again(self, gateway, _chance):
+    def stop_again(self, gateway, _rng):
         """Send another SIGTERM to a stopping process."""
         if gateway.incarnation.stopping:
             self.stop(gateway, 0.0)
@@ -123,7 +123,7 @@
             self.seen["hang_up"] += 1
             gateway.signal(signal.SIGHUP)
 
-    def reconfigure(self, _gateway, _chance):
+    def reconfigure(self, _gateway, _rng):
         """Store a new version of the configuration."""
         self.seen["reconfigure"] += 1
         self.site.version += 3
@@ -297,12 +297,12 @@
 
     def upstream_limits(self):
         """Have an upstream announce a rate limit until the faults are healed."""
-        upstream = self._some_upstream()
+        upstream = self._random_upstream()
         limited = [other for other in self.site.upstreams.values() if other.behaviour.limit]
         if upstream is not None and upstream not in limited and len(limited) < MAX_LIMITED:
             upstream.behaviour.limit = f"{self.random.uniform(*LIMITS_PER_S):.1f}"
 
-    def _some_upstream(self):
+    def _random_upstream(self):
         alive = [
             upstream
             for upstream in self.site.upstreams.values()
@@ -313,14 +313,14 @@
         return self.random.choice(alive) if len(alive) > 4 else None
 
     def upstream_ends(self):
-        upstream = self._some_upstream()
+        upstream = self._random_upstream()
         if upstream is not None and upstream.service == KEYED:
             upstream.crash()
             self.later(self.site.drop_record, upstream)
             self.later(self.site.start_upstream, upstream.service)
 
     def upstream_leaves(self):
-        upstream = self._some_upstream()
+        upstream = self._random_upstream()
         if upstream is not None:
             record = upstream.record(upstream.service, state="draining")
             self.site.store.put("servers", upstream.server_id, *record)
@@ -329,13 +329,13 @@
 
     def upstream_says_it_leaves(self):
         """Have an upstream announce its leaving in answers, before the store has it and it ends."""
-        upstream = self._some_upstream()
+        upstream = self._random_upstream()
         if upstream is not None:
             upstream.behaviour.leaving = True
             self.site.start_upstream(upstream.service)
-            self.later(self._leave_for_good, upstream)
+            self.later(self._leave_in_store, upstream)
 
-    def _leave_for_good(self, upstream):
+    def _leave_in_store(self, upstream):
         record = upstream.record(upstream.service, state="draining")
         if upstream.crashed_s is None:
             self.site.store.put("servers", upstream.server_id, *record)
@@ -343,14 +343,14 @@
 
     def upstream_rests(self):
         """Have an upstream reject requests and ask for backoff, for a time."""
-        upstream = self._some_upstream()
+        upstream = self._random_upstream()
         if upstream is not None:
             upstream.behaviour.backoff_s = self.random.uniform(*BACKOFF_S)
             self.later(setattr, upstream.behaviour, "backoff_s", 0.0)
 
     def upstream_reborn(self):
         """Crash an upstream and start it again under its id, at its old or a new address."""
-        upstream = self._some_upstream()
+        upstream = self._random_upstream()
         if upstream is not None:
             pause_s, elsewhere = self.random.uniform(*UPSTREAM_DOWN_S), self.random.random() < 0.7
             self._tasks.append(
--- a/tests/standin/limits.py
+++ b/tests/standin/limits.py
@@ -22,7 +22,7 @@
     return int(ALLOWED_FACTOR * per_s * SPAN_S + EXTRA_REQUESTS)
 
 
-def _excused(incarnation, from_s, to_s):
+def _disturbed(incarnation, from_s, to_s):
     """Return whether a process was started, killed or frozen in a span."""
     if incarnation.start_s > from_s:
         return True
@@ -48,7 +48,7 @@
         if record is None or at_s < first_s + SETTLING_S:
             continue
         since_s = informed_s.get(id(record.incarnation), inf)
-        if at_s >= since_s + REACTION_S and not _excused(record.incarnation, since_s, at_s):
+        if at_s >= since_s + REACTION_S and not _disturbed(record.incarnation, since_s, at_s):
             times.append(at_s)
     return sorted(times)
 
--- a/tests/standin/site.py
+++ b/tests/standin/site.py
@@ -72,10 +72,10 @@
     The socket doesn't listen. A server that sets SO_REUSEADDR may bind the same port, but
     :func:`free_port` doesn't set it and skips the port.
     """
-    holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", port))
-    return holder
+    reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind(("127.0.0.1", port))
+    return reservation
 
 
 def route(name, service, timeout_ms=2000, kind="unsafe"):
@@ -313,8 +313,8 @@
     def close(self):
         """Kill the process and release the ports."""
         self.kill()
-        for holder in self._reserved_ports:
-            holder.close()
+        for reservation in self._reserved_ports:
+            reservation.close()
 
 
 class StandinSite:
