--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -99,13 +99,13 @@
     def __init__(self, world: World) -> None:
         super().__init__(world)
         self._times: dict[int, dict[str, AnswerTime]] = defaultdict(lambda: defaultdict(AnswerTime))
-        self._under_way: dict[int, dict[str, int]] = defaultdict(lambda: defaultdict(int))
+        self._in_flight: dict[int, dict[str, int]] = defaultdict(lambda: defaultdict(int))
         self._rng = random.Random(world.scenario.seed)
 
     @override
     def handle(self, request: Request) -> None:
         world, times = self._world, self._times[request.node]
-        under_way = self._under_way[request.node]
+        in_flight = self._in_flight[request.node]
         known = [time.mean_ms for time in times.values() if time.count]
         usual_ms = sum(known) / len(known) if known else world.scenario.service_ms
         zone = world.zone(request.node)
@@ -113,7 +113,7 @@
             ServerLoad(
                 name,
                 world.scenario.slots,
-                under_way[name],
+                in_flight[name],
                 times[name].mean_ms if name in times and times[name].count else usual_ms,
                 0.0,
                 server.record.zone == zone,
@@ -124,10 +124,10 @@
         ]
         jitter = {load.server_id: self._rng.uniform(0.85, 1.15) for load in loads}
         chosen = balancer.choose(loads, jitter) or ""
-        under_way[chosen] += 1
+        in_flight[chosen] += 1
 
         def ended(_request: Request, took_ms: float) -> None:
-            under_way[chosen] -= 1
+            in_flight[chosen] -= 1
             if took_ms < math.inf:
                 times[chosen].add(took_ms)
 
--- a/tests/probe/test_requests_that_end_back_ends.py
+++ b/tests/probe/test_requests_that_end_back_ends.py
@@ -13,10 +13,10 @@
 SERVICE_MS = 400.0
 
 
-def kill_busy_back_ends(cell, asked):
+def kill_busy_back_ends(cell, call):
     """Kill each back end that has work until the request is answered; return their number."""
     killed = 0
-    while not asked.ready():
+    while not call.ready():
         for name, program in cell.backends.items():
             if program.process.poll() is None and cell.backend_call(name, "probe")["load"] > 0:
                 program.kill()
@@ -31,8 +31,8 @@
         (node,) = cell.nodes
         killed = 0
         for _ in range(3):
-            asked = gevent.spawn(cell.get, node, "/weights/killer")
-            killed += kill_busy_back_ends(cell, asked)
+            call = gevent.spawn(cell.get, node, "/weights/killer")
+            killed += kill_busy_back_ends(cell, call)
         assert killed == 3
         alive = [program for program in cell.backends.values() if program.process.poll() is None]
         repeat = cell.get(node, "/weights/killer")
@@ -41,10 +41,10 @@
         assert all(program.process.poll() is None for program in alive)
 
 
-def max_concurrent(cell, names, asked):
+def max_concurrent(cell, names, calls):
     """Return the largest number of requests seen to run at once at one of the back ends."""
     maximum = 0
-    while not all(task.ready() for task in asked):
+    while not all(call.ready() for call in calls):
         loads = [cell.backend_call(name, "probe")["load"] for name in names]
         maximum = max(maximum, *loads)
         gevent.sleep(0.02)
@@ -55,14 +55,14 @@
     """Sent together, the copies would all crash the next back end at once."""
     with Cell(1, {"weights": BACKENDS, "permits": 1}, service_ms=SERVICE_MS) as cell:
         (node,) = cell.nodes
-        asked = [gevent.spawn(cell.get, node, "/weights/killer") for _ in range(3)]
+        calls = [gevent.spawn(cell.get, node, "/weights/killer") for _ in range(3)]
         gevent.sleep(SERVICE_MS / 4 / 1000)
         (loaded,) = [name for name in cell.backends if cell.backend_call(name, "probe")["load"]]
         assert cell.backend_call(loaded, "probe")["load"] == 3
         cell.backends[loaded].kill()
         names = [name for name in cell.backends if name != loaded]
-        assert max_concurrent(cell, names, asked) == 1
-        assert 200 in {task.value.status for task in asked}
+        assert max_concurrent(cell, names, calls) == 1
+        assert 200 in {call.value.status for call in calls}
 
 
 def test_what_one_node_saw_of_a_request_holds_it_at_the_others():
