--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -23,7 +23,7 @@
 
 
 def idle_cost(cell):
-    """Return mean and largest values over the nodes of processor use, bytes sent and memory."""
+    """Return the mean and largest processor use and bytes sent of the nodes, and largest memory."""
     before = {node: (cpu_s(node.process.pid), sent_bytes(cell, node)) for node in cell.nodes}
     time.sleep(IDLE_S)  # the measured span
     shares, rates, memory = [], [], []
@@ -50,7 +50,7 @@
 
 
 def configuration_spread(cell):
-    """Return the ms from the acceptance of a change until every node shows it."""
+    """Return the time in ms from the acceptance of a change until every node shows it."""
     spans = []
     path = "/api/objects/key-labels/weights"
     for number in range(CHANGES):
@@ -75,7 +75,7 @@
 
 
 def once_cost(cell):
-    """Return the median ms of a repeatable and of an at-most-once request."""
+    """Return the median latency in ms of a repeatable and of an at-most-once request."""
     figures = {}
     for name, call in (
         ("repeatable", lambda node, n: cell.get(node, f"/weights/k{n}")),
@@ -92,7 +92,7 @@
 
 
 def drain_time(cell):
-    """Return the ms from the drain signal of a server to the start of its last request."""
+    """Return the time in ms from the drain signal of a server to the start of its last request."""
     end_s = time.monotonic() + 4
     number = 0
     cell.backend_call("weights-1", "behaviour", {"draining": True})
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,7 +1,7 @@
 """Cost of the router compared with a bare proxy, and of owner lookup at several sizes.
 
 The result is in requests per second of processor time of the process under test, read from its
-/proc entry. So it doesn't depend on the load of the callers' process.
+/proc entry, so it doesn't depend on the load of the callers' process.
 """
 
 import gc
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.quarantine
 
-One process runs callers, node and server, so that a request takes longer than in production.
+One process runs callers, node and server, so a request takes longer than in production.
 Rounds of the three cases alternate; each figure is the median of its rounds.
 """
 
@@ -41,8 +41,8 @@
 def ratios():
     """Return figures by body size in bytes.
 
-    These are the time of a request without suspects in microseconds, the ratio of the time with
-    suspects to it, and the ratio of two measurements without suspects, as the noise.
+    The figures are the time of a request without suspects in microseconds, the time with suspects
+    relative to it, and the ratio of two measurements without suspects, which shows the noise.
     """
     found = {}
     for size in BODIES:
--- a/benchmarks/samples.py
+++ b/benchmarks/samples.py
@@ -1,7 +1,7 @@
 """Runs both sample deployments as separate processes, and times the policy compiler.
 
-Every route is called through every node, and the complete answer of the owner must return. Then a
-policy of 1000 routes and 500 selectors is compiled.
+Every route is called through every node, and each call must get the complete answer of the owner.
+Then a policy of 1000 routes and 500 selectors is compiled.
 """
 
 import time
--- a/ploverhatch/bench/slopes.py
+++ b/ploverhatch/bench/slopes.py
@@ -1,7 +1,7 @@
 """Measurements of how the control costs grow with size, for docs/CAPACITY.md.
 
 Each measurement runs at four sizes or more. A straight line is fitted, and the largest deviation
-from it is reported. Times are the processor time of this process.
+from it is reported. Times are processor times of this process.
 """
 
 import json
@@ -99,7 +99,7 @@
 
 
 def log_entries() -> list[Fit]:
-    """Processor time of a voter group per committed record command."""
+    """Measure the processor time of a voter group per committed record command."""
     sizes, values = [32, 64, 128, 256], []
     for size in sizes:
         values.append(_cpu_us(partial(_commit_batch, size), 5))
@@ -138,7 +138,7 @@
 
 
 def lease_renewals() -> list[Fit]:
-    """Processor time of a leader per server and renewal, without sockets."""
+    """Measure the processor time of a leader per server and renewal, without sockets."""
     sizes, values = [50, 100, 200, 400], []
     for size in sizes:
         values.append(_renewal_round_us(size))
@@ -166,7 +166,7 @@
 
 
 def placement_rounds() -> list[Fit]:
-    """Processor time of a placement round that finds little to move."""
+    """Measure the processor time of a placement round that finds little to move."""
     sizes, values = [250, 500, 1000, 2000], []
     for size in sizes:
         view = PlacementView(
@@ -181,7 +181,7 @@
 
 
 def assignment_memory() -> list[Fit]:
-    """Memory and snapshot costs per slice in the view of a node."""
+    """Measure memory and snapshot costs per slice in the view of a node."""
     sizes = [2000, 4000, 8000, 16_000]
     memory, encode, decode, size_bytes = [], [], [], []
     for size in sizes:
@@ -207,7 +207,7 @@
 
 
 def record_memory() -> list[Fit]:
-    """Memory per completion record with an answer of 200 bytes."""
+    """Measure the memory per completion record with an answer of 200 bytes."""
     sizes, values = [1000, 2000, 4000, 8000], []
     for size in sizes:
         tracemalloc.start()
@@ -227,7 +227,7 @@
 
 
 def configuration_changes() -> list[Fit]:
-    """Processor time of a node to apply a change of one server object."""
+    """Measure the processor time in which a node applies a change of one server object."""
     sizes, values = [100, 200, 400, 800], []
     for size in sizes:
         state = ReplicatedState()
@@ -261,7 +261,7 @@
 
 
 def assignment_stream() -> list[Fit]:
-    """Processor time to encode, and to decode and apply, a batch of moves."""
+    """Measure the processor time to encode, and to decode and apply, a batch of moves."""
     sizes, encode, apply = [16, 32, 64, 128], [], []
     for size in sizes:
         change = wire.AssignmentChange(
@@ -287,7 +287,7 @@
 
 
 def hollow_nodes() -> list[Fit]:
-    """Processor time and bytes sent of real nodes without requests, all in this process."""
+    """Measure processor time and sent bytes of real nodes without requests, all in this process."""
     sizes, cpu, sent = [8, 16, 32, 64], [], []
     for size in sizes:
         share, rate = _run_hollow(size)
@@ -333,7 +333,7 @@
 
 
 def owner_lookup() -> list[Fit]:
-    """Processor time of an owner lookup by number of slices."""
+    """Measure the processor time of an owner lookup by number of slices."""
     sizes, values = [1000, 4000, 16_000, 64_000], []
     for size in sizes:
         table = _table(size, 500)
--- a/ploverhatch/bench/summary.py
+++ b/ploverhatch/bench/summary.py
@@ -20,10 +20,9 @@
 
 
 def ownership_overlaps(executions: Iterable[Execution]) -> list[str]:
-    """Return keys that two server processes executed at the same time.
+    """Return keys for which two server processes executed requests at the same time.
 
-    Keys whose execution began under a lower token after one had begun under a higher token are
-    returned too.
+    A key is also returned if an execution began under a lower token than an earlier execution.
     """
     faults = []
     by_key: dict[tuple[str, int], list[Execution]] = defaultdict(list)
@@ -82,9 +81,9 @@
 
 
 def unavailable_ms(executions: Iterable[Execution], usual_factor: float = 5.0) -> list[float]:
-    """Return the sorted times, in ms, for which each key wasn't served.
+    """Return the unavailable time of each key in ms, in ascending order.
 
-    The time of a key is the excess of its longest pause between two executions over
+    The unavailable time of a key is the excess of its longest pause between two executions over
     ``usual_factor`` times its median pause, or zero. Keys with fewer than ``MIN_PAUSES`` pauses are
     left out, since their median is unreliable.
     """
--- a/ploverhatch/emulator/deployment.py
+++ b/ploverhatch/emulator/deployment.py
@@ -30,7 +30,7 @@
 def policy_source(deployment: Deployment, directory: Path) -> str:
     """Return the text of the policy file.
 
-    :param directory: of the deployment file, which the path of the policy file is relative to.
+    :param directory: directory of the deployment file; the policy file's path is relative to it.
     """
     return (directory / deployment.policy_file).read_text(encoding="utf-8")
 
--- a/ploverhatch/emulator/platform.py
+++ b/ploverhatch/emulator/platform.py
@@ -1,6 +1,6 @@
 """Emulator of the platform: object store with watches, machine list, faults.
 
-It is run by ``ploverhatch emulator platform``. Users and tests set faults by ``/v1/faults``.
+It is run by ``ploverhatch emulator platform``. Users and tests set faults through ``/v1/faults``.
 """
 
 import re
@@ -67,7 +67,7 @@
         return item
 
     def since(self, after: int) -> list[dict[str, Any]] | None:
-        """Return changes after a revision; ``None`` when compacted away."""
+        """Return the changes after a revision; ``None`` if some of them were compacted."""
         if after >= self.revision:
             return []
         if not self.history or self.history[0]["version"] > after + 1:
--- a/ploverhatch/experiment/keys_situations.py
+++ b/ploverhatch/experiment/keys_situations.py
@@ -39,14 +39,14 @@
 
 @way("window of 3 s, any gap")
 def any_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
-    """Use rates of 3 s, and don't test whether a gap exceeds chance."""
+    """Use rates over 3 s, and don't test whether a gap in load exceeds chance variation."""
     limits = PlanLimits(gap_deviations=0.0, window_s=3.0)
     return replace(scenario, seed=seed, limits=limits, window_ms=3000.0)
 
 
 @way("surer gap")
 def surer_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
-    """Require a gap of four standard deviations."""
+    """Require a gap in load of four standard deviations."""
     return replace(scenario, seed=seed, limits=PlanLimits(gap_deviations=4.0))
 
 
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -1,6 +1,6 @@
 """Simulates requests with keys in virtual time, with noisy servers, hot keys and slow servers.
 
-The decisions are those of the product: its leader assigns and moves ranges of keys by its reports,
+The decisions are those of the product: its leader assigns and moves ranges of keys by load reports,
 and its dispatcher grants the slots of each holder. Servers share their machines: in each span of
 ``noise_ms``, a server is ``noise_factor`` times slower with probability ``noise_share``. An answer
 within the objective earns a credit of 1, and a later one 0.1.
@@ -49,10 +49,10 @@
 SERVICE = "claims"
 NODE = ("10.0.0.1", 7000)
 LATE_CREDIT = 0.1
-TAIL_SHARE, TAIL_FACTOR = 0.01, 5.0  # fraction of requests that take that many times as long
+TAIL_SHARE, TAIL_FACTOR = 0.01, 5.0  # a fraction of requests takes `TAIL_FACTOR` times as long
 TICK_MS = 50.0
-REPORT_MS = 300.0
-ESTIMATE_MS = 150.0
+REPORT_MS = 300.0  # interval between load reports
+ESTIMATE_MS = 150.0  # interval between load estimates of the leader
 STORE_MS = 8.0  # time to write a map
 CALL_MS = 4.0  # round trip of a call to a server
 RELAY_MS = 35.0  # delay until nodes know of a grant
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HotKeys:
-    """A period in which some adjacent keys receive a fraction ``share`` of the requests."""
+    """A period in which some nearby keys receive a fraction ``share`` of the requests."""
 
     at_ms: float
     for_ms: float
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyScenario:
-    """The parameters of a run; the defaults are the claims of the shifted deployment.
+    """The parameters of a run, by default of the claims service in the shifted deployment.
 
     ``load`` is the request rate relative to the capacity of all servers, including their noise.
     """
@@ -327,7 +327,7 @@
         return math.isinf(self._pace(server))
 
     def _reach(self, request: _Request, server: _Server) -> None:
-        """Handle the arrival of a request; for released keys it returns to its node."""
+        """Handle the arrival of a request, which returns to its node if its key was released."""
         if self._is_unresponsive(server):
             remaining_ms = request.arrived_ms + self.scenario.deadline_ms - self.now_ms
             self._later(remaining_ms, lambda: self._lose(request, server))
--- a/ploverhatch/experiment/placement_run.py
+++ b/ploverhatch/experiment/placement_run.py
@@ -63,7 +63,7 @@
     moved: list[float] = field(default_factory=list)  # fraction of keys that moved, per second
 
     def between(self, values: list[float], start_s: int, end_s: int, step: int) -> list[float]:
-        """Return the values between two times, of which there is one per ``step`` seconds."""
+        """Return the values between two times; ``values`` has one value per ``step`` seconds."""
         return values[start_s // step : end_s // step]
 
 
--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -1,7 +1,7 @@
 """Policies that choose a server for a request without a key, for `slots_world`.
 
-Each policy is a class that is created with the world and then handles each request. A decorator
-registers it under the name that tables show.
+Each policy is a class whose instance handles all requests of a simulated world. A decorator
+registers the class under the name that tables show.
 """
 
 import math
@@ -94,7 +94,7 @@
 
 @policy("cheapest, each node's own view")
 class Cheapest(Policy):
-    """The fallback of a node, by its own answer times and requests under way."""
+    """Chooses as a gateway does without a shared slot, by its own answer times and requests."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
@@ -137,7 +137,7 @@
 
 @policy("shared slots")
 class SharedSlots(Policy):
-    """The dispatchers of the product, with messages that are delayed and never lost."""
+    """Uses the dispatchers of the product; messages are delayed but never lost."""
 
     def __init__(self, world: World) -> None:
         super().__init__(world)
--- a/ploverhatch/experiment/slots_world.py
+++ b/ploverhatch/experiment/slots_world.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotScenario:
-    """The parameters of a run; the defaults are the claims of the large deployment.
+    """The parameters of a run, by default of the claims service in the large deployment.
 
     ``load`` is the request rate relative to the capacity of all servers.
     """
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request."""
+    """A request at a node; ``service_ms`` is its service time on a server of speed 1."""
 
     number: int
     node: int
--- a/ploverhatch/simulation/availability.py
+++ b/ploverhatch/simulation/availability.py
@@ -1,7 +1,8 @@
 """Simulates for how long keys are unavailable after an event, in virtual time.
 
 Each key is requested every 10 ms through a node that is up and not cut off. The unavailable time
-of a key is the longest interval between two answers after the event, less 10 ms.
+of a key is the longest interval between two successive answers, from 500 ms before the event on,
+less 10 ms.
 """
 
 from collections.abc import Callable
@@ -55,7 +56,7 @@
 
 
 def freeze_server(cluster: Cluster) -> set[str]:
-    """Freeze a server."""
+    """Freeze a server permanently."""
     name = _largest_owner(cluster)
     cluster.servers[name].freeze()
     return {name}
--- a/ploverhatch/simulation/cluster.py
+++ b/ploverhatch/simulation/cluster.py
@@ -198,8 +198,8 @@
     ) -> None:
         """Send a request through a random node and repeat it under its idempotency key on failure.
 
-        Callers may repeat a request only within ``REPEAT_WINDOW_MS``: after the loss of an epoch
-        claims are refused for that time, so that no repeat runs twice.
+        Callers may repeat a request only within ``REPEAT_WINDOW_MS``: after the loss of an epoch,
+        claims are refused for that time, so that no repeated request runs twice.
         """
         until_ms = until_ms or self.world.now_ms + REPEAT_WINDOW_MS - MAX_REQUEST_MS
         name = self.world.random.choice(list(self.nodes))
--- a/ploverhatch/simulation/keys/__init__.py
+++ b/ploverhatch/simulation/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation of leaders, servers and the store that share out keys."""
+"""Simulation of the assignment of keys by leaders, with servers and a store."""
--- a/ploverhatch/simulation/keys/faults.py
+++ b/ploverhatch/simulation/keys/faults.py
@@ -16,7 +16,7 @@
 START_MS = 4000.0
 FAULT_MS = 5000.0
 MAX_FAULT_MS = 18_000.0
-SETTLE_MS = 34_000.0  # bounds the wait for leases that several lost leaders may have renewed
+SETTLE_MS = 34_000.0  # covers the wait for leases that several lost leaders may have renewed
 CHECK_MS = 3000.0
 MAX_ENTRY_DELAY_MS = 1300.0  # servers write their entries at least this often
 STOP_MS = (2600.0, 5400.0)  # from the signal of a planned stop to the exit of the process
@@ -221,7 +221,7 @@
 
 
 def drain_server(cell: KeyCell) -> Heal:
-    """Have a server announce that it is leaving and exit later; another one replaces it."""
+    """Have a server announce that it is leaving and exit later; another server replaces it."""
     server = cell.servers[_random_server(cell)]
     server.draining = True
     cell.world.after(4000.0, server.crash)
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -39,7 +39,7 @@
 SLOW_CONNECT_FRACTION = 0.1
 CALL_TIMEOUT_MS = 600.0
 LATE_ORDER_MS = (2000.0, 12_000.0)
-MOVES_LIMIT_MS = 1000.0  # for unfinished moves at a planned stop, as in gateways
+MOVES_LIMIT_MS = 1000.0  # time limit of unfinished moves at a planned stop, as in gateways
 BEACON_MS = 250.0
 BEACON_LOSS = 0.1
 BEACON_DELAY_MS = (0.2, 3.0)
@@ -58,14 +58,14 @@
         self.keymap = KeyMap(SERVICE)
         self.known_ended: set[str] = set()
         self._term = 0
-        # By holder: the incarnation at the other end of the open connection.
+        # The incarnation at the other end of the open connection, by holder.
         self._connected_to: dict[str, str] = {}
         self._no_claim_before_ms = 0.0
         self._busy = False
         self._loading = False
         self._last_read_ms = -1e12
         self._contact_ms = self.now_ms
-        # The time limit of the moves, once a planned stop has begun.
+        # The end of the time for moves, once a planned stop has begun.
         self._moves_end_ms: float | None = None
         self.granted: frozenset[int] = frozenset()  # tokens that the leader has granted
         cell.store.watchers[name] = self._on_change
--- a/ploverhatch/simulation/keys/violations.py
+++ b/ploverhatch/simulation/keys/violations.py
@@ -16,7 +16,9 @@
 def find_violations(holds: Iterable[Hold]) -> list[str]:
     """Return the violations: two holders of a key at once, or a token that did not rise.
 
-    An overlap of up to ``OVERLAP_MS`` is tolerated unless both holders started requests in it.
+    An overlap in which both holders started requests is always a violation. Another overlap is a
+    violation if it is longer than ``OVERLAP_MS`` and neither hold began with a grant that was
+    applied late. The token of a hold that began with a late grant need not rise.
     """
     by_key: dict[int, list[Hold]] = defaultdict(list)
     for hold in holds:
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -1,4 +1,4 @@
-"""A simulated node: the control core in virtual time, with tasks around it."""
+"""A simulated node: the control core in virtual time, with the periodic tasks of a node."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -74,7 +74,7 @@
             self._transmit(node, lambda node=node: node.handle_status(status))
 
     def handle_status(self, status: wire.NodeStatus) -> None:
-        """Handle another node's report."""
+        """Handle a status report of a node."""
         now_ms = self.clock.read()
         self.core.note_node_status(status, NodeLoads(now_ms, {}, {}), now_ms)
 
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -18,7 +18,7 @@
 
     loss: float = 0.0
     repeat: float = 0.0
-    late: float = 0.0  # delayed by up to ``late_ms``, as by a paused sender
+    late: float = 0.0  # probability of an extra delay of up to ``late_ms``, as by a paused sender
     late_ms: float = 4000.0
     cuts: set[tuple[str, str]] = field(default_factory=set)  # (from zone, to zone)
 
@@ -90,7 +90,8 @@
     """A simulated process that can be killed, frozen and thawed.
 
     The tasks of a frozen process are queued and run when it is thawed. A process whose machine
-    is suspended is frozen too, and its timers stop: each is late by the time of the suspension.
+    is suspended is frozen too, and its timers stop: each fires late by the length of the
+    suspension.
     """
 
     def __init__(self, world: World, zone: str, rate_error: float) -> None:
@@ -128,7 +129,7 @@
 
     @property
     def suspended_ms(self) -> float:
-        """For how long the machine has been suspended in total."""
+        """Total time for which the machine has been suspended."""
         since_ms = self._suspended_at_ms
         return self._past_suspensions_ms + (
             0.0 if since_ms is None else self.world.now_ms - since_ms
--- a/tests/probe/test_requests_that_end_back_ends.py
+++ b/tests/probe/test_requests_that_end_back_ends.py
@@ -1,4 +1,4 @@
-"""A node of a cell sends a request that crashes back ends to three of them, not to all.
+"""A node of a cell sends a request that crashes back ends to at most three of them.
 
 The fault was first found in gateways: the result of an attempt was remembered for one
 request only. In a cell, the keys of a crashed back end move to another owner, so each
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -6,10 +6,11 @@
 Clients send requests that may run at most once, each with its own id, on new and on kept
 connections, two at once, or with the sending side closed after the request.
 
-Faults are drawn at random: processes are killed or frozen, where a freeze of every other node also
-stops its monotonic clock, as a suspension of the machine does; the store is unavailable or slow,
+Faults are drawn at random: processes are killed or frozen, and for every second node a freeze also
+stops the monotonic clock, as a suspension of the machine does; the store is unavailable or slow,
 or loses answers or its history; upstreams crash, leave and join; and requests crash the upstreams
 that run them and are repeated.
+
 Planned work consists of stops in overlapping series, each with a kill after the grace time and a
 restart, repeated SIGTERM, SIGHUP and new configurations.
 
--- a/tests/standin/callers.py
+++ b/tests/standin/callers.py
@@ -75,7 +75,7 @@
 
     @property
     def counts_each_copy(self):
-        """Whether each copy that ran counts as a crash: not for repeats by a single caller."""
+        """Whether each copy that ran counts as a crash; repeats by a single caller don't."""
         return False
 
     def ask_forever(self, gateways):
@@ -98,5 +98,5 @@
 
     @property
     def counts_each_copy(self):
-        """Whether each copy that ran counts as a crash, as the platform counts."""
+        """Whether each copy that ran counts as a crash, as in the platform's own count."""
         return True
--- a/tests/standin/fault_injection.py
+++ b/tests/standin/fault_injection.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class FaultKinds:
-    """The kinds of faults that are injected, named as the options of ``tests.soak``."""
+    """The kinds of faults that are injected, named after the options of ``tests.soak``."""
 
     planned_only: bool = False
     sound_store: bool = False
@@ -303,6 +303,7 @@
             upstream.behaviour.limit = f"{self.random.uniform(*LIMITS_PER_S):.1f}"
 
     def _random_upstream(self):
+        """Return a random upstream that serves and stays, or ``None`` if at most four do."""
         alive = [
             upstream
             for upstream in self.site.upstreams.values()
@@ -328,7 +329,7 @@
             self.later(self.site.start_upstream, upstream.service)
 
     def upstream_says_it_leaves(self):
-        """Have an upstream announce its leaving in answers, before the store has it and it ends."""
+        """Have an upstream announce its leaving in answers before its store entry shows it."""
         upstream = self._random_upstream()
         if upstream is not None:
             upstream.behaviour.leaving = True
@@ -336,6 +337,7 @@
             self.later(self._leave_in_store, upstream)
 
     def _leave_in_store(self, upstream):
+        """Mark an upstream as draining in the store, and remove its entry 4 s later."""
         record = upstream.record(upstream.service, state="draining")
         if upstream.crashed_s is None:
             self.site.store.put("servers", upstream.server_id, *record)
--- a/tests/standin/limits.py
+++ b/tests/standin/limits.py
@@ -1,8 +1,9 @@
 """Checks that upstreams that announce a rate limit receive no more requests than it allows.
 
 From ``SETTLING_S`` after its first such answer, an upstream may receive in any ``SPAN_S`` at most
-``ALLOWED_FACTOR`` times the requests that the limit allows, plus ``EXTRA_REQUESTS``. The requests
-of all node processes that forwarded such an answer at least ``REACTION_S`` before are summed.
+``ALLOWED_FACTOR`` times the requests that the limit allows, plus ``EXTRA_REQUESTS``. The count
+includes requests from all node processes that forwarded such an answer at least ``REACTION_S``
+before.
 """
 
 from bisect import bisect_left
--- a/tests/standin/relay.py
+++ b/tests/standin/relay.py
@@ -1,4 +1,4 @@
-"""Relay stand-in for feeds under test."""
+"""Stand-in of a relay, for tests of feeds."""
 
 
 class NoRelay:
--- a/tests/standin/scenario.py
+++ b/tests/standin/scenario.py
@@ -56,7 +56,7 @@
         return sum(request.status == 200 for request in asked) / len(asked)
 
     def unserved(self, service, start_s, end_s=float("inf")):
-        """Count the other answers of a span by status and result code of the gateway."""
+        """Count the answers of a span that aren't 200, by status and result code of the gateway."""
         lost = [sent for sent in self.asked(service, start_s, end_s) if sent.status != 200]
         results = [RESULT.search(sent.head) for sent in lost]
         return Counter((sent.status, r and r[1]) for sent, r in zip(lost, results, strict=True))
--- a/tests/standin/site.py
+++ b/tests/standin/site.py
@@ -23,10 +23,10 @@
 
 KEYED, PLAIN = "keyed", "plain"
 PROGRAM = "ploverhatch.cli.platform_gateway"
-# Folder of another version of the project, whose gateways run with the stand-ins of this one.
+# Folder of another version of the project, whose gateways run with the stand-ins of this version.
 CODE_VARIABLE = "PLOVERHATCH_TEST_CODE"
 CODE = os.environ.get(CODE_VARIABLE)
-SUSPENDED_PROGRAM = "tests.standin.suspended_gateway"  # run by every other node
+SUSPENDED_PROGRAM = "tests.standin.suspended_gateway"  # run by every second node
 GRACE_S = 6.0  # time from SIGTERM until the platform kills a process
 POLL_S = 0.02
 FIRST_START_MS = 1_764_700_000_000
@@ -58,8 +58,8 @@
     return True
 
 
-# Parallel test processes begin at different ports, or at the one in the environment variable,
-# since the ports of a gateway are free while it restarts.
+# Parallel test processes begin at different ports, since the ports of a gateway are free while it
+# restarts. The environment variable sets the offset of the first port.
 _FIRST_PORT, _PORT_COUNT = 12_000, 16_000
 PORTS_VARIABLE = "PLOVERHATCH_TEST_PORTS"
 _START = int(os.environ.get(PORTS_VARIABLE, os.getpid() * 1009))
@@ -284,7 +284,7 @@
         self.incarnations.append(Incarnation(self.name, process, size))
 
     def started(self):
-        """Return whether the current process serves. Before that, signals end it by default."""
+        """Return whether the current process serves; until then, SIGTERM or SIGHUP may kill it."""
         with self.log.open("rb") as log:
             log.seek(self.incarnation.log_start)
             return STARTED_LINE in log.read(4096) and self.incarnation.alive
--- a/tests/standin/verdict.py
+++ b/tests/standin/verdict.py
@@ -32,7 +32,7 @@
     judged: int = 0  # requests during a planned stop that reached an upstream
     exempt: int = 0  # of these: unanswered, and running in the last part of the grace time
     excused: int = 0  # unanswered with a fault close in time
-    lost: int = 0  # unanswered, which breaks the promise
+    lost: int = 0  # unanswered, neither exempt nor excused: a broken promise
     reached_none: int = 0  # unanswered, and received by no upstream
     # Of these: on new connections to a stopping process. Closing the listening socket resets
     # connections whose handshake is under way, which the process can't observe.
@@ -43,12 +43,12 @@
     busy_requests: int = 0
     killed_after_grace: int = 0
     crashing_requests: int = 0  # requests that crash servers, without their repeats
-    crashes: int = 0  # servers that crashed while they ran these
+    crashes: int = 0  # servers that crashed while they ran such requests
     crashing_sends: int = 0
     late_sends: int = 0  # sends by connected nodes that should know of three crashes
     quarantined: int = 0  # repeats that were refused by quarantine
     backoffs: int = 0  # requested by upstreams from nodes
-    leaving: int = 0  # upstreams that announced it in answers
+    leaving: int = 0  # upstreams that announced their leaving in answers
     limited: int = 0  # upstreams that announced a rate limit
 
 
@@ -97,7 +97,10 @@
 
 
 def disregarded_notices(site, load, faults, verdict):
-    """Return the requests that disregard leaving, backoff or a rate limit of an upstream."""
+    """Return a sentence for each disregarded leaving, backoff or rate limit of an upstream.
+
+    The notices of upstreams are counted in the verdict.
+    """
     sent = {sent.name: sent for sent in load.requests}
     sent |= {sent.name: sent for request in faults.crashing_requests for sent in request.asked}
     verdict.limited = sum(bool(upstream.limit_answers) for upstream in site.upstreams.values())
