--- a/ploverhatch/experiment/slots_world.py
+++ b/ploverhatch/experiment/slots_world.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotScenario:
-    """The parameters of a run; the defaults are the claims of the large deployment.
+    """The parameters of a run, by default of the claims service in the large deployment.
 
     ``load`` is the request rate relative to the capacity of all servers.
     """
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request."""
+    """A request at a node; ``service_ms`` is its service time on a server of speed 1."""
 
     number: int
     node: int
@@ -107,7 +107,7 @@
             f"s{number}": self._server(number, zone) for number, zone in self._numbered_zones()
         }
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._tickets = itertools.count()
+        self._sequence = itertools.count()
         self._sigma = math.sqrt(math.log(1 + scenario.spread**2))
 
     def _numbered_zones(self) -> list[tuple[int, str]]:
@@ -124,7 +124,7 @@
 
     def later(self, delay_ms: float, event: Callable[[], None]) -> None:
         """Schedule an event after a delay."""
-        heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._tickets), event))
+        heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._sequence), event))
 
     def run(self, handle: Callable[[Request], None]) -> Tally:
         """Run the scenario and return its tally.
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -1,4 +1,4 @@
-"""A simulated node: the control core in virtual time, with tasks around it."""
+"""A simulated node: the control core in virtual time, with the periodic tasks of a node."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -40,7 +40,7 @@
         world: World,
         name: str,
         zone: str,
-        lifetime: int,
+        incarnation: int,
         cluster: "Cluster",
         timing: ControlTiming,
         limits: PlacementLimits,
@@ -48,7 +48,7 @@
     ) -> None:
         super().__init__(world, zone, rate_error)
         self.name = name
-        self.node_id = f"{name}/{lifetime}"
+        self.node_id = f"{name}/{incarnation}"
         self.cluster = cluster
         self.member = wire.Member(node_id=self.node_id, zone=zone, host=name, port=1)
         self.core = ControlCore(self.member, timing, 3, limits)
@@ -74,7 +74,7 @@
             self._transmit(node, lambda node=node: node.handle_status(status))
 
     def handle_status(self, status: wire.NodeStatus) -> None:
-        """Handle another node's report."""
+        """Handle a status report of a node."""
         now_ms = self.clock.read()
         self.core.note_node_status(status, NodeLoads(now_ms, {}, {}), now_ms)
 
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -1,7 +1,7 @@
 """A simulated router: attempts and idempotency records in virtual time.
 
 Some lookups are stale on purpose: with probability ``STALE_LOOKUP`` the router uses an owner
-that it found earlier, as a router does that was paused or cut off.
+that it found earlier, as a router that was paused or cut off would.
 """
 
 from collections.abc import Callable
@@ -119,8 +119,8 @@
 
         target = self._cluster.supposed_leader(self._world.random)
         if target is not None:
-            back = self._reply_path(target.zone, end)
-            proposal = Proposal(command, back)
+            reply_to = self._reply_path(target.zone, end)
+            proposal = Proposal(command, reply_to)
             self._world.transmit(
                 self._node.zone, target.zone, lambda: target.do(lambda: target.submit(proposal))
             )
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -18,7 +18,7 @@
 
     loss: float = 0.0
     repeat: float = 0.0
-    late: float = 0.0  # delayed by up to ``late_ms``, as by a paused sender
+    late: float = 0.0  # probability of an extra delay of up to ``late_ms``, as by a paused sender
     late_ms: float = 4000.0
     cuts: set[tuple[str, str]] = field(default_factory=set)  # (from zone, to zone)
 
@@ -90,7 +90,8 @@
     """A simulated process that can be killed, frozen and thawed.
 
     The tasks of a frozen process are queued and run when it is thawed. A process whose machine
-    is suspended is frozen too, and its timers stop: each is late by the time of the suspension.
+    is suspended is frozen too, and its timers stop: each fires late by the length of the
+    suspension.
     """
 
     def __init__(self, world: World, zone: str, rate_error: float) -> None:
@@ -114,13 +115,13 @@
 
     def later(self, delay_ms: float, task: Task) -> None:
         """Run a task in this process after a delay by its timers, which stop in suspensions."""
-        self._wait_awake(delay_ms, self.suspended_ms, task)
+        self._run_after(delay_ms, self.suspended_ms, task)
 
-    def _wait_awake(self, delay_ms: float, known_ms: float, task: Task) -> None:
+    def _run_after(self, delay_ms: float, counted_ms: float, task: Task) -> None:
         def due() -> None:
             suspended_ms = self.suspended_ms
-            if suspended_ms > known_ms:
-                self._wait_awake(suspended_ms - known_ms, suspended_ms, task)
+            if suspended_ms > counted_ms:
+                self._run_after(suspended_ms - counted_ms, suspended_ms, task)
             else:
                 self.do(task)
 
@@ -128,7 +129,7 @@
 
     @property
     def suspended_ms(self) -> float:
-        """For how long the machine has been suspended in total."""
+        """Total time for which the machine has been suspended."""
         since_ms = self._suspended_at_ms
         return self._past_suspensions_ms + (
             0.0 if since_ms is None else self.world.now_ms - since_ms
--- a/tests/standin/limits.py
+++ b/tests/standin/limits.py
@@ -1,8 +1,9 @@
 """Checks that upstreams that announce a rate limit receive no more requests than it allows.
 
 From ``SETTLING_S`` after its first such answer, an upstream may receive in any ``SPAN_S`` at most
-``ALLOWED_FACTOR`` times the requests that the limit allows, plus ``EXTRA_REQUESTS``. The requests
-of all node processes that forwarded such an answer at least ``REACTION_S`` before are summed.
+``ALLOWED_FACTOR`` times the requests that the limit allows, plus ``EXTRA_REQUESTS``. The count
+includes requests from all node processes that forwarded such an answer at least ``REACTION_S``
+before.
 """
 
 from bisect import bisect_left
@@ -22,7 +23,7 @@
     return int(ALLOWED_FACTOR * per_s * SPAN_S + EXTRA_REQUESTS)
 
 
-def _excused(incarnation, from_s, to_s):
+def _disturbed(incarnation, from_s, to_s):
     """Return whether a process was started, killed or frozen in a span."""
     if incarnation.start_s > from_s:
         return True
@@ -48,7 +49,7 @@
         if record is None or at_s < first_s + SETTLING_S:
             continue
         since_s = informed_s.get(id(record.incarnation), inf)
-        if at_s >= since_s + REACTION_S and not _excused(record.incarnation, since_s, at_s):
+        if at_s >= since_s + REACTION_S and not _disturbed(record.incarnation, since_s, at_s):
             times.append(at_s)
     return sorted(times)
 
