--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -117,7 +117,7 @@
         self._budget = budget
         self._splitter = ShareSplitter()
         self.planned_stop: PlannedStop | None = None  # Set once the process is told to stop.
-        self._under_way = InFlightRequests()
+        self._in_flight = InFlightRequests()
         self.sampled_keys: dict[str, list[int]] = {}
         self._quarantine = quarantine or _single_node_quarantine()
         pool.on_removed = self._quarantine.note_server_ended
@@ -138,8 +138,8 @@
             facts = self._dialect.facts(request)
             request.request_id = trace.request_id = facts.request_id.decode("latin-1") or "-"
             call = self._match(request, facts, trace)
-            with self._under_way.serve() as under_way:
-                under_way.deadline_ms = call.deadline_ms
+            with self._in_flight.serve() as in_flight:
+                in_flight.deadline_ms = call.deadline_ms
                 try:
                     reply = self._run(call)
                 finally:
@@ -169,18 +169,18 @@
         trace.finish(reply.status, result.code, detail, took_ms)
         return reply
 
-    def end_under_way(self) -> int:
+    def end_in_flight(self) -> int:
         """Answer all requests in flight now, because the process is about to exit.
 
         They were accepted before the process was told to stop, with deadlines later than its exit.
 
         :returns: the number of requests.
         """
-        return self._under_way.end_all(ProcessEndsError)
+        return self._in_flight.end_all(ProcessEndsError)
 
     def end_overdue(self) -> None:
         """Answer requests whose deadline passed while a suspension delayed their timers."""
-        self._under_way.end_overdue(elapsed_ms(), DeadlineOverError)
+        self._in_flight.end_overdue(elapsed_ms(), DeadlineOverError)
 
     def _refuse(self, refusal: RefusedError, facts: RequestFacts | None) -> CallerReply:
         result = refusal.result
--- a/ploverhatch/gateway/stop_sequence.py
+++ b/ploverhatch/gateway/stop_sequence.py
@@ -55,7 +55,7 @@
         callers.stop()
         self._await_empty(self._plan.answered_by_ms)
         callers.ending = True
-        given_up = self._forwarder.end_under_way()
+        given_up = self._forwarder.end_in_flight()
         self._await_empty(self._plan.end_ms)
         leaving.join(self._left_s(self._plan.end_ms))
         self._log_stopped(given_up, quiet_ms)
--- a/ploverhatch/node/process.py
+++ b/ploverhatch/node/process.py
@@ -178,7 +178,7 @@
         clean = self.http.drain(timing.drain_limit_ms / 1000, timing.drain_linger_ms / 1000)
         # Requests that outlast the drain are answered with an unknown outcome: if only their
         # connections were closed, the callers would not learn even that.
-        given_up = self.router.end_under_way()
+        given_up = self.router.end_in_flight()
         answered = self.http.await_answers(FINAL_ANSWERS_LIMIT_S)
         settled = self.router.await_background_commits(BACKGROUND_COMMITS_LIMIT_S)
         # This server stops last, so that operators can follow the shutdown until then.
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -290,7 +290,7 @@
         self._background_commits.add(task)
         task.link(self._background_commits.discard)
 
-    def end_under_way(self) -> int:
+    def end_in_flight(self) -> int:
         """Answer all requests in flight now, since the process ends.
 
         :returns: the number of these requests.
--- a/ploverhatch/sharding/holders.py
+++ b/ploverhatch/sharding/holders.py
@@ -69,7 +69,7 @@
     # Times by range: when its last answered renewal was answered, when its last one was sent.
     renewed_ms: dict[RangeId, float] = field(default_factory=dict)
     tried_ms: dict[RangeId, float] = field(default_factory=dict)
-    under_way: list[_Renewal] = field(default_factory=list)
+    renewals_in_flight: list[_Renewal] = field(default_factory=list)
     probe_due: bool = False  # a renewal is to be sent at once, to see whether it is answered
     superseded: bool = False  # a later incarnation of the server runs at another address
     # Tokens of grants that were acknowledged before the connection closed. A later incarnation
@@ -153,7 +153,7 @@
         chosen = due[: self._renewal_capacity(lossy, now_ms)]
         for name in chosen:
             self.tried_ms[name] = now_ms
-            self.under_way.append(_Renewal(name, now_ms))
+            self.renewals_in_flight.append(_Renewal(name, now_ms))
         if chosen:
             self.probe_due = False
         return chosen
@@ -171,23 +171,25 @@
     def _renewal_capacity(self, lossy: bool, now_ms: float) -> int:
         """Return how many more renewals may be sent."""
         if lossy:
-            return max(0, MAX_CALLS - len(self.under_way))
-        late = sum(now_ms - call.sent_ms >= LATE_RENEWAL_MS for call in self.under_way)
-        return int(late == len(self.under_way) and late < MAX_LATE_CALLS)
+            return max(0, MAX_CALLS - len(self.renewals_in_flight))
+        late = sum(now_ms - call.sent_ms >= LATE_RENEWAL_MS for call in self.renewals_in_flight)
+        return int(late == len(self.renewals_in_flight) and late < MAX_LATE_CALLS)
 
     def note_renewal_ended(self, name: RangeId, now_ms: float, acknowledged: bool) -> None:
         """Record the end of a renewal.
 
         :param acknowledged: whether the server acknowledged it.
         """
-        call = next((call for call in self.under_way if call.name == name), None)
+        call = next((call for call in self.renewals_in_flight if call.name == name), None)
         if call is None:
             return
-        self.under_way.remove(call)
+        self.renewals_in_flight.remove(call)
         if acknowledged:
             self.renewed_ms[name] = now_ms
             # A slow server answers in order, so an older call without an answer was lost.
-            if any(other.sent_ms <= call.sent_ms - LATE_RENEWAL_MS for other in self.under_way):
+            if any(
+                other.sent_ms <= call.sent_ms - LATE_RENEWAL_MS for other in self.renewals_in_flight
+            ):
                 self.lossy_until_ms = now_ms + LOSSY_MS
         elif now_ms >= self.lossy_until_ms:
             self.pause_until_ms = now_ms + RETRY_MS
--- a/ploverhatch/sharding/leader_core.py
+++ b/ploverhatch/sharding/leader_core.py
@@ -467,7 +467,11 @@
             for transfer in state.transfers.values():
                 named.update(transfer.expiries_ms)
         for server_id, lease in list(self._leases.items()):
-            if server_id not in named and lease.held_until_ms < now_ms and not lease.under_way:
+            if (
+                server_id not in named
+                and lease.held_until_ms < now_ms
+                and not lease.renewals_in_flight
+            ):
                 del self._leases[server_id]
             else:
                 lease.keep_only(self._settled_ranges(server_id))
--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -180,7 +180,7 @@
     forwarder._run = run
     with socket.create_connection(tuple(gateway.settings.callers), timeout=5.0) as caller:
         caller.sendall(b"GET /p/a HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r1\r\n\r\n")
-        until(lambda: forwarder._under_way)
+        until(lambda: forwarder._in_flight)
         decided.set()  # in the same iteration of the event loop, before the request's task runs
         end(forwarder)
         gevent.sleep(0.1)
@@ -191,8 +191,8 @@
 
 
 def end_overdue(forwarder):
-    for under_way in forwarder._under_way._requests:
-        under_way.deadline_ms = elapsed_ms()
+    for in_flight in forwarder._in_flight._requests:
+        in_flight.deadline_ms = elapsed_ms()
     forwarder.end_overdue()
 
 
@@ -204,7 +204,7 @@
     loop in which all requests are ended.
     """
     (gateway,) = start_site(site)
-    for end in (lambda forwarder: forwarder.end_under_way(), end_overdue):
+    for end in (lambda forwarder: forwarder.end_in_flight(), end_overdue):
         data = large_answer_while(gateway, end)
         assert data.startswith(b"HTTP/1.1 200")
         assert len(data) > LARGE_BODY
@@ -215,7 +215,7 @@
     site.upstreams["u3"].behaviour.hang = True
     asked = gevent.spawn(large_request, gateway)
     until(lambda: site.upstreams["u3"].arrived)
-    assert gateway._forwarder.end_under_way() == 1
+    assert gateway._forwarder.end_in_flight() == 1
     assert asked.get(timeout=GRACE_S).startswith(b"HTTP/1.1 504")
 
 
--- a/tests/unit/test_under_way.py
+++ b/tests/unit/test_under_way.py
@@ -21,8 +21,8 @@
 
     def _run(self):
         try:
-            with self._requests.serve() as under_way:
-                under_way.deadline_ms = self._deadline_ms
+            with self._requests.serve() as in_flight:
+                in_flight.deadline_ms = self._deadline_ms
                 self.finish.wait()
         except (ProcessEndsError, DeadlineOverError) as error:
             self.ended_by.append(type(error))
