--- a/ploverhatch/gateway/dialect.py
+++ b/ploverhatch/gateway/dialect.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ploverhatch.gateway.messages import CallerRequest, HeaderList, RequestFacts
-from ploverhatch.routing.attempt_outcome import AttemptResult
+from ploverhatch.routing.gateway_attempts import AttemptResult
 from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.transport.http_connection import WireAnswer
 
--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -37,15 +37,15 @@
 )
 from ploverhatch.gateway.slots import NoSlotError, QueueFullError
 from ploverhatch.gateway.upstreams import Upstream, UpstreamPool
-from ploverhatch.routing.attempt_outcome import (
+from ploverhatch.routing.gateway_attempts import (
     AttemptHistory,
     AttemptResult,
     NextStep,
     next_step,
 )
 from ploverhatch.routing.planned_stop import PlannedStop
-from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import ShareSplitter
+from ploverhatch.routing.shared_retry_budget import SharedRetryBudget
 from ploverhatch.state.server_notices import NO_NOTICE
 from ploverhatch.transport.http_connection import (
     AnswerCutError,
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -44,7 +44,7 @@
 from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
 from ploverhatch.routing.planned_stop import PlannedStop, caller_idle_timeout_s
-from ploverhatch.routing.retry_budget import SharedRetryBudget
+from ploverhatch.routing.shared_retry_budget import SharedRetryBudget
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     ObjectChange,
--- a/ploverhatch/gateway/request_log.py
+++ b/ploverhatch/gateway/request_log.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ploverhatch.common.logs import PartLogger
-from ploverhatch.routing.attempt_outcome import AttemptResult
+from ploverhatch.routing.gateway_attempts import AttemptResult
 
 LOG = PartLogger("request")
 
--- a/ploverhatch/node/router.py
+++ b/ploverhatch/node/router.py
@@ -39,15 +39,15 @@
 from ploverhatch.node.view import StateView
 from ploverhatch.policy.syntax import Route
 from ploverhatch.policy.table import extract_key
-from ploverhatch.routing.attempts import (
+from ploverhatch.routing.load_meter import LoadMeter
+from ploverhatch.routing.router_attempts import (
     AttemptEnd,
     GiveUp,
     RequestState,
     Retry,
     after_attempt,
 )
-from ploverhatch.routing.budget import RetryBudget
-from ploverhatch.routing.load_meter import LoadMeter
+from ploverhatch.routing.router_retry_budget import RetryBudget
 from ploverhatch.settings.model import LimitsSection
 from ploverhatch.state.assignment import Slice
 from ploverhatch.state.configuration import ServerSpec
--- a/ploverhatch/node/upstreams.py
+++ b/ploverhatch/node/upstreams.py
@@ -11,7 +11,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.node.view import StateView
 from ploverhatch.policy.syntax import matches
-from ploverhatch.routing.admission import ServerQueue, Ticket
+from ploverhatch.routing.server_queue import ServerQueue, Ticket
 from ploverhatch.state.configuration import ServerSpec
 
 LOWEST_PRIORITY = 9
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -16,7 +16,7 @@
 )
 from ploverhatch.gateway.messages import CallerRequest, HeaderList, RequestFacts
 from ploverhatch.platform import names
-from ploverhatch.routing.attempt_outcome import AttemptResult
+from ploverhatch.routing.gateway_attempts import AttemptResult
 from ploverhatch.state.incarnations import registered_name
 from ploverhatch.state.server_notices import NO_LIMIT, NO_NOTICE, ServerNotice
 from ploverhatch.transport.http_connection import WireAnswer
--- a/ploverhatch/routing/attempts.py
+++ b/ploverhatch/routing/router_attempts.py
@@ -3,7 +3,7 @@
 A request is sent again only when it certainly did not run, or when it is
 repeatable. The outcome "not-run" is answered only when no attempt can have run.
 The router of the node program uses this module, and the gateway uses
-:mod:`ploverhatch.routing.attempt_outcome`. The *owner* of a key is the only back
+:mod:`ploverhatch.routing.gateway_attempts`. The *owner* of a key is the only back
 end that may run requests for it; the gateway's modules call it the holder.
 
 This module does no I/O and reads no clock.
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -11,7 +11,7 @@
 from ploverhatch.backend.interface import Refusal
 from ploverhatch.common import results
 from ploverhatch.control.core import Proposal
-from ploverhatch.routing.attempts import AttemptEnd, GiveUp, RequestState, after_attempt
+from ploverhatch.routing.router_attempts import AttemptEnd, GiveUp, RequestState, after_attempt
 from ploverhatch.simulation.node import SimulatedNode
 from ploverhatch.simulation.server import SimulatedServer
 from ploverhatch.state.commands import RecordCommand
--- a/tests/functional/test_forwarder.py
+++ b/tests/functional/test_forwarder.py
@@ -14,8 +14,8 @@
 from ploverhatch.gateway.upstreams import UpstreamPool
 from ploverhatch.platform.dialect import PlatformDialect
 from ploverhatch.routing.planned_stop import PlannedStop
-from ploverhatch.routing.retry_budget import SharedRetryBudget
 from ploverhatch.routing.route_table import Route, RouteTable, Service, ServiceShare
+from ploverhatch.routing.shared_retry_budget import SharedRetryBudget
 from ploverhatch.sharding.keymap import LAST_KEY, Holder, KeyMap, KeyRange
 from ploverhatch.state.server_notices import ServerNotice
 from ploverhatch.state.servers import ServerRecord
--- a/tests/functional/test_gateway_logs.py
+++ b/tests/functional/test_gateway_logs.py
@@ -26,7 +26,7 @@
 )
 from ploverhatch.gateway.metrics import GatewayMetrics
 from ploverhatch.gateway.request_log import AttemptNote, RequestTrace
-from ploverhatch.routing.attempt_outcome import AttemptResult
+from ploverhatch.routing.gateway_attempts import AttemptResult
 from tests.unit.test_platform_adapter import SETTINGS
 
 
--- a/tests/unit/mutations.py
+++ b/tests/unit/mutations.py
@@ -7,7 +7,7 @@
 from ploverhatch.consensus.replica import Replica
 from ploverhatch.ownership.controller import OwnershipController
 from ploverhatch.ownership.grant_book import THIS_SERVER, GrantBook, Verdict
-from ploverhatch.routing import attempts
+from ploverhatch.routing import router_attempts
 from ploverhatch.state.records import ClaimResult, RecordTable
 
 
@@ -42,7 +42,7 @@
     "earlier leaders not fenced": [(GrantBook, "_admits", lambda *_: True)],
     "revoke not awaited": [(OwnershipController, "_source_released", lambda *_: True)],
     "claims not recorded": [(RecordTable, "claim", lambda *_: ClaimResult.CLAIMED)],
-    "lost answers counted as not run": [(attempts, "_MAY_HAVE_RUN", frozenset())],
+    "lost answers counted as not run": [(router_attempts, "_MAY_HAVE_RUN", frozenset())],
     "leader acts without a quorum": [
         (Replica, "has_lease", lambda replica, _: replica.is_leader),
         (Replica, "_lost_quorum", lambda *_: False),
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,6 +1,6 @@
 """Admission to the slots of a server: shares, priority, idle slots and shedding."""
 
-from ploverhatch.routing.admission import ServerQueue, Ticket
+from ploverhatch.routing.server_queue import ServerQueue, Ticket
 
 
 def ticket(group, priority=5, share=0.5, now_ms=0.0):
--- a/tests/unit/test_attempts.py
+++ b/tests/unit/test_attempts.py
@@ -4,7 +4,13 @@
 
 from ploverhatch.backend.interface import Refusal
 from ploverhatch.common import results
-from ploverhatch.routing.attempts import AttemptEnd, GiveUp, RequestState, Retry, after_attempt
+from ploverhatch.routing.router_attempts import (
+    AttemptEnd,
+    GiveUp,
+    RequestState,
+    Retry,
+    after_attempt,
+)
 
 NONE = Refusal.NONE
 TABLE = [
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -22,7 +22,7 @@
     parse_settings,
     read_settings,
 )
-from ploverhatch.routing.attempt_outcome import AttemptResult
+from ploverhatch.routing.gateway_attempts import AttemptResult
 from ploverhatch.store.objects import VersionedObject
 from ploverhatch.transport.http_connection import HostPort, WireAnswer
 
--- a/tests/unit/test_routing_decisions.py
+++ b/tests/unit/test_routing_decisions.py
@@ -5,13 +5,13 @@
 import pytest
 
 from ploverhatch.routing.answer_time import AnswerTime
-from ploverhatch.routing.attempt_outcome import (
+from ploverhatch.routing.balancer import ServerLoad, choose
+from ploverhatch.routing.gateway_attempts import (
     AttemptHistory,
     AttemptResult,
     NextStep,
     next_step,
 )
-from ploverhatch.routing.balancer import ServerLoad, choose
 from ploverhatch.routing.route_table import Route, RouteTable, ServiceShare, ShareSplitter
 from ploverhatch.sharding.load import MAX_SAMPLES, WINDOW_MS, AnswerTimes, KeyLoad
 from ploverhatch.state.servers import VANISH_GRACE_MS, ServerRecord, ServerSet
--- a/tests/unit/test_shared_retry_budget.py
+++ b/tests/unit/test_shared_retry_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ploverhatch.routing.retry_budget import SharedRetryBudget
+from ploverhatch.routing.shared_retry_budget import SharedRetryBudget
 
 RATIO, SLACK, WINDOW_S = 0.2, 56.0, 10.0
 EVENTS = st.lists(
