--- a/ploverhatch/cli/platform_gateway.py
+++ b/ploverhatch/cli/platform_gateway.py
@@ -14,7 +14,7 @@
 from ploverhatch.platform.dialect import PlatformDialect
 from ploverhatch.platform.documents import PlatformTranslation
 from ploverhatch.platform.settings import SettingsFile, SettingsFileError
-from ploverhatch.platform.store import PlatformStore
+from ploverhatch.platform.store import PlatformObjectStore
 
 EXIT_WRONG_SETTINGS = 2
 
@@ -28,7 +28,7 @@
     settings = source.read()
     log_output.start(settings.node)
     gc.freeze()
-    store = PlatformStore(settings.store)
+    store = PlatformObjectStore(settings.store)
     Gateway(source, settings, store, PlatformDialect(), PlatformTranslation()).run()
 
 
--- a/ploverhatch/platform/store.py
+++ b/ploverhatch/platform/store.py
@@ -49,7 +49,7 @@
 }
 
 
-class PlatformStore(ObjectStore):
+class PlatformObjectStore(ObjectStore):
     """Client with persistent connections; each watched kind has a connection of its own.
 
     A store that was restored from a snapshot issues the revisions after the snapshot a second
--- a/tests/functional/test_gateway.py
+++ b/tests/functional/test_gateway.py
@@ -11,7 +11,7 @@
 from ploverhatch.gateway.settings import GatewaySettings, SettingsError, SettingsSource
 from ploverhatch.platform.dialect import PlatformDialect
 from ploverhatch.platform.documents import PlatformTranslation
-from ploverhatch.platform.store import PlatformStore
+from ploverhatch.platform.store import PlatformObjectStore
 from ploverhatch.store import kinds
 from ploverhatch.transport.http_connection import HostPort
 from tests.standin.metadata_store import StoreServer
@@ -96,7 +96,7 @@
             evacuate_ms=evacuate_ms,
             **changes,
         )
-        store = PlatformStore(settings.store)
+        store = PlatformObjectStore(settings.store)
         source = FixedSettings(settings)
         gateway = Gateway(source, settings, store, PlatformDialect(), PlatformTranslation())
         gateway.source = source
@@ -315,7 +315,7 @@
     assert gateway.task.ready()
     gateway.abort()
     site.store.faults.delay_s = 0.0
-    item = PlatformStore(site.server.address).get(kinds.LEASES, kinds.LEADER_LEASE)
+    item = PlatformObjectStore(site.server.address).get(kinds.LEASES, kinds.LEADER_LEASE)
     assert keymap_codec.decode_lease(item).released
 
 
--- a/tests/functional/test_planned_stop_elsewhere.py
+++ b/tests/functional/test_planned_stop_elsewhere.py
@@ -27,7 +27,7 @@
 from ploverhatch.gateway.elector import Elector
 from ploverhatch.gateway.shared_slots import TurnedAwayError
 from ploverhatch.node.process import Node
-from ploverhatch.platform.store import PlatformStore
+from ploverhatch.platform.store import PlatformObjectStore
 from ploverhatch.quarantine.record import CrashEvent
 from ploverhatch.routing.planned_stop import READINESS_DETECTION_MS
 from ploverhatch.settings.loader import load_settings
@@ -253,7 +253,7 @@
 
 
 def start_elector(server, strength=1.0):
-    store = PlatformStore(server.address)
+    store = PlatformObjectStore(server.address)
     elector = Elector(store, "n1", "life", "127.0.0.1:1", do_nothing, do_nothing, strength=strength)
     elector.task = gevent.spawn(elector.run)
     return elector
@@ -263,7 +263,7 @@
     found = server.store.objects.get((kinds.LEASES, kinds.LEADER_LEASE))
     if found is None:
         return None
-    item = PlatformStore(server.address).get(kinds.LEASES, kinds.LEADER_LEASE)
+    item = PlatformObjectStore(server.address).get(kinds.LEASES, kinds.LEADER_LEASE)
     return keymap_codec.decode_lease(item)
 
 
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -4,7 +4,7 @@
 import pytest
 
 from ploverhatch.gateway.feeds import Feed, FeedTask
-from ploverhatch.platform.store import PlatformStore
+from ploverhatch.platform.store import PlatformObjectStore
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     HistoryDroppedError,
@@ -28,7 +28,7 @@
 @pytest.fixture
 def store(standin, monkeypatch):
     monkeypatch.setattr("ploverhatch.platform.store.CALL_TIMEOUT_S", 0.3)
-    return PlatformStore(standin.address)
+    return PlatformObjectStore(standin.address)
 
 
 def test_a_listing_takes_all_pages(standin, store):
--- a/tests/functional/test_store_eras.py
+++ b/tests/functional/test_store_eras.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ploverhatch.platform.store import PlatformStore
+from ploverhatch.platform.store import PlatformObjectStore
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     HistoryDroppedError,
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def store(server):
-    return PlatformStore(server.address)
+    return PlatformObjectStore(server.address)
 
 
 def write(server, name, count=1):
@@ -80,7 +80,7 @@
     restored(server, store, lost=1)
     lost = 6  # revision of the write that the snapshot lacks
     write(server, "a")  # Another writer's change gets the same revision.
-    fresh = PlatformStore(server.address)
+    fresh = PlatformObjectStore(server.address)
     with pytest.raises(OutcomeUnknownError):
         fresh.replace(KIND, "a", {"n": "mine"}, lost)
 
