--- a/ploverhatch/backend/http_backend.py
+++ b/ploverhatch/backend/http_backend.py
@@ -53,13 +53,13 @@
 _OWN_HEADERS = frozenset({HEADER_REFUSAL, HEADER_CLOCK})
 
 
-def span_to_json(span: SliceRange) -> list[Any]:
+def range_to_json(span: SliceRange) -> list[Any]:
     """Return a range as a JSON array; hashes are strings, to keep all 64 bits."""
     return [span.group, str(span.first), str(span.last)]
 
 
-def span_from_json(row: list[Any]) -> SliceRange:
-    """Return the range of a JSON array that ``span_to_json`` returned."""
+def range_from_json(row: list[Any]) -> SliceRange:
+    """Return the range of a JSON array that ``range_to_json`` returned."""
     return SliceRange(row[0], int(row[1]), int(row[2]))
 
 
@@ -85,15 +85,15 @@
             "boot_id": request.boot_id,
             "expires_clock_ms": request.expires_clock_ms,
             "full": request.full,
-            "grants": [[*span_to_json(item.range), str(item.token)] for item in request.grants],
-            "revokes": [span_to_json(span) for span in request.revokes],
+            "grants": [[*range_to_json(item.range), str(item.token)] for item in request.grants],
+            "revokes": [range_to_json(span) for span in request.revokes],
         }
         reply = self._control_call("/control/sync", document, timeout_s)
         return SyncReply(
             accepted=bool(reply["accepted"]),
             boot_id=reply["boot_id"],
             clock_ms=float(reply["clock_ms"]),
-            busy=tuple(span_from_json(row) for row in reply["busy"]),
+            busy=tuple(range_from_json(row) for row in reply["busy"]),
             draining=bool(reply["draining"]),
         )
 
--- a/ploverhatch/emulator/backend.py
+++ b/ploverhatch/emulator/backend.py
@@ -127,16 +127,16 @@
             expires_clock_ms=document["expires_clock_ms"],
             full=document["full"],
             grants=tuple(
-                Grant(http_backend.span_from_json(row), int(row[3])) for row in document["grants"]
+                Grant(http_backend.range_from_json(row), int(row[3])) for row in document["grants"]
             ),
-            revokes=tuple(http_backend.span_from_json(row) for row in document["revokes"]),
+            revokes=tuple(http_backend.range_from_json(row) for row in document["revokes"]),
         )
         reply = self.book.sync(request, clock_ms())
         return {
             "accepted": reply.accepted,
             "boot_id": reply.boot_id,
             "clock_ms": reply.clock_ms,
-            "busy": [http_backend.span_to_json(span) for span in reply.busy],
+            "busy": [http_backend.range_to_json(span) for span in reply.busy],
             "draining": reply.draining,
         }
 
