--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True)
-class EntryPublished:
+class EntryApplied:
     """Action: an entry was applied to ``replica.state``."""
 
     entry: wire.LogEntry
@@ -115,7 +115,7 @@
     | CallBackend
     | ProposalCommitted
     | ProposalRejected
-    | EntryPublished
+    | EntryApplied
     | StateReplaced
     | LeadershipChanged
     | VotersChanged
@@ -263,7 +263,7 @@
     def _concerns_ownership(self) -> bool:
         """Tell whether entries other than record entries were just applied."""
         return any(
-            isinstance(action, EntryPublished) and action.entry.kind not in RECORD_KINDS
+            isinstance(action, EntryApplied) and action.entry.kind not in RECORD_KINDS
             for action in self._actions
         )
 
@@ -407,7 +407,7 @@
                     self._on_role_changed(leading, term, now_ms)
 
     def _on_applied(self, entry: wire.LogEntry, result: ClaimResult | None, now_ms: float) -> None:
-        self._actions.append(EntryPublished(entry))
+        self._actions.append(EntryApplied(entry))
         self._resolve_proposal(entry, result)
         if self.controller is not None and entry.kind == ASSIGNMENT_KIND:
             command = decode_command(entry)
--- a/ploverhatch/node/control.py
+++ b/ploverhatch/node/control.py
@@ -22,7 +22,7 @@
     CallBackend,
     ControlCore,
     CoreAction,
-    EntryPublished,
+    EntryApplied,
     LeadershipChanged,
     Proposal,
     ProposalCommitted,
@@ -233,7 +233,7 @@
                     self._send(recipient, message)
                 case CallBackend(leadership, call):
                     gevent.spawn(self._call_backend, leadership, call.server, call)
-                case EntryPublished(entry):
+                case EntryApplied(entry):
                     if self._share_state():
                         self._view.note_applied(entry)
                 case StateReplaced():
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -8,7 +8,7 @@
     CallBackend,
     ControlCore,
     CoreAction,
-    EntryPublished,
+    EntryApplied,
     LeadershipChanged,
     Proposal,
     ProposalCommitted,
@@ -169,7 +169,7 @@
                     self._send(recipient, message)
                 case CallBackend():
                     self._call_backend(action)
-                case EntryPublished(entry):
+                case EntryApplied(entry):
                     self._published(entry)
                 case ProposalCommitted(proposal, result):
                     _answer(proposal, result)
