--- a/ploverhatch/bench/slopes.py
+++ b/ploverhatch/bench/slopes.py
@@ -22,7 +22,7 @@
 from ploverhatch.emulator.deployment import LOOPBACK
 from ploverhatch.emulator.platform import PlatformEmulator
 from ploverhatch.node.process import Node
-from ploverhatch.ownership.controller import CallServer, OwnershipController
+from ploverhatch.ownership.controller import OwnershipController, SyncCall
 from ploverhatch.ownership.messages import SyncReply
 from ploverhatch.ownership.placement import Condition, PlacementLimits, PlacementView, plan
 from ploverhatch.policy.compiler import compile_policy
@@ -157,7 +157,7 @@
         clock[0] += timing.renew_ms + 1
         for _ in range(2):
             for action in controller.tick(clock[0], True):
-                if isinstance(action, CallServer):
+                if isinstance(action, SyncCall):
                     reply = SyncReply(True, "boot", clock[0])
                     controller.handle_reply(action.server, action.request, reply, clock[0])
 
--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -28,9 +28,9 @@
     choose_voters,
 )
 from ploverhatch.ownership.controller import (
-    CallServer,
     OwnershipController,
     ProposeAssignment,
+    SyncCall,
 )
 from ploverhatch.ownership.messages import SyncReply, SyncRequest
 from ploverhatch.ownership.placement import PlacementLimits
@@ -60,11 +60,11 @@
 
 
 @dataclass(frozen=True)
-class CallBackend:
+class SendSyncCall:
     """Action: send a sync call; pass the result to ``handle_sync_result``."""
 
     leadership: OwnershipController
-    call: CallServer
+    call: SyncCall
 
 
 @dataclass(frozen=True)
@@ -112,7 +112,7 @@
 
 CoreAction = (
     Send
-    | CallBackend
+    | SendSyncCall
     | ProposalCommitted
     | ProposalRejected
     | EntryApplied
@@ -309,8 +309,8 @@
         self._configure(controller, now_ms)
         for action in controller.tick(now_ms, self.replica.has_lease(now_ms)):
             match action:
-                case CallServer():
-                    self._actions.append(CallBackend(controller, action))
+                case SyncCall():
+                    self._actions.append(SendSyncCall(controller, action))
                 case ProposeAssignment(change):
                     self._propose([Proposal(change)], now_ms)
 
--- a/ploverhatch/node/control.py
+++ b/ploverhatch/node/control.py
@@ -19,7 +19,6 @@
 from ploverhatch.consensus.actions import NotLeaderError, Send
 from ploverhatch.consensus.replica import Replica
 from ploverhatch.control.core import (
-    CallBackend,
     ControlCore,
     CoreAction,
     EntryApplied,
@@ -27,6 +26,7 @@
     Proposal,
     ProposalCommitted,
     ProposalRejected,
+    SendSyncCall,
     StateReplaced,
     VotersChanged,
 )
@@ -231,7 +231,7 @@
             match action:
                 case Send(recipient, message):
                     self._send(recipient, message)
-                case CallBackend(leadership, call):
+                case SendSyncCall(leadership, call):
                     gevent.spawn(self._call_backend, leadership, call.server, call)
                 case EntryApplied(entry):
                     if self._share_state():
--- a/ploverhatch/ownership/controller.py
+++ b/ploverhatch/ownership/controller.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class CallServer:
+class SyncCall:
     """Action: send a sync call to a back end.
 
     The result is passed to ``handle_reply`` or ``note_call_failed``.
@@ -178,11 +178,11 @@
             if item.server:
                 self._queue_grant(item.server, span, token, now_ms)
 
-    def tick(self, now_ms: float, has_lease: bool) -> list[CallServer | ProposeAssignment]:
+    def tick(self, now_ms: float, has_lease: bool) -> list[SyncCall | ProposeAssignment]:
         """Return the calls and proposals that are due; none without the leader lease."""
         if not has_lease:
             return []
-        actions: list[CallServer | ProposeAssignment] = []
+        actions: list[SyncCall | ProposeAssignment] = []
         if self._founding:
             change = self._renew_tokens(now_ms)
         else:
@@ -366,7 +366,7 @@
 
     # ---- calls --------------------------------------------------------------
 
-    def _call(self, server: str, session: ServerSession, now_ms: float) -> CallServer:
+    def _call(self, server: str, session: ServerSession, now_ms: float) -> SyncCall:
         self._sequence += 1
         full = session.needs_full or self._founding
         grants = self._all_grants(server) if full else dict(session.grants)
@@ -385,7 +385,7 @@
             # The call may extend the lease even when its reply is lost.
             bound = session.clock_read_ms + self._timing.lease_bound_ms
             session.lease_until_ms = max(session.lease_until_ms, bound)
-        return CallServer(server, request, CALL_TIMEOUT_MS)
+        return SyncCall(server, request, CALL_TIMEOUT_MS)
 
     def _all_grants(self, server: str) -> dict[SliceRange, int]:
         """Return the grants recorded in the log, without ranges that are being moved away.
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -5,7 +5,6 @@
 from ploverhatch.common.timing import ControlTiming
 from ploverhatch.consensus.actions import Send
 from ploverhatch.control.core import (
-    CallBackend,
     ControlCore,
     CoreAction,
     EntryApplied,
@@ -13,6 +12,7 @@
     Proposal,
     ProposalCommitted,
     ProposalRejected,
+    SendSyncCall,
 )
 from ploverhatch.membership.recovery import CellRecord, Evidence, RecoveryWatch
 from ploverhatch.ownership.messages import SyncReply
@@ -167,7 +167,7 @@
             match action:
                 case Send(recipient, message):
                     self._send(recipient, message)
-                case CallBackend():
+                case SendSyncCall():
                     self._call_backend(action)
                 case EntryApplied(entry):
                     self._published(entry)
@@ -194,7 +194,7 @@
         if target is not None and target.node_id == recipient:
             self._transmit(target, lambda: target.handle_message(self.node_id, message))
 
-    def _call_backend(self, action: CallBackend) -> None:
+    def _call_backend(self, action: SendSyncCall) -> None:
         call, pending = action.call, [True]
 
         def end(reply: SyncReply | None) -> None:
--- a/tests/unit/test_found_faults.py
+++ b/tests/unit/test_found_faults.py
@@ -7,7 +7,7 @@
 from ploverhatch.common.keyspace import MAX_HASH, SliceRange
 from ploverhatch.common.timing import ControlTiming
 from ploverhatch.consensus.replica import Replica
-from ploverhatch.ownership.controller import CallServer, OwnershipController, ProposeAssignment
+from ploverhatch.ownership.controller import OwnershipController, ProposeAssignment, SyncCall
 from ploverhatch.ownership.messages import SyncReply
 from ploverhatch.policy.compiler import compile_policy
 from ploverhatch.state.assignment import Slice, make_token
@@ -39,7 +39,7 @@
         self.now_ms += step_ms
         calls = {}
         for action in self.controller.tick(self.now_ms, True):
-            if isinstance(action, CallServer):
+            if isinstance(action, SyncCall):
                 calls[action.server] = action.request
             elif isinstance(action, ProposeAssignment):
                 self.commit(action.change)
