--- a/ploverhatch/node/bootstrap.py
+++ b/ploverhatch/node/bootstrap.py
@@ -29,7 +29,7 @@
 LOG = PartLogger("bootstrap")
 
 ASK_TIMEOUT_S = 0.5
-PAUSE_S = 0.2
+RETRY_PAUSE_S = 0.2
 LEADERLESS_MS = 3000.0
 
 Address = tuple[str, int]
@@ -177,7 +177,7 @@
             try:
                 current = self._store.get(KIND_CELL, self._cell)
             except StoreUnavailableError:
-                gevent.sleep(PAUSE_S)
+                gevent.sleep(RETRY_PAUSE_S)
                 continue
             return current is not None and current.operation == operation
         return False
--- a/ploverhatch/node/platform_sync.py
+++ b/ploverhatch/node/platform_sync.py
@@ -27,7 +27,7 @@
 
 KIND_CELL = "cell"
 COMMIT_TIMEOUT_S = 2.0
-PAUSE_S = 0.2
+RETRY_PAUSE_S = 0.2
 
 
 def to_change(item: StoredObject) -> wire.ObjectChange:
@@ -93,15 +93,15 @@
         while True:
             if not self._control.leads:
                 self._listed = False
-                gevent.sleep(PAUSE_S / 2)
+                gevent.sleep(RETRY_PAUSE_S / 2)
                 continue
             try:
                 step()
             except StoreUnavailableError as error:
                 LOG.warning("Store does not answer.", cause=error)
-                gevent.sleep(PAUSE_S)
+                gevent.sleep(RETRY_PAUSE_S)
             except (NotLeaderError, TimeoutError):
-                gevent.sleep(PAUSE_S)
+                gevent.sleep(RETRY_PAUSE_S)
 
     # ---- configuration --------------------------------------------------------
 
@@ -146,7 +146,7 @@
         if current is not None and int(current.body.get("epoch", 0)) > membership.epoch:
             LOG.error("Cell object names a newer epoch.", epoch=current.body.get("epoch"))
             self._control.post(EpochReplaced())
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_PAUSE_S)
             return
         wanted = cell_body(membership)
         if current is None or current.body != wanted:
@@ -161,7 +161,7 @@
 
     def _sleep_until_changed(self, membership: wire.MembershipChange) -> None:
         for _ in range(20):
-            gevent.sleep(PAUSE_S / 4)
+            gevent.sleep(RETRY_PAUSE_S / 4)
             if self._view.state.membership is not membership:
                 return
 
--- a/ploverhatch/node/process.py
+++ b/ploverhatch/node/process.py
@@ -17,7 +17,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.timing import ControlTiming
-from ploverhatch.node.bootstrap import LEADERLESS_MS, PAUSE_S, BootstrapTask
+from ploverhatch.node.bootstrap import LEADERLESS_MS, RETRY_PAUSE_S, BootstrapTask
 from ploverhatch.node.columns import to_columns
 from ploverhatch.node.control import ControlTask, HandOverLeadership, PeerMessage, StatusReceived
 from ploverhatch.node.metrics import NodeMetrics
@@ -283,7 +283,7 @@
             self._find_cell()
             if elapsed_ms() - leader_seen_ms > LEADERLESS_MS and self.control.replica.is_voter:
                 self.bootstrap.recover_leaderless()
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_PAUSE_S)
 
     def _find_cell(self) -> None:
         voters = self.bootstrap.find_cell() if not self.control.replica.is_voter else []
--- a/ploverhatch/node/records_client.py
+++ b/ploverhatch/node/records_client.py
@@ -13,7 +13,7 @@
 from ploverhatch.transport.peers import PeerNetwork, PeerUnreachableError
 
 ATTEMPT_TIMEOUT_S = 1.0
-PAUSE_S = 0.02
+RETRY_PAUSE_S = 0.02
 
 
 class RecordsUnavailableError(ConnectionError):
@@ -52,7 +52,7 @@
             answer = self._attempt(command, min(left_s, ATTEMPT_TIMEOUT_S))
             if answer is not None:
                 return answer
-            gevent.sleep(min(PAUSE_S, max(left_s, 0.001)))
+            gevent.sleep(min(RETRY_PAUSE_S, max(left_s, 0.001)))
 
     def _attempt(
         self, command: RecordCommand, timeout_s: float
