--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -43,8 +43,8 @@
 NODE_STATUS_MAX_AGE_MS = 3000.0
 EXPIRE_CHECK_MS = 10_000.0
 FIRST_EPOCH = 1
-VOTER_TICKS = 3  # tick interval of a voter, in ticks of a leader
-OBSERVER_TICKS = 10  # tick interval of other nodes, in ticks of a leader
+VOTER_TICK_MULTIPLE = 3  # tick interval of a voter, as a multiple of the leader's
+OBSERVER_TICK_MULTIPLE = 10  # tick interval of other nodes, as a multiple of the leader's
 
 
 @dataclass(frozen=True)
@@ -257,8 +257,8 @@
         if self.replica.is_leader:
             return self._timing.tick_ms
         if self.replica.is_voter:
-            return self._timing.tick_ms * VOTER_TICKS
-        return self._timing.tick_ms * OBSERVER_TICKS
+            return self._timing.tick_ms * VOTER_TICK_MULTIPLE
+        return self._timing.tick_ms * OBSERVER_TICK_MULTIPLE
 
     def _concerns_ownership(self) -> bool:
         """Tell whether entries other than record entries were just applied."""
