--- a/ploverhatch/cli/demo.py
+++ b/ploverhatch/cli/demo.py
@@ -109,7 +109,7 @@
     leaving, failing = emulated.backends[f"{first}-1"], emulated.backends[f"{first}-2"]
     gevent.spawn_later(duration * 0.3, setattr, leaving.behaviour, "draining", True)
     gevent.spawn_later(duration * 0.6, failing.close)
-    changes_before = nodes[0].view.changes
+    changes_before = nodes[0].view.slices_reassigned
     routers = [(LOOPBACK, node.member.http_port) for node in nodes]
     result = LoadGenerator(routers, deployment.traffic).run(duration, scale)
     executions = [item for backend in emulated.backends.values() for item in backend.executions]
@@ -124,7 +124,7 @@
         f"{group} {value:.2f}" for group, value in imbalance(executions, servers).items()
     )
     click.echo(f"imbalance (busiest over mean): {spread}")
-    click.echo(f"ownership changes: {nodes[0].view.changes - changes_before}")
+    click.echo(f"ownership changes: {nodes[0].view.slices_reassigned - changes_before}")
     click.echo(f"longest time to an answer, failure included: {result.percentile_ms(100):.0f} ms")
     gaps = unavailable_ms(executions)
     if gaps:
--- a/ploverhatch/node/view.py
+++ b/ploverhatch/node/view.py
@@ -37,7 +37,7 @@
         self.state = ReplicatedState()
         self._compiled = CompiledConfiguration()
         self.feeds: dict[Connection, wire.Member] = {}
-        self.changes = 0  # number of slices assigned anew, as seen by this view
+        self.slices_reassigned = 0  # number of slices assigned anew, as seen by this view
         self._history: deque[wire.LogEntry] = deque(maxlen=HISTORY_ENTRIES)
         self._changed = Event()
 
@@ -102,7 +102,7 @@
         if entry.kind == ASSIGNMENT_KIND:
             command = decode_command(entry)
             assert isinstance(command, wire.AssignmentChange)
-            self.changes += len(command.slices)
+            self.slices_reassigned += len(command.slices)
         if entry.kind in {CONFIGURATION_KIND, ASSIGNMENT_KIND}:
             self._refresh()
         if self.feeds:
