--- a/ploverhatch/common/log_output.py
+++ b/ploverhatch/common/log_output.py
@@ -19,7 +19,7 @@
 from ploverhatch.common.clock import elapsed_ms
 
 CAPACITY = 2000  # lines
-LINES_AT_ONCE = 64
+MAX_LINES_PER_WRITE = 64
 CLOSE_TIMEOUT_S = 0.4  # how long the exit of the process may wait for the reader
 
 
@@ -79,7 +79,9 @@
     def _encode_next(self) -> bool:
         """Encode the next lines once the previous ones are written; return whether any are left."""
         if not self._data:
-            lines = [self._lines.popleft() for _ in range(min(LINES_AT_ONCE, len(self._lines)))]
+            lines = [
+                self._lines.popleft() for _ in range(min(MAX_LINES_PER_WRITE, len(self._lines)))
+            ]
             self._data = "".join(f"{line}\n" for line in lines).encode()
         return bool(self._data)
 
--- a/ploverhatch/platform/dialect.py
+++ b/ploverhatch/platform/dialect.py
@@ -24,7 +24,7 @@
 LOG = PartLogger("platform")
 
 KEY_LIMIT = 65_536
-LEAVING_YES = b"1"
+LEAVING_VALUE = b"1"
 MAX_LOGGED_VALUES = 16  # distinct malformed values that are logged, each once
 _HOP_BY_HOP = frozenset(
     {
@@ -117,7 +117,7 @@
         if answer.status == 503:
             values = [value for name, value in answer.headers if name.lower() == names.RETRY_AFTER]
             backoff_s = max(map(self._backoff_s, values), default=0.0)
-        is_leaving = leaving is not None and leaving.strip() == LEAVING_YES
+        is_leaving = leaving is not None and leaving.strip() == LEAVING_VALUE
         return ServerNotice(is_leaving, backoff_s * 1000, self._limit_per_s(answered_id, answer))
 
     def _backoff_s(self, value: bytes) -> float:
