--- a/ploverhatch/cli/experiment_keys.py
+++ b/ploverhatch/cli/experiment_keys.py
@@ -5,7 +5,7 @@
 import click
 
 from ploverhatch.experiment.keys_report import KeyRow, markdown, plot
-from ploverhatch.experiment.keys_situations import SITUATIONS, WAYS
+from ploverhatch.experiment.keys_situations import SITUATIONS, VARIANTS
 from ploverhatch.experiment.keys_world import KeyWorld
 
 
@@ -18,9 +18,9 @@
 def experiment_keys(seeds: int, situation: tuple[str, ...], out: str | None) -> None:
     """Simulate the load of the shifted deployment under several strategies of key placement."""
     rows = [
-        KeyRow(name, way, KeyWorld(change(SITUATIONS[name], seed)).run())
+        KeyRow(name, variant, KeyWorld(change(SITUATIONS[name], seed)).run())
         for name in (situation or SITUATIONS)
-        for way, change in WAYS.items()
+        for variant, change in VARIANTS.items()
         for seed in range(1, seeds + 1)
     ]
     table = markdown(rows)
--- a/ploverhatch/experiment/keys_report.py
+++ b/ploverhatch/experiment/keys_report.py
@@ -18,7 +18,7 @@
     """The result of one run."""
 
     situation: str
-    way: str
+    variant: str
     tally: KeyTally
 
     @property
@@ -41,17 +41,17 @@
 
 
 def markdown(rows: Sequence[KeyRow]) -> str:
-    """Return a table of the credit by situation and way, as means over the seeds."""
-    ways = list(dict.fromkeys(row.way for row in rows))
+    """Return a table of the credit by situation and variant, as means over the seeds."""
+    variants = list(dict.fromkeys(row.variant for row in rows))
     lines = [
         "Part of the credit earned; in brackets late, turned away and lost, in 1,000, and moves.",
         "",
-        "| situation | " + " | ".join(ways) + " |",
-        "|" + "---|" * (1 + len(ways)),
+        "| situation | " + " | ".join(variants) + " |",
+        "|" + "---|" * (1 + len(variants)),
     ]
     for situation in dict.fromkeys(row.situation for row in rows):
         found = [row for row in rows if row.situation == situation]
-        cells = [_cell([row for row in found if row.way == way]) for way in ways]
+        cells = [_cell([row for row in found if row.variant == variant]) for variant in variants]
         lines.append(f"| {situation} | " + " | ".join(cells) + " |")
     return "\n".join([*lines, ""])
 
@@ -71,17 +71,17 @@
 
 
 def plot(rows: Sequence[KeyRow], path: Path) -> None:
-    """Plot the credit of each second, with a line per way and a panel per situation."""
+    """Plot the credit of each second, with a line per variant and a panel per situation."""
     situations = list(dict.fromkeys(row.situation for row in rows))
     figure, axes = pyplot.subplots(
         len(situations), 1, figsize=(8, 2 * len(situations)), squeeze=False, sharey=True
     )
     for panel, situation in zip(axes[:, 0], situations, strict=True):
-        for way in dict.fromkeys(row.way for row in rows):
-            found = [row for row in rows if (row.situation, row.way) == (situation, way)]
+        for variant in dict.fromkeys(row.variant for row in rows):
+            found = [row for row in rows if (row.situation, row.variant) == (situation, variant)]
             seconds = sorted({second for row in found for second in row.tally.by_second})
             values = [_mean(found, partial(_credit_at, second)) for second in seconds]
-            panel.plot(seconds, values, label=way)
+            panel.plot(seconds, values, label=variant)
         panel.set_title(situation, fontsize=8)
         panel.set_ylim(0.0, 1.0)
     axes[-1, 0].set_xlabel("seconds")
--- a/ploverhatch/experiment/keys_situations.py
+++ b/ploverhatch/experiment/keys_situations.py
@@ -1,4 +1,4 @@
-"""Registries of situations and of ways to place keys for `keys_world`, both by name."""
+"""Registries of situations and of variants of key placement for `keys_world`, both by name."""
 
 import math
 from collections.abc import Callable
@@ -17,40 +17,40 @@
     "silent servers": KeyScenario(slow=(SlowServers(10_000.0, 30_000.0, 0.3, math.inf),)),
 }
 
-Way = Callable[[KeyScenario, int], KeyScenario]
-WAYS: dict[str, Way] = {}
+Variant = Callable[[KeyScenario, int], KeyScenario]
+VARIANTS: dict[str, Variant] = {}
 
 
-def way(name: str) -> Callable[[Way], Way]:
-    """Return a decorator that registers a way under a name."""
+def variant(name: str) -> Callable[[Variant], Variant]:
+    """Return a decorator that registers a variant under a name."""
 
-    def add(change: Way) -> Way:
-        WAYS[name] = change
+    def add(change: Variant) -> Variant:
+        VARIANTS[name] = change
         return change
 
     return add
 
 
-@way("as it is")
+@variant("as it is")
 def as_it_is(scenario: KeyScenario, seed: int) -> KeyScenario:
     """Use the limits of the product."""
     return replace(scenario, seed=seed)
 
 
-@way("window of 3 s, any gap")
+@variant("window of 3 s, any gap")
 def any_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
     """Use rates over 3 s, and don't test whether a gap in load exceeds chance variation."""
     limits = PlanLimits(gap_deviations=0.0, window_s=3.0)
     return replace(scenario, seed=seed, limits=limits, window_ms=3000.0)
 
 
-@way("surer gap")
+@variant("surer gap")
 def surer_gap(scenario: KeyScenario, seed: int) -> KeyScenario:
     """Require a gap in load of four standard deviations."""
     return replace(scenario, seed=seed, limits=PlanLimits(gap_deviations=4.0))
 
 
-@way("dealt once")
+@variant("dealt once")
 def dealt_once(scenario: KeyScenario, seed: int) -> KeyScenario:
     """Assign equal ranges per slot once, and never rebalance."""
     return replace(scenario, seed=seed, limits=PlanLimits(high_utilisation=math.inf))
--- a/tests/unit/test_key_experiment.py
+++ b/tests/unit/test_key_experiment.py
@@ -7,7 +7,7 @@
 from click.testing import CliRunner
 
 from ploverhatch.cli.experiment_keys import experiment_keys
-from ploverhatch.experiment.keys_situations import SITUATIONS, WAYS
+from ploverhatch.experiment.keys_situations import SITUATIONS, VARIANTS
 from ploverhatch.experiment.keys_world import KeyScenario, KeyWorld, SlowServers
 
 SMALL = KeyScenario(servers=20, duration_ms=12_000.0)
@@ -33,8 +33,8 @@
 
 def test_evening_out_serves_more_than_equal_parts():
     scenario = replace(SMALL, load=0.8, duration_ms=20_000.0)
-    evened, _ = credit(WAYS["as it is"](scenario, 1))
-    equal, _ = credit(WAYS["dealt once"](scenario, 1))
+    evened, _ = credit(VARIANTS["as it is"](scenario, 1))
+    equal, _ = credit(VARIANTS["dealt once"](scenario, 1))
     assert evened > equal + 0.02
 
 
