--- a/ploverhatch/experiment/slots_policies.py
+++ b/ploverhatch/experiment/slots_policies.py
@@ -59,7 +59,7 @@
 
 
 @policy("by chance")
-class ByChance(Policy):
+class WeightedRandom(Policy):
     """Chooses a random server, weighted by speed."""
 
     def __init__(self, world: World) -> None:
@@ -73,7 +73,7 @@
 
 
 @policy("two choices, 500 ms old")
-class TwoChoices(ByChance):
+class TwoChoices(WeightedRandom):
     """Chooses the less loaded of two random servers, by a shared view of up to ``VIEW_AGE_MS``."""
 
     def __init__(self, world: World) -> None:
