--- a/ploverhatch/experiment/keys_report.py
+++ b/ploverhatch/experiment/keys_report.py
@@ -24,7 +24,7 @@
     @property
     def credit(self) -> float:
         """Fraction of the possible credit that was earned."""
-        return self.tally.credit / max(self.tally.asked, 1)
+        return self.tally.credit / max(self.tally.requests, 1)
 
     def credit_of(self, second: int) -> float:
         """Return the fraction of the credit earned by the requests of one second."""
@@ -60,9 +60,9 @@
     if not rows:
         return "-"
     parts = [
-        1000 * _mean(rows, lambda row: row.tally.late / max(row.tally.asked, 1)),
-        1000 * _mean(rows, lambda row: row.tally.rejected / max(row.tally.asked, 1)),
-        1000 * _mean(rows, lambda row: row.tally.unanswered / max(row.tally.asked, 1)),
+        1000 * _mean(rows, lambda row: row.tally.late / max(row.tally.requests, 1)),
+        1000 * _mean(rows, lambda row: row.tally.rejected / max(row.tally.requests, 1)),
+        1000 * _mean(rows, lambda row: row.tally.unanswered / max(row.tally.requests, 1)),
         _mean(rows, lambda row: row.tally.moves),
     ]
     return (
--- a/ploverhatch/experiment/keys_world.py
+++ b/ploverhatch/experiment/keys_world.py
@@ -123,7 +123,7 @@
 class KeyTally:
     """Counts of requests by their end, and of moves of keys."""
 
-    asked: int = 0
+    requests: int = 0
     credit: float = 0.0
     late: int = 0
     rejected: int = 0
@@ -247,8 +247,8 @@
 
     def _arrive(self) -> None:
         self._later(self._rng.expovariate(self.scenario.rate_per_ms), self._arrive)
-        self.tally.asked += 1
-        request = _Request(self.tally.asked, self._draw_key(), self.now_ms, self._draw_work())
+        self.tally.requests += 1
+        request = _Request(self.tally.requests, self._draw_key(), self.now_ms, self._draw_work())
         self._sampled.append(request.key)
         self._place(request)
 
--- a/ploverhatch/experiment/slots_report.py
+++ b/ploverhatch/experiment/slots_report.py
@@ -23,7 +23,7 @@
     @property
     def credit(self) -> float:
         """Fraction of the possible credit that was earned."""
-        return self.tally.credit / max(self.tally.asked, 1)
+        return self.tally.credit / max(self.tally.requests, 1)
 
     @property
     def goodput(self) -> float:
@@ -51,9 +51,9 @@
 def _cell(row: SlotRow | None) -> str:
     if row is None:
         return "-"
-    asked = max(row.tally.asked, 1)
-    rejected = 1000 * row.tally.rejected / asked
-    lost = 1000 * row.tally.never_answered / asked
+    requests = max(row.tally.requests, 1)
+    rejected = 1000 * row.tally.rejected / requests
+    lost = 1000 * row.tally.never_answered / requests
     return f"{row.credit:.3f} ({rejected:.0f}, {lost:.0f})"
 
 
--- a/ploverhatch/experiment/slots_world.py
+++ b/ploverhatch/experiment/slots_world.py
@@ -89,7 +89,7 @@
 class Tally:
     """Counts of requests by their end, and the credit earned."""
 
-    asked: int = 0
+    requests: int = 0
     credit: float = 0.0
     rejected: int = 0
     never_answered: int = 0
@@ -134,9 +134,9 @@
 
         def arrive() -> None:
             self.later(self.rng.expovariate(self.scenario.rate_per_ms), arrive)
-            self.tally.asked += 1
+            self.tally.requests += 1
             node = self.rng.randrange(self.scenario.nodes)
-            handle(Request(self.tally.asked, node, self.now_ms, self._draw_work()))
+            handle(Request(self.tally.requests, node, self.now_ms, self._draw_work()))
 
         self.later(0.0, arrive)
         while self._events and self._events[0][0] <= self.scenario.duration_ms:
--- a/tests/unit/test_key_experiment.py
+++ b/tests/unit/test_key_experiment.py
@@ -28,7 +28,7 @@
 def test_no_request_is_forgotten():
     _, tally = credit(SMALL)
     ended = sum(len(values) for values in tally.by_second.values())
-    assert tally.asked - 100 < ended <= tally.asked
+    assert tally.requests - 100 < ended <= tally.requests
 
 
 def test_evening_out_serves_more_than_equal_parts():
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("name", sorted(SITUATIONS))
 def test_each_situation_is_played(name):
     tally = KeyWorld(replace(SITUATIONS[name], duration_ms=600.0)).run()
-    assert tally.asked > 10
+    assert tally.requests > 10
 
 
 def test_the_command_prints_a_table():
--- a/tests/unit/test_slot_experiment.py
+++ b/tests/unit/test_slot_experiment.py
@@ -16,7 +16,7 @@
     scenario = replace(SCENARIO, **changes)
     world = World(scenario)
     tally = world.run(POLICIES[name](world).handle)
-    return tally.credit / tally.asked, tally
+    return tally.credit / tally.requests, tally
 
 
 @pytest.mark.parametrize("load", [0.5, 0.85, 1.0])
