--- a/ploverhatch/cli/emulator.py
+++ b/ploverhatch/cli/emulator.py
@@ -4,7 +4,7 @@
 
 from ploverhatch.cli.running import print_ready, run_until_signal, start_logging
 from ploverhatch.emulator.backend import BackendBehaviour, BackendEmulator
-from ploverhatch.emulator.hop import BareHop
+from ploverhatch.emulator.hop import BaselineProxy
 from ploverhatch.emulator.platform import PlatformEmulator
 
 
@@ -47,6 +47,6 @@
 def hop(host: str, port: int, target_port: int) -> None:
     """Run a hop without any routing, the baseline of `benchmarks/hop.py`."""
     start_logging(False)
-    service = BareHop((host, port), (host, target_port))
+    service = BaselineProxy((host, port), (host, target_port))
     print_ready(port=service.port)
     run_until_signal(service.close)
--- a/ploverhatch/emulator/hop.py
+++ b/ploverhatch/emulator/hop.py
@@ -19,7 +19,7 @@
 _HOP_HEADERS = frozenset({"host", "connection", "content-length", "transfer-encoding", "date"})
 
 
-class BareHop(Service):
+class BaselineProxy(Service):
     """Forwards every request to one target address."""
 
     def __init__(self, address: tuple[str, int], target: tuple[str, int]) -> None:
