--- a/ploverhatch/simulation/availability.py
+++ b/ploverhatch/simulation/availability.py
@@ -78,11 +78,14 @@
 def lose_zone(cluster: Cluster) -> set[str]:
     """Cut a zone off in both directions; the keys of its servers are affected."""
     cut_zone(cluster)
-    zone = next(source for source, _ in cluster.world.faults.cuts)
+    zone = next(source for source, _ in cluster.world.faults.blocked_links)
     isolated = {
         name
         for name, server in cluster.servers.items()
-        if all((server.zone, other) in cluster.world.faults.cuts for other in _others(server.zone))
+        if all(
+            (server.zone, other) in cluster.world.faults.blocked_links
+            for other in _others(server.zone)
+        )
     }
     assert zone
     return isolated
@@ -158,11 +161,11 @@
     answers: dict[tuple[str, int], list[float]],
     failed: list[int],
 ) -> None:
-    cuts = cluster.world.faults.cuts
+    blocked = cluster.world.faults.blocked_links
     usable = [
         name
         for name, node in cluster.nodes.items()
-        if node.alive and not all((node.zone, other) in cuts for other in _others(node.zone))
+        if node.alive and not all((node.zone, other) in blocked for other in _others(node.zone))
     ]
     name = cluster.world.random.choice(usable)
 
--- a/ploverhatch/simulation/faults.py
+++ b/ploverhatch/simulation/faults.py
@@ -62,10 +62,10 @@
 
 
 def _cut(cluster: Cluster, pairs: set[tuple[str, str]]) -> Callable[[], None]:
-    cluster.world.faults.cuts |= pairs
+    cluster.world.faults.blocked_links |= pairs
 
     def heal() -> None:
-        cluster.world.faults.cuts -= pairs
+        cluster.world.faults.blocked_links -= pairs
 
     return heal
 
@@ -96,10 +96,10 @@
 def lossy_network(cluster: Cluster) -> Callable[[], None]:
     """Lose, duplicate and delay messages."""
     faults = cluster.world.faults
-    faults.loss, faults.repeat, faults.late = 0.05, 0.05, 0.02
+    faults.loss, faults.duplication, faults.extra_delay = 0.05, 0.05, 0.02
 
     def heal() -> None:
-        faults.loss = faults.repeat = faults.late = 0.0
+        faults.loss = faults.duplication = faults.extra_delay = 0.0
 
     return heal
 
@@ -194,8 +194,8 @@
     world = cluster.world
     world.run_until(SETTLE_MS + FAULTY_MS)
     cluster.platform.up = True
-    world.faults.cuts.clear()
-    world.faults.loss = world.faults.repeat = world.faults.late = 0.0
+    world.faults.blocked_links.clear()
+    world.faults.loss = world.faults.duplication = world.faults.extra_delay = 0.0
     world.run_until(SETTLE_MS + FAULTY_MS + HEAL_MS)
     since_ms = world.now_ms
     keys = cluster.request_every_key()
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -134,10 +134,10 @@
 
     def _evidence(self, node_id: str) -> Evidence:
         current = self.cluster.nodes.get(node_id.split("/", maxsplit=1)[0])
-        cuts = self.world.faults.cuts
+        blocked = self.world.faults.blocked_links
         if current is None:
             return Evidence.REFUSED
-        if (self.zone, current.zone) in cuts or (current.zone, self.zone) in cuts:
+        if (self.zone, current.zone) in blocked or (current.zone, self.zone) in blocked:
             return Evidence.SILENT
         if current.node_id == node_id:
             return Evidence.SILENT if current.frozen else self._compare_logs(current)
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -17,10 +17,11 @@
     """Probabilities of message faults, and blocked pairs of zones."""
 
     loss: float = 0.0
-    repeat: float = 0.0
-    late: float = 0.0  # probability of an extra delay of up to ``late_ms``, as by a paused sender
-    late_ms: float = 4000.0
-    cuts: set[tuple[str, str]] = field(default_factory=set)  # (from zone, to zone)
+    duplication: float = 0.0
+    # Probability of an extra delay of up to ``max_extra_delay_ms``, as by a paused sender.
+    extra_delay: float = 0.0
+    max_extra_delay_ms: float = 4000.0
+    blocked_links: set[tuple[str, str]] = field(default_factory=set)  # (from zone, to zone)
 
 
 class World:
@@ -57,19 +58,19 @@
             delayed, but never arrives twice.
         """
         self.messages += 1
-        if (source_zone, target_zone) in self.faults.cuts:
+        if (source_zone, target_zone) in self.faults.blocked_links:
             return
         if self.random.random() < self.faults.loss:
             return
         self.after(self._delay(source_zone, target_zone), deliver)
-        if repeatable and self.random.random() < self.faults.repeat:
+        if repeatable and self.random.random() < self.faults.duplication:
             self.after(self._delay(source_zone, target_zone) * 3, deliver)
 
     def _delay(self, source_zone: str, target_zone: str) -> float:
         base = self.local_delay_ms if source_zone == target_zone else self.zone_delay_ms
         delay = base * (0.8 + 0.6 * self.random.random())
-        if self.random.random() < self.faults.late:
-            delay += self.random.random() * self.faults.late_ms
+        if self.random.random() < self.faults.extra_delay:
+            delay += self.random.random() * self.faults.max_extra_delay_ms
         return delay
 
 
