--- a/tests/functional/test_ends_seen_later.py
+++ b/tests/functional/test_ends_seen_later.py
@@ -36,7 +36,7 @@
 
 def test_another_server_at_the_address_shows_a_crash_of_the_one_before(bench):
     upstream = bench.add_server()
-    upstream.crashed = lambda crashed: Upstream("next", port=crashed.address.port)
+    upstream.on_crash = lambda crashed: Upstream("next", port=crashed.address.port)
     assert bench.ask(b"/once/a", headers=CRASHES).status == 502
     assert bench.quarantine.crashes == 0
     bench.ask(b"/once/b")
--- a/tests/functional/test_quarantine.py
+++ b/tests/functional/test_quarantine.py
@@ -461,7 +461,7 @@
     """Guards against a check that takes the next incarnation at the port for the crashed one."""
     for _ in range(3):
         upstream = bench.add_server()
-        upstream.crashed = lambda crashed: Upstream(
+        upstream.on_crash = lambda crashed: Upstream(
             f"{crashed.server_id}-next", port=crashed.address.port
         )
         assert bench.ask(b"/once/a", headers=CRASHES).status == 502
--- a/tests/functional/test_requests_that_end_servers.py
+++ b/tests/functional/test_requests_that_end_servers.py
@@ -237,7 +237,7 @@
         plain = [upstream for upstream in alive if upstream.service != KEYED]
         for upstream in plain[: len(plain) // 3]:
             upstream.crash()
-            upstream.crashed(upstream)
+            upstream.on_crash(upstream)
     gevent.sleep(1.0)
     gevent.killall(tasks)
     asked = [sent for caller in popular for sent in caller.asked]
--- a/tests/standin/site.py
+++ b/tests/standin/site.py
@@ -121,7 +121,7 @@
         return elapsed_ms()
 
 
-class JudgedUpstream(Upstream):
+class RecordedUpstream(Upstream):
     """An upstream whose key holdings are recorded by the simulation's key server."""
 
     def __init__(self, server_id, journal, **changes):
@@ -355,12 +355,12 @@
             "incarnation": incarnation,
         }
         if service == KEYED:
-            upstream = JudgedUpstream(name, self.journal, **changes)
+            upstream = RecordedUpstream(name, self.journal, **changes)
         else:
             upstream = Upstream(name, **changes)
         upstream.service = service
         upstream.behaviour.work_s = 0.01
-        upstream.crashed = self._upstream_crashed
+        upstream.on_crash = self._upstream_crashed
         self.upstreams[incarnation] = upstream
         self.store.put("servers", name, *upstream.record(service))
         return upstream
--- a/tests/standin/upstream.py
+++ b/tests/standin/upstream.py
@@ -66,7 +66,7 @@
     born: int = 0  # Unix milliseconds of its start; 0: not in its record
     port: int = 0  # 0: any free port
     incarnation: str = ""  # differs from other incarnations of the same id
-    crashed: Callable = lambda upstream: None  # called when a request crashes the upstream
+    on_crash: Callable = lambda upstream: None  # called when a request crashes the upstream
 
     def __post_init__(self):
         self.incarnation = self.incarnation or self.server_id
@@ -187,7 +187,7 @@
     def _crash_during_request(self):
         gevent.sleep(self.behaviour.crash_after_s)
         self.crash()
-        self.crashed(self)
+        self.on_crash(self)
         raise ConnectionResetError
 
     def _work(self, request, headers):
