--- a/tests/functional/test_copies_that_end_servers.py
+++ b/tests/functional/test_copies_that_end_servers.py
@@ -34,31 +34,31 @@
 
 CALLERS = 60
 INTERVAL_S = 0.15
-LENGTH_S = 16.0
+DURATION_S = 16.0
 KEY = 1365
 PROPAGATION_S = 3.0  # from the third copy that ran until all gateways must know
 MAX_LATE = 3  # sends to servers after that
 MAX_CRASHED = PLAIN_UPSTREAMS // 2  # Half of the servers can carry the service.
 
 
-def send_at_rate(caller, gateways, rng, interval_s, length_s):
+def send_at_rate(caller, gateways, rng, interval_s, duration_s):
     """Send about every ``interval_s`` to a random gateway, without waiting for answers."""
     gevent.sleep(rng.uniform(0.0, interval_s))
-    with gevent.Timeout(length_s, False):
+    with gevent.Timeout(duration_s, False):
         for _ in count():
             gevent.spawn(caller.ask, rng.choice(gateways))
             gevent.sleep(interval_s * rng.uniform(0.8, 1.2))
 
 
 def send_from_many(
-    scenario, seed, callers=CALLERS, interval_s=INTERVAL_S, length_s=LENGTH_S, **request
+    scenario, seed, callers=CALLERS, interval_s=INTERVAL_S, duration_s=DURATION_S, **request
 ):
     """Have many callers with distinct addresses send the same request."""
     rng = random.Random(seed)
     made = [Caller(f"c{n}", address=f"127.0.1.{n + 1}", **request) for n in range(callers)]
     gevent.joinall(
         [
-            gevent.spawn(send_at_rate, caller, scenario.site.gateways, rng, interval_s, length_s)
+            gevent.spawn(send_at_rate, caller, scenario.site.gateways, rng, interval_s, duration_s)
             for caller in made
         ]
     )
@@ -109,7 +109,9 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_request_that_any_server_may_run_leaves_half_of_the_servers(scenario, seed):
     scenario.begin_others()
-    callers = send_from_many(scenario, seed, path="/read/killer", crashes_server=True, length_s=8.0)
+    callers = send_from_many(
+        scenario, seed, path="/read/killer", crashes_server=True, duration_s=8.0
+    )
     assert_few_late(scenario, callers)
     assert len(scenario.crash_times()) <= MAX_CRASHED
 
--- a/tests/functional/test_requests_that_end_servers.py
+++ b/tests/functional/test_requests_that_end_servers.py
@@ -24,7 +24,7 @@
 MAX_LATE = 3  # sends to servers after that
 INTERVAL_S = 0.38
 KEYED_INTERVAL_S = 1.2  # After each crash its keys have no holder for some seconds.
-LENGTH_S = 14.0
+DURATION_S = 14.0
 START_LIMIT_S = 15.0
 FREEZE_S = 4.0
 ANSWER_LIMIT_S = 0.25  # A refusal must not take longer.
@@ -52,12 +52,14 @@
         gateways = self.site.gateways
         self.tasks = [gevent.spawn(other.ask_forever, gateways) for other in self.others]
 
-    def send_in_turn(self, crashing_caller, interval_s=INTERVAL_S, length_s=LENGTH_S, events=()):
+    def send_in_turn(
+        self, crashing_caller, interval_s=INTERVAL_S, duration_s=DURATION_S, events=()
+    ):
         """Send a request repeatedly, to each gateway in turn."""
         start_s = elapsed_ms() / 1000
         later = [gevent.spawn_later(after_s, task) for after_s, task in events]
         for number in count():
-            if elapsed_ms() / 1000 - start_s > length_s:
+            if elapsed_ms() / 1000 - start_s > duration_s:
                 break
             gevent.spawn(crashing_caller.ask, self.site.gateways[number % GATEWAYS])
             gevent.sleep(interval_s)
@@ -149,7 +151,7 @@
 
 def test_a_gateway_that_starts_without_a_leader_knows_of_a_quarantine(scenario):
     crashing_caller = make_crashing_caller()
-    scenario.send_in_turn(crashing_caller, length_s=5.0)
+    scenario.send_in_turn(crashing_caller, duration_s=5.0)
     leader = scenario.site.leader()
     started = next(gateway for gateway in scenario.site.gateways if gateway is not leader)
     leader.kill()
@@ -164,7 +166,7 @@
 def test_a_machine_that_has_just_started_sends_none_on(scenario):
     """The gateway gets requests as soon as it accepts connections."""
     crashing_caller = make_crashing_caller()
-    scenario.send_in_turn(crashing_caller, length_s=4.0)
+    scenario.send_in_turn(crashing_caller, duration_s=4.0)
     before = len(scenario.arrivals(crashing_caller))
     for gateway in scenario.site.gateways[:2]:
         gateway.kill()
@@ -181,7 +183,7 @@
 def test_it_is_known_after_all_machines_were_lost_at_once(scenario):
     """Guards against quarantines that are not stored, where three more servers crashed."""
     crashing_caller = make_crashing_caller()
-    scenario.send_in_turn(crashing_caller, length_s=5.0)
+    scenario.send_in_turn(crashing_caller, duration_s=5.0)
     assert QUARANTINED in crashing_caller.ask(scenario.site.gateways[0]).head
     gevent.sleep(SAVED_S)
     before = len(scenario.arrivals(crashing_caller))
@@ -199,7 +201,7 @@
 def test_a_quarantine_of_keyed_requests_holds_for_each_next_holder(scenario):
     crashing_caller = make_crashing_caller(path="/kread/killer", key=1365)
     scenario.await_service(Caller("keyed", "/kread/a", key=1365))
-    scenario.send_in_turn(crashing_caller, interval_s=KEYED_INTERVAL_S, length_s=26.0)
+    scenario.send_in_turn(crashing_caller, interval_s=KEYED_INTERVAL_S, duration_s=26.0)
     assert scenario.late_arrivals(crashing_caller) == []
 
 
@@ -215,7 +217,7 @@
 
 def test_other_bodies_callers_and_methods_on_the_same_path_are_served(scenario):
     crashing_caller = make_crashing_caller(body=b"one", method="POST")
-    scenario.send_in_turn(crashing_caller, length_s=5.0)
+    scenario.send_in_turn(crashing_caller, duration_s=5.0)
     gateways = scenario.site.gateways
     assert QUARANTINED in crashing_caller.ask(gateways[0]).head
     near = [
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -42,14 +42,14 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
 from tests.standin.clients import Load
-from tests.standin.fault_injection import FAULT_LENGTH_S, FaultKinds, Faults, PlannedWork
+from tests.standin.fault_injection import FAULT_DURATION_S, FaultKinds, Faults, PlannedWork
 from tests.standin.site import PORTS_VARIABLE, StandinSite
 from tests.standin.verdict import Verdict, judge_soak
 
 DRAWN_GATEWAYS = (3, 4, 6, 8, 12)
 CLIENTS = (18, 4, 96)  # minimum, number for each gateway, maximum
 START_LIMIT_S = 60.0
-SETTLE_S = FAULT_LENGTH_S[1] + 3.0
+SETTLE_S = FAULT_DURATION_S[1] + 3.0
 RECOVERY_LIMIT_S = 40.0
 RECOVERY_CALLS = 8  # concurrent requests
 SEED_MARGIN_S = 180.0  # time limit of one seed beyond the time of its faults
--- a/tests/standin/fault_injection.py
+++ b/tests/standin/fault_injection.py
@@ -23,7 +23,7 @@
 BACKGROUND_PAUSE_S = (0.2, 1.0)
 RETRY_SLACKS = (20.0, 50.0, 80.0)
 FAULT_PAUSE_S = (0.3, 2.5)
-FAULT_LENGTH_S = (0.5, 6.0)
+FAULT_DURATION_S = (0.5, 6.0)
 BACKOFF_S = (0.8, 4.0)  # that an upstream asks for
 OUTAGE_S = (0.1, 1.5)  # of the store before a restore
 LIMITS_PER_S = (1.0, 8.0)  # requests per second that an upstream accepts
@@ -32,8 +32,8 @@
 CRASHING_PAUSE_S = (0.3, 3.0)  # between repeats of a request that crashes servers
 CONCURRENT_CALLERS = (8, 40)
 CONCURRENT_PAUSE_S = 0.2  # between requests of each caller
-CONCURRENT_LENGTH_S = 10.0  # long enough for the keys to move to their next holder
-CRASHING_LENGTH_S = (4.0, 16.0)
+CONCURRENT_DURATION_S = 10.0  # long enough for the keys to move to their next holder
+CRASHING_DURATION_S = (4.0, 16.0)
 
 
 @dataclass(frozen=True)
@@ -173,11 +173,11 @@
             self.seen[kind.__name__] += 1
             kind()
 
-    def _length_s(self):
-        return self.random.uniform(*FAULT_LENGTH_S)
+    def _duration_s(self):
+        return self.random.uniform(*FAULT_DURATION_S)
 
     def later(self, task, *arguments):
-        gevent.spawn_later(self._length_s(), task, *arguments)
+        gevent.spawn_later(self._duration_s(), task, *arguments)
 
     def _gateway(self):
         return self.random.choice(self.site.gateways)
@@ -197,7 +197,7 @@
             self.later(self.restart, gateway)
 
     def freeze(self):
-        self._gateway().incarnation.freeze(self._length_s())
+        self._gateway().incarnation.freeze(self._duration_s())
 
     def stop(self):
         self.planned.stop(self._gateway(), self.random.uniform(*RESTART_PAUSE_S))
@@ -248,23 +248,23 @@
 
     def _send_concurrently(self, caller, rng):
         gevent.sleep(rng.uniform(0.0, CONCURRENT_PAUSE_S))
-        end_s = elapsed_ms() / 1000 + CONCURRENT_LENGTH_S
+        end_s = elapsed_ms() / 1000 + CONCURRENT_DURATION_S
         while elapsed_ms() / 1000 < end_s:
             gevent.spawn(caller.ask, rng.choice(self.site.gateways))
             gevent.sleep(CONCURRENT_PAUSE_S * rng.uniform(0.8, 1.2))
 
     def _repeat(self, caller, rng):
-        end_s = elapsed_ms() / 1000 + rng.uniform(*CRASHING_LENGTH_S)
+        end_s = elapsed_ms() / 1000 + rng.uniform(*CRASHING_DURATION_S)
         while elapsed_ms() / 1000 < end_s:
             gevent.spawn(caller.ask, rng.choice(self.site.gateways))
             gevent.sleep(rng.uniform(*CRASHING_PAUSE_S))
 
     def _store_fault(self, name, value, healed):
-        now_s, length_s = elapsed_ms() / 1000, self._length_s()
-        self.site.store_faults.append((now_s, now_s + length_s))
+        now_s, duration_s = elapsed_ms() / 1000, self._duration_s()
+        self.site.store_faults.append((now_s, now_s + duration_s))
         setattr(self.site.store.faults, name, value)
         self.site.store.wake()
-        gevent.spawn_later(length_s, setattr, self.site.store.faults, name, healed)
+        gevent.spawn_later(duration_s, setattr, self.site.store.faults, name, healed)
 
     def store_refuses(self):
         self._store_fault("refuse", self.random.choice([429, 503]), 0)
--- a/tests/standin/site.py
+++ b/tests/standin/site.py
@@ -199,12 +199,12 @@
         while self.alive:
             gevent.sleep(POLL_S)
 
-    def freeze(self, length_s):
+    def freeze(self, duration_s):
         """Stop the process for a time with SIGSTOP and SIGCONT."""
         now_s = elapsed_ms() / 1000
-        self.faults.append((now_s, now_s + length_s))
+        self.faults.append((now_s, now_s + duration_s))
         self.signal(signal.SIGSTOP)
-        gevent.spawn_later(length_s, self.signal, signal.SIGCONT)
+        gevent.spawn_later(duration_s, self.signal, signal.SIGCONT)
 
     def kill(self):
         """Kill the process with SIGKILL."""
