--- a/tests/functional/test_answers_around_a_stop.py
+++ b/tests/functional/test_answers_around_a_stop.py
@@ -19,7 +19,7 @@
 from ploverhatch.gateway.messages import CallerReply
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
 from tests.functional.test_gateway import Site, start_site, until
-from tests.standin.clients import End, Habit, Load
+from tests.standin.clients import ConnectionMode, End, Load
 from tests.standin.site import GRACE_S, PLAIN, StandinSite
 
 GATEWAYS = 4
@@ -40,15 +40,15 @@
     made.close()
 
 
-class FewHabits(Load):
-    """Clients of some habits only, which prefer processes that stop."""
+class LoadWithModes(Load):
+    """Clients of some modes only, which prefer processes that stop."""
 
-    def __init__(self, site, habits):
+    def __init__(self, site, modes):
         super().__init__(site, "habits")
-        self.habits = habits
+        self.modes = modes
 
-    def habit(self, number):
-        return self.habits[number % len(self.habits)]
+    def mode(self, number):
+        return self.modes[number % len(self.modes)]
 
 
 def dispatcher_of(site):
@@ -81,9 +81,9 @@
     return site.gateways
 
 
-def serve_around_stop(site, habits, chosen):
+def serve_around_stop(site, modes, chosen):
     """Run clients while some processes stop; return the load with its requests."""
-    load = FewHabits(site, habits)
+    load = LoadWithModes(site, modes)
     with gevent.Timeout(START_LIMIT_S):
         while not all(
             load.ask(gateway, key) == 200
@@ -108,7 +108,7 @@
     arrived = {name for name, _, _ in site.arrivals()}
     ended = [sent for sent in load.requests if sent.end is not None]
     return [
-        f"{sent.name} {sent.habit.value} {sent.end_s - (sent.incarnation.stop_s or 0.0):+.2f} s"
+        f"{sent.name} {sent.mode.value} {sent.end_s - (sent.incarnation.stop_s or 0.0):+.2f} s"
         for sent in ended
         if sent.end is not End.ANSWERED and sent.name in arrived
     ]
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize("chosen", [one, leader_and_dispatcher, all_but_one, whole_zone])
 def test_no_request_that_a_server_got_is_left_without_its_answer(standin, chosen):
-    load = serve_around_stop(standin, [Habit.ONCE, Habit.KEEPS], chosen)
+    load = serve_around_stop(standin, [ConnectionMode.ONCE, ConnectionMode.KEEPS], chosen)
     assert unanswered(standin, load) == []
     assert sum(sent.status == 200 for sent in load.requests) > 100
     busy = [
@@ -140,7 +140,7 @@
 
     The end of the caller's bytes was taken for a disconnect.
     """
-    load = serve_around_stop(standin, [Habit.ENDS_SENDING], one)
+    load = serve_around_stop(standin, [ConnectionMode.ENDS_SENDING], one)
     ended = [sent for sent in load.requests if sent.end is not None]
     assert cut_short(ended) == []
     assert sum(sent.status == 200 for sent in ended) > 100
@@ -151,7 +151,7 @@
 
     The dropped request reached no server, but its caller can't know that.
     """
-    load = serve_around_stop(standin, [Habit.PAIRS], one)
+    load = serve_around_stop(standin, [ConnectionMode.PAIRS], one)
     stopped = next(gateway for gateway in standin.gateways if gateway.incarnations[0].stop_s)
     first, ended = stopped.incarnations[0], [sent for sent in load.requests if sent.end is not None]
     under_stop = [sent for sent in ended if sent.incarnation is first and sent.end_s > first.stop_s]
--- a/tests/standin/clients.py
+++ b/tests/standin/clients.py
@@ -36,7 +36,7 @@
 MAX_BODY_BYTES = 2000
 
 
-class Habit(Enum):
+class ConnectionMode(Enum):
     """How a client uses its connections."""
 
     ONCE = "once"  # one request per connection
@@ -45,12 +45,12 @@
     PAIRS = "pairs"  # sends a second request before the answer to the first
 
 
-# Habits of the clients of a soak, assigned in rotation.
-HABITS = [
-    Habit.ONCE, Habit.KEEPS, Habit.ONCE, Habit.KEEPS,
-    Habit.ENDS_SENDING, Habit.KEEPS, Habit.ONCE, Habit.PAIRS,
+# Modes of the clients of a soak, assigned in rotation.
+CONNECTION_MODES = [
+    ConnectionMode.ONCE, ConnectionMode.KEEPS, ConnectionMode.ONCE, ConnectionMode.KEEPS,
+    ConnectionMode.ENDS_SENDING, ConnectionMode.KEEPS, ConnectionMode.ONCE, ConnectionMode.PAIRS,
 ]  # fmt: skip
-KEEPING = {Habit.KEEPS, Habit.PAIRS}
+KEEPING = {ConnectionMode.KEEPS, ConnectionMode.PAIRS}
 
 
 class End(Enum):
@@ -76,7 +76,7 @@
     status: int = NO_ANSWER
     body: bytes = b""
     result: bytes = b""  # result code of an answer of the gateway itself
-    habit: Habit = Habit.ONCE
+    mode: ConnectionMode = ConnectionMode.ONCE
     payload: bytes = field(default=b"", repr=False)
     limit_s: float = 0.0
 
@@ -164,14 +164,14 @@
             sent.name: (sent.status, sent.body) for sent in self.requests if sent.end is not None
         }
 
-    def habit(self, number):
-        """Return the habit of the client with this number."""
-        return HABITS[number % len(HABITS)]
+    def mode(self, number):
+        """Return the mode of the client with this number."""
+        return CONNECTION_MODES[number % len(CONNECTION_MODES)]
 
     def run(self, number):
-        """Send requests with the habit of the client with this number, until killed."""
+        """Send requests with the mode of the client with this number, until killed."""
         rng = random.Random(f"{self.seed} client {number}")
-        habit = self.habit(number)
+        mode = self.mode(number)
         connection = None
         while True:
             gevent.sleep(rng.uniform(*PAUSE_S))
@@ -180,11 +180,11 @@
             if connection is None:
                 gevent.sleep(REFUSED_PAUSE_S)
                 continue
-            count = 2 if habit is Habit.PAIRS else 1
+            count = 2 if mode is ConnectionMode.PAIRS else 1
             self._exchange(
-                connection, [self._draw(connection, rng, habit) for _ in range(count)], habit
+                connection, [self._draw(connection, rng, mode) for _ in range(count)], mode
             )
-            if not (habit in KEEPING and connection.reusable):
+            if not (mode in KEEPING and connection.reusable):
                 connection.close()
                 connection = None
 
@@ -201,14 +201,14 @@
             self.refused += 1
             return None
 
-    def _draw(self, connection, rng, habit):
+    def _draw(self, connection, rng, mode):
         key = rng.choice(SAMPLE_KEYS) if rng.random() < KEYED_FRACTION else None
         path = "/p/a" if key is None else "/k/a"
         span_ms, deadline_ms = rng.choices(WORK, WORK_WEIGHTS)[0]
         if deadline_ms == SLOW_DEADLINE_MS:
             path, key = "/slow/a", None
         body = b"b" * rng.randint(0, MAX_BODY_BYTES)
-        return self._make(connection, path, key, rng.randint(*span_ms), deadline_ms, habit, body)
+        return self._make(connection, path, key, rng.randint(*span_ms), deadline_ms, mode, body)
 
     def ask(self, gateway, key):
         """Send one short request on a new connection and return its status."""
@@ -218,12 +218,14 @@
         path = "/p/a" if key is None else "/k/a"
         sent = self._make(connection, path, key, 10, 2000)
         try:
-            self._exchange(connection, [sent], sent.habit)
+            self._exchange(connection, [sent], sent.mode)
         finally:
             connection.close()
         return sent.status
 
-    def _make(self, connection, path, key, work_ms, deadline_ms, habit=Habit.ONCE, body=b""):
+    def _make(
+        self, connection, path, key, work_ms, deadline_ms, mode=ConnectionMode.ONCE, body=b""
+    ):
         """Build and record a request that is about to be sent."""
         name = f"r{len(self.requests) + 1}"
         rows = [
@@ -231,21 +233,21 @@
             f"Request-Deadline-Ms: {deadline_ms}", f"Work-Ms: {work_ms}",
             f"Content-Length: {len(body)}",
         ]  # fmt: skip
-        rows += ["Connection: close"] if habit is Habit.ONCE else []
+        rows += ["Connection: close"] if mode is ConnectionMode.ONCE else []
         rows += [] if key is None else [f"Shard-Key: {key}"]
         payload = "".join(f"{row}\r\n" for row in [*rows, ""]).encode() + body
         now_s, keyed = elapsed_ms() / 1000, key is not None
         sent = SentRequest(name, connection.incarnation, connection.used, work_ms, now_s, keyed)
-        sent.payload, sent.habit = payload, habit
+        sent.payload, sent.mode = payload, mode
         sent.limit_s = deadline_ms / 1000 + ANSWER_MARGIN_S
         self.requests.append(sent)
         return sent
 
-    def _exchange(self, connection, requests, habit):
+    def _exchange(self, connection, requests, mode):
         """Send requests at once, then read their answers in order."""
         try:
             connection.send(b"".join(sent.payload for sent in requests))
-            if habit is Habit.ENDS_SENDING:
+            if mode is ConnectionMode.ENDS_SENDING:
                 connection.end_sending()
         except OSError:
             pass  # reading the answer shows whether the requests arrived
--- a/tests/standin/verdict.py
+++ b/tests/standin/verdict.py
@@ -150,7 +150,7 @@
     since_s = sent.incarnation.stop_s or sent.incarnation.start_s
     verdict.found.append(
         f"{sent.name} was {sent.end.value} without an answer, and reached no upstream: "
-        f"{sent.incarnation.node}, {sent.habit.value}, "
+        f"{sent.incarnation.node}, {sent.mode.value}, "
         f"{'kept' if sent.kept else 'new'} connection, "
         f"sent {sent.sent_s - since_s:+.2f} s, ended {sent.end_s - since_s:+.2f} s from "
         f"{'SIGTERM' if sent.incarnation.stop_s else 'its start'}"
