--- a/ploverhatch/simulation/faults.py
+++ b/ploverhatch/simulation/faults.py
@@ -36,14 +36,14 @@
 
 
 def freeze_node(cluster: Cluster) -> Callable[[], None]:
-    """Pause a node and resume it later."""
+    """Freeze a node and thaw it later."""
     node = cluster.nodes[_random_node(cluster)]
     node.freeze()
     return node.thaw
 
 
 def freeze_leader(cluster: Cluster) -> Callable[[], None]:
-    """Pause the leader and resume it later."""
+    """Freeze the leader and thaw it later."""
     node = cluster.nodes[_leader(cluster)]
     node.freeze()
     return node.thaw
@@ -55,7 +55,7 @@
 
 
 def freeze_server(cluster: Cluster) -> Callable[[], None]:
-    """Pause a server and resume it later with its state."""
+    """Freeze a server and thaw it later with its state."""
     server = cluster.servers[_random_server(cluster)]
     server.freeze()
     return server.thaw
--- a/ploverhatch/simulation/keys/faults.py
+++ b/ploverhatch/simulation/keys/faults.py
@@ -74,7 +74,7 @@
 
 
 def freeze_leader(cell: KeyCell) -> Heal:
-    """Pause the leader and resume it later."""
+    """Freeze the leader and thaw it later."""
     node = cell.nodes[_leader_or_random(cell)]
     node.freeze()
     return node.thaw
--- a/ploverhatch/simulation/keys/node.py
+++ b/ploverhatch/simulation/keys/node.py
@@ -249,7 +249,7 @@
         promoted: frozenset[int],
         sent_ms: float,
     ) -> None:
-        """Apply a beacon; a process that was paused applies it late and accounts for its age."""
+        """Apply a beacon; a process that was frozen applies it late and accounts for its age."""
 
         def apply() -> None:
             if lease_revision < self.state.relayed_revision:
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -1,7 +1,7 @@
 """A simulated router: attempts and idempotency records in virtual time.
 
 Some lookups are stale on purpose: with probability ``STALE_LOOKUP`` the router uses an owner
-that it found earlier, as a router that was paused or cut off would.
+that it found earlier, as a router that was frozen or cut off would.
 """
 
 from collections.abc import Callable
--- a/ploverhatch/simulation/world.py
+++ b/ploverhatch/simulation/world.py
@@ -18,7 +18,7 @@
 
     loss: float = 0.0
     duplication: float = 0.0
-    # Probability of an extra delay of up to ``max_extra_delay_ms``, as by a paused sender.
+    # Probability of an extra delay of up to ``max_extra_delay_ms``, as by a frozen sender.
     extra_delay: float = 0.0
     max_extra_delay_ms: float = 4000.0
     blocked_links: set[tuple[str, str]] = field(default_factory=set)  # (from zone, to zone)
@@ -142,17 +142,17 @@
         self._backlog.clear()
 
     def freeze(self) -> None:
-        """Pause the process."""
+        """Queue the tasks of the process instead of running them, until it is thawed."""
         self.frozen = True
 
     def suspend(self) -> None:
-        """Pause the process by a suspension of its machine, which stops its timers too."""
+        """Freeze the process by a suspension of its machine, which stops its timers too."""
         self.freeze()
         if self._suspended_at_ms is None:
             self._suspended_at_ms = self.world.now_ms
 
     def thaw(self) -> None:
-        """Resume the process and run its queued tasks."""
+        """End a freeze or a suspension, and run the queued tasks."""
         self._past_suspensions_ms, self._suspended_at_ms = self.suspended_ms, None
         self.frozen = False
         backlog, self._backlog = self._backlog, []
