--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -332,7 +332,7 @@
         if record is not None:
             self.directory.put_server(record)
         else:
-            # The record is gone, or replaced by an entry of a foreign writer.
+            # The record is gone, or replaced by a malformed entry of another writer.
             self.directory.remove_server(change.object.name)
         return True
 
--- a/ploverhatch/platform/pages.py
+++ b/ploverhatch/platform/pages.py
@@ -1,7 +1,8 @@
 """Parses answers of the metadata store: objects, pages of a listing, and reports of a watch.
 
-An object may come from a foreign writer. A malformed object keeps its name and revision and
-loses its content, so that its readers reject it and the other objects of the answer are used.
+An object may come from a *foreign writer*, which is any writer of the store other than a gateway.
+A malformed object keeps its name and revision and loses its content, so that its readers reject it
+and the other objects of the answer are used.
 """
 
 import io
--- a/tests/functional/test_nested_entries.py
+++ b/tests/functional/test_nested_entries.py
@@ -1,4 +1,4 @@
-"""An entry of a foreign writer that is nested too deeply for a parser, beside valid entries.
+"""An entry of another writer that is nested too deeply for a parser, beside valid entries.
 
 Guards against one such entry hiding all others: gateways that ran kept their old servers and
 could not serve a service once its servers had been replaced, and a gateway that started served
--- a/tests/functional/test_odd_entries.py
+++ b/tests/functional/test_odd_entries.py
@@ -1,4 +1,4 @@
-"""Malformed entries of a foreign writer are no servers, and leave all other entries in use.
+"""Malformed entries of another writer are no servers, and leave all other entries in use.
 
 Guards against an entry that is read without a check of its form. One entry whose spec was a list
 stopped the task that follows all servers, so that every node refused every request. Servers whose
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -16,7 +16,7 @@
 
 With ``--planned`` there is planned work only. With ``--sound-store`` the store has no faults, so
 that more of the behaviour of connected nodes is judged. With ``--wishes`` upstreams also announce
-their leaving or ask for backoff in their answers and start again under their ids, and foreign
+their leaving or ask for backoff in their answers and start again under their ids, and other
 writers store malformed entries. With ``--crowds`` many callers send a crashing request at the same
 time. With ``--drills`` the store is restored from its own copies, and upstreams announce rate
 limits.
--- a/tests/standin/fault_injection.py
+++ b/tests/standin/fault_injection.py
@@ -360,7 +360,7 @@
             )
 
     def odd_entry(self):
-        """Store a malformed entry of a foreign writer for a time."""
+        """Store a malformed server entry of another writer for a time."""
         name = f"odd-{len(self.malformed)}"
         upstream = self.site.upstreams[name] = Upstream(name)
         upstream.service = PLAIN
--- a/tests/standin/malformed_entries.py
+++ b/tests/standin/malformed_entries.py
@@ -1,10 +1,10 @@
-"""Server entries as a foreign writer may store them, each malformed in one way."""
+"""Server entries that a writer other than a gateway may store, each malformed in one way."""
 
 import copy
 
 
 def malformed_record(upstream, service, change):
-    """Return spec and status of an upstream's entry after a change of a foreign writer."""
+    """Return spec and status of an upstream's entry after a change by such a writer."""
     spec, status = upstream.record(service)
     entry = {"spec": copy.deepcopy(spec), "status": copy.deepcopy(status)}
     change(entry)
