--- a/ploverhatch/control/core.py
+++ b/ploverhatch/control/core.py
@@ -28,9 +28,9 @@
     choose_voters,
 )
 from ploverhatch.ownership.controller import (
-    CallServer,
     OwnershipController,
     ProposeAssignment,
+    SyncCall,
 )
 from ploverhatch.ownership.messages import SyncReply, SyncRequest
 from ploverhatch.ownership.placement import PlacementLimits
@@ -43,8 +43,8 @@
 NODE_STATUS_MAX_AGE_MS = 3000.0
 EXPIRE_CHECK_MS = 10_000.0
 FIRST_EPOCH = 1
-VOTER_TICKS = 3  # tick interval of a voter, in ticks of a leader
-OBSERVER_TICKS = 10  # tick interval of other nodes, in ticks of a leader
+VOTER_TICK_MULTIPLE = 3  # tick interval of a voter, as a multiple of the leader's
+OBSERVER_TICK_MULTIPLE = 10  # tick interval of other nodes, as a multiple of the leader's
 
 
 @dataclass(frozen=True)
@@ -60,11 +60,11 @@
 
 
 @dataclass(frozen=True)
-class CallBackend:
+class SendSyncCall:
     """Action: send a sync call; pass the result to ``handle_sync_result``."""
 
     leadership: OwnershipController
-    call: CallServer
+    call: SyncCall
 
 
 @dataclass(frozen=True)
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True)
-class EntryPublished:
+class EntryApplied:
     """Action: an entry was applied to ``replica.state``."""
 
     entry: wire.LogEntry
@@ -112,10 +112,10 @@
 
 CoreAction = (
     Send
-    | CallBackend
+    | SendSyncCall
     | ProposalCommitted
     | ProposalRejected
-    | EntryPublished
+    | EntryApplied
     | StateReplaced
     | LeadershipChanged
     | VotersChanged
@@ -257,13 +257,13 @@
         if self.replica.is_leader:
             return self._timing.tick_ms
         if self.replica.is_voter:
-            return self._timing.tick_ms * VOTER_TICKS
-        return self._timing.tick_ms * OBSERVER_TICKS
+            return self._timing.tick_ms * VOTER_TICK_MULTIPLE
+        return self._timing.tick_ms * OBSERVER_TICK_MULTIPLE
 
     def _concerns_ownership(self) -> bool:
         """Tell whether entries other than record entries were just applied."""
         return any(
-            isinstance(action, EntryPublished) and action.entry.kind not in RECORD_KINDS
+            isinstance(action, EntryApplied) and action.entry.kind not in RECORD_KINDS
             for action in self._actions
         )
 
@@ -309,8 +309,8 @@
         self._configure(controller, now_ms)
         for action in controller.tick(now_ms, self.replica.has_lease(now_ms)):
             match action:
-                case CallServer():
-                    self._actions.append(CallBackend(controller, action))
+                case SyncCall():
+                    self._actions.append(SendSyncCall(controller, action))
                 case ProposeAssignment(change):
                     self._propose([Proposal(change)], now_ms)
 
@@ -407,7 +407,7 @@
                     self._on_role_changed(leading, term, now_ms)
 
     def _on_applied(self, entry: wire.LogEntry, result: ClaimResult | None, now_ms: float) -> None:
-        self._actions.append(EntryPublished(entry))
+        self._actions.append(EntryApplied(entry))
         self._resolve_proposal(entry, result)
         if self.controller is not None and entry.kind == ASSIGNMENT_KIND:
             command = decode_command(entry)
--- a/ploverhatch/gateway/process.py
+++ b/ploverhatch/gateway/process.py
@@ -44,7 +44,7 @@
 from ploverhatch.relay.messages import Beacon, RelayedUpdate
 from ploverhatch.relay.publisher import Term
 from ploverhatch.routing.planned_stop import PlannedStop, caller_idle_timeout_s
-from ploverhatch.routing.retry_budget import SharedRetryBudget
+from ploverhatch.routing.shared_retry_budget import SharedRetryBudget
 from ploverhatch.store import kinds
 from ploverhatch.store.objects import (
     ObjectChange,
@@ -332,7 +332,7 @@
         if record is not None:
             self.directory.put_server(record)
         else:
-            # The record is gone, or replaced by an entry of a foreign writer.
+            # The record is gone, or replaced by a malformed entry of another writer.
             self.directory.remove_server(change.object.name)
         return True
 
--- a/ploverhatch/node/control.py
+++ b/ploverhatch/node/control.py
@@ -19,14 +19,14 @@
 from ploverhatch.consensus.actions import NotLeaderError, Send
 from ploverhatch.consensus.replica import Replica
 from ploverhatch.control.core import (
-    CallBackend,
     ControlCore,
     CoreAction,
-    EntryPublished,
+    EntryApplied,
     LeadershipChanged,
     Proposal,
     ProposalCommitted,
     ProposalRejected,
+    SendSyncCall,
     StateReplaced,
     VotersChanged,
 )
@@ -231,9 +231,9 @@
             match action:
                 case Send(recipient, message):
                     self._send(recipient, message)
-                case CallBackend(leadership, call):
+                case SendSyncCall(leadership, call):
                     gevent.spawn(self._call_backend, leadership, call.server, call)
-                case EntryPublished(entry):
+                case EntryApplied(entry):
                     if self._share_state():
                         self._view.note_applied(entry)
                 case StateReplaced():
--- a/ploverhatch/node/process.py
+++ b/ploverhatch/node/process.py
@@ -17,7 +17,7 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.common.logs import PartLogger
 from ploverhatch.common.timing import ControlTiming
-from ploverhatch.node.bootstrap import LEADERLESS_MS, PAUSE_S, BootstrapTask
+from ploverhatch.node.bootstrap import LEADERLESS_MS, RETRY_PAUSE_S, BootstrapTask
 from ploverhatch.node.columns import to_columns
 from ploverhatch.node.control import ControlTask, HandOverLeadership, PeerMessage, StatusReceived
 from ploverhatch.node.metrics import NodeMetrics
@@ -178,7 +178,7 @@
         clean = self.http.drain(timing.drain_limit_ms / 1000, timing.drain_linger_ms / 1000)
         # Requests that outlast the drain are answered with an unknown outcome: if only their
         # connections were closed, the callers would not learn even that.
-        given_up = self.router.end_under_way()
+        given_up = self.router.end_in_flight()
         answered = self.http.await_answers(FINAL_ANSWERS_LIMIT_S)
         settled = self.router.await_background_commits(BACKGROUND_COMMITS_LIMIT_S)
         # This server stops last, so that operators can follow the shutdown until then.
@@ -283,7 +283,7 @@
             self._find_cell()
             if elapsed_ms() - leader_seen_ms > LEADERLESS_MS and self.control.replica.is_voter:
                 self.bootstrap.recover_leaderless()
-            gevent.sleep(PAUSE_S)
+            gevent.sleep(RETRY_PAUSE_S)
 
     def _find_cell(self) -> None:
         voters = self.bootstrap.find_cell() if not self.control.replica.is_voter else []
--- a/ploverhatch/simulation/node.py
+++ b/ploverhatch/simulation/node.py
@@ -5,14 +5,14 @@
 from ploverhatch.common.timing import ControlTiming
 from ploverhatch.consensus.actions import Send
 from ploverhatch.control.core import (
-    CallBackend,
     ControlCore,
     CoreAction,
-    EntryPublished,
+    EntryApplied,
     LeadershipChanged,
     Proposal,
     ProposalCommitted,
     ProposalRejected,
+    SendSyncCall,
 )
 from ploverhatch.membership.recovery import CellRecord, Evidence, RecoveryWatch
 from ploverhatch.ownership.messages import SyncReply
@@ -134,10 +134,10 @@
 
     def _evidence(self, node_id: str) -> Evidence:
         current = self.cluster.nodes.get(node_id.split("/", maxsplit=1)[0])
-        cuts = self.world.faults.cuts
+        blocked = self.world.faults.blocked_links
         if current is None:
             return Evidence.REFUSED
-        if (self.zone, current.zone) in cuts or (current.zone, self.zone) in cuts:
+        if (self.zone, current.zone) in blocked or (current.zone, self.zone) in blocked:
             return Evidence.SILENT
         if current.node_id == node_id:
             return Evidence.SILENT if current.frozen else self._compare_logs(current)
@@ -167,9 +167,9 @@
             match action:
                 case Send(recipient, message):
                     self._send(recipient, message)
-                case CallBackend():
+                case SendSyncCall():
                     self._call_backend(action)
-                case EntryPublished(entry):
+                case EntryApplied(entry):
                     self._published(entry)
                 case ProposalCommitted(proposal, result):
                     _answer(proposal, result)
@@ -194,7 +194,7 @@
         if target is not None and target.node_id == recipient:
             self._transmit(target, lambda: target.handle_message(self.node_id, message))
 
-    def _call_backend(self, action: CallBackend) -> None:
+    def _call_backend(self, action: SendSyncCall) -> None:
         call, pending = action.call, [True]
 
         def end(reply: SyncReply | None) -> None:
--- a/ploverhatch/simulation/router.py
+++ b/ploverhatch/simulation/router.py
@@ -1,7 +1,7 @@
 """A simulated router: attempts and idempotency records in virtual time.
 
 Some lookups are stale on purpose: with probability ``STALE_LOOKUP`` the router uses an owner
-that it found earlier, as a router that was paused or cut off would.
+that it found earlier, as a router that was frozen or cut off would.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from ploverhatch.backend.interface import Refusal
 from ploverhatch.common import results
 from ploverhatch.control.core import Proposal
-from ploverhatch.routing.attempts import AttemptEnd, GiveUp, RequestState, after_attempt
+from ploverhatch.routing.router_attempts import AttemptEnd, GiveUp, RequestState, after_attempt
 from ploverhatch.simulation.node import SimulatedNode
 from ploverhatch.simulation.server import SimulatedServer
 from ploverhatch.state.commands import RecordCommand
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -16,7 +16,7 @@
 
 With ``--planned`` there is planned work only. With ``--sound-store`` the store has no faults, so
 that more of the behaviour of connected nodes is judged. With ``--wishes`` upstreams also announce
-their leaving or ask for backoff in their answers and start again under their ids, and foreign
+their leaving or ask for backoff in their answers and start again under their ids, and other
 writers store malformed entries. With ``--crowds`` many callers send a crashing request at the same
 time. With ``--drills`` the store is restored from its own copies, and upstreams announce rate
 limits.
@@ -42,14 +42,14 @@
 from ploverhatch.common.clock import elapsed_ms
 from ploverhatch.simulation.keys.server import SAMPLE_KEYS
 from tests.standin.clients import Load
-from tests.standin.fault_injection import FAULT_LENGTH_S, FaultKinds, Faults, PlannedWork
+from tests.standin.fault_injection import FAULT_DURATION_S, FaultKinds, Faults, PlannedWork
 from tests.standin.site import PORTS_VARIABLE, StandinSite
 from tests.standin.verdict import Verdict, judge_soak
 
 DRAWN_GATEWAYS = (3, 4, 6, 8, 12)
 CLIENTS = (18, 4, 96)  # minimum, number for each gateway, maximum
 START_LIMIT_S = 60.0
-SETTLE_S = FAULT_LENGTH_S[1] + 3.0
+SETTLE_S = FAULT_DURATION_S[1] + 3.0
 RECOVERY_LIMIT_S = 40.0
 RECOVERY_CALLS = 8  # concurrent requests
 SEED_MARGIN_S = 180.0  # time limit of one seed beyond the time of its faults
--- a/tests/standin/site.py
+++ b/tests/standin/site.py
@@ -121,7 +121,7 @@
         return elapsed_ms()
 
 
-class JudgedUpstream(Upstream):
+class RecordedUpstream(Upstream):
     """An upstream whose key holdings are recorded by the simulation's key server."""
 
     def __init__(self, server_id, journal, **changes):
@@ -199,12 +199,12 @@
         while self.alive:
             gevent.sleep(POLL_S)
 
-    def freeze(self, length_s):
+    def freeze(self, duration_s):
         """Stop the process for a time with SIGSTOP and SIGCONT."""
         now_s = elapsed_ms() / 1000
-        self.faults.append((now_s, now_s + length_s))
+        self.faults.append((now_s, now_s + duration_s))
         self.signal(signal.SIGSTOP)
-        gevent.spawn_later(length_s, self.signal, signal.SIGCONT)
+        gevent.spawn_later(duration_s, self.signal, signal.SIGCONT)
 
     def kill(self):
         """Kill the process with SIGKILL."""
@@ -355,12 +355,12 @@
             "incarnation": incarnation,
         }
         if service == KEYED:
-            upstream = JudgedUpstream(name, self.journal, **changes)
+            upstream = RecordedUpstream(name, self.journal, **changes)
         else:
             upstream = Upstream(name, **changes)
         upstream.service = service
         upstream.behaviour.work_s = 0.01
-        upstream.crashed = self._upstream_crashed
+        upstream.on_crash = self._upstream_crashed
         self.upstreams[incarnation] = upstream
         self.store.put("servers", name, *upstream.record(service))
         return upstream
