--- a/ploverhatch/gateway/forwarder.py
+++ b/ploverhatch/gateway/forwarder.py
@@ -296,9 +296,8 @@
         tried: set[str],
     ) -> CallerReply:
         if last is not None:
-            return self._forward_answer(
-                last
-            )  # The server's own error response goes to the caller unchanged.
+            # The server's own error response goes to the caller unchanged.
+            return self._forward_answer(last)
         if step is NextStep.REFUSE:
             unservable = self._choice.unservable(call, tried)
             after_s = unservable.after_s if unservable else 0.0
--- a/ploverhatch/gateway/metrics.py
+++ b/ploverhatch/gateway/metrics.py
@@ -17,9 +17,8 @@
     def __init__(self) -> None:
         self.results: Counter[int] = Counter()
         self.attempts: Counter[str] = Counter()
-        self.sends: Counter[str] = (
-            Counter()
-        )  # To servers that leave, back off or have a rate limit.
+        # Sends to servers that leave, back off or have a rate limit.
+        self.sends: Counter[str] = Counter()
         self._durations: Counter[float] = Counter()
         self._gauges: dict[str, Callable[[], float]] = {}
 
--- a/ploverhatch/gateway/quarantine_persistence.py
+++ b/ploverhatch/gateway/quarantine_persistence.py
@@ -38,9 +38,8 @@
         self._leads = leads
         self._stored: VersionedObject | None = None
         self._loaded = False
-        self._saved: frozenset[tuple[bytes, int]] = (
-            frozenset()
-        )  # Digests with their number of crashes.
+        # Digests with their number of crashes.
+        self._saved: frozenset[tuple[bytes, int]] = frozenset()
         self._saved_ms = -1e12
 
     def run(self) -> None:
@@ -58,9 +57,8 @@
             except StoreCallError as error:
                 LOG.warning("Quarantined requests not read or saved.", cause=error)
                 self._saved_ms = elapsed_ms()
-            except (
-                RevisionConflictError
-            ) as error:  # Written by an earlier leader, or the answer to a write was lost.
+            except RevisionConflictError as error:
+                # Written by an earlier leader, or the answer to a write was lost.
                 self._stored = error.current
 
     def _load(self) -> None:
--- a/ploverhatch/gateway/settings.py
+++ b/ploverhatch/gateway/settings.py
@@ -34,9 +34,8 @@
     retry_slack: float = 50.0
     retry_window_s: float = 10.0
     lease_max_ms: float = 10_000.0
-    evacuate_ms: float = (
-        0.0  # time until an evacuated zone is sent nothing; 0: zones are never evacuated
-    )
+    # Time until an evacuated zone is sent nothing; 0: zones are never evacuated.
+    evacuate_ms: float = 0.0
     zone_regions: Mapping[str, str] = field(default_factory=dict)  # the region of each zone
     max_descriptors: int = 4096
     cores: float = 1.0  # processor time that the machine provides, in cores
--- a/ploverhatch/simulation/keys/server.py
+++ b/ploverhatch/simulation/keys/server.py
@@ -92,9 +92,8 @@
         """Refuse new requests on keys; answer when the running ones have ended."""
         keys = [key for key in SAMPLE_KEYS if first <= key <= last]
         for key in keys:
-            self._seen[key] = max(
-                self._seen.get(key, 0), token
-            )  # as the servers of the platform do
+            # Keeps the highest token, as the servers of the platform do.
+            self._seen[key] = max(self._seen.get(key, 0), token)
             hold = self._held.pop(key, None)
             if hold is not None:
                 hold.end(self.world.now_ms)
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -111,9 +111,8 @@
     leader.link._members = lambda: [leader.leader, node.leader]
     node.link.add_handler(Beacon, lambda beacon: setattr(node, "leader", beacon.address))
     leader.link.publish(replace(BEACON, address=leader.leader))
-    until(
-        lambda: tuple(node.address) in leader.link.peers
-    )  # sooner than the report interval of a minute
+    # The report arrives sooner than the report interval of a minute.
+    until(lambda: tuple(node.address) in leader.link.peers)
     assert node.leader == leader.leader
     leader.close()
     node.close()
--- a/tests/functional/test_suspension.py
+++ b/tests/functional/test_suspension.py
@@ -75,9 +75,8 @@
     gevent.sleep(NOTICED_WITHIN_S)
     kinds_asked = {kind for _, kind, _, _ in site.store.calls[before:]}
     assert {"config", "servers", "leases"} <= kinds_asked
-    assert any(
-        method == "PUT" for method, *_ in site.store.calls[before:]
-    )  # the renewal of the lease
+    # The lease is renewed.
+    assert any(method == "PUT" for method, *_ in site.store.calls[before:])
 
 
 def test_a_short_rest_of_the_process_is_no_suspension(machine, site):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -83,9 +83,8 @@
         self.tokens.close()
 
     def _start(self):
-        self.tokens = tempfile.NamedTemporaryFile(  # noqa: SIM115 - closed in __exit__
-            "w", suffix=".tokens"
-        )
+        # Closed in __exit__.
+        self.tokens = tempfile.NamedTemporaryFile("w", suffix=".tokens")  # noqa: SIM115
         self.tokens.write(f"operate {TOKEN}\n")
         self.tokens.flush()
         self.platform = Program("emulator", "platform")
