--- a/tests/functional/test_suspension.py
+++ b/tests/functional/test_suspension.py
@@ -51,7 +51,7 @@
     (gateway,) = start_site(site)
     site.upstreams["u3"].behaviour.hang = True
     asked = gevent.spawn(ask, gateway, b"/p/a")
-    gevent.sleep(0.1)
+    until(lambda: site.upstreams["u3"].arrived)
     machine.suspend(5.0)
     status, _ = asked.get(timeout=NOTICED_WITHIN_S)
     assert status == 504
