--- a/ploverhatch/cli/ctl.py
+++ b/ploverhatch/cli/ctl.py
@@ -16,6 +16,7 @@
 EXIT_UNKNOWN = 4
 CONFLICT_STATUS = 412
 WAIT_LIMIT_S = 10.0
+POLL_INTERVAL_S = 0.1  # between two status requests to the nodes
 _UNKNOWN_OUTCOME = "unknown"
 
 
@@ -184,7 +185,7 @@
         if nodes and not behind:
             click.echo(f"in force on {len(nodes)} nodes")
             return
-        time.sleep(0.1)
+        time.sleep(POLL_INTERVAL_S)
     click.echo(f"behind: {', '.join(behind) or 'no leader is known'}", err=True)
     sys.exit(EXIT_FAILURE)
 
--- a/ploverhatch/experiment/report.py
+++ b/ploverhatch/experiment/report.py
@@ -9,7 +9,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 - the backend is chosen first
 
-from ploverhatch.experiment.placement_run import (  # noqa: E402
+from ploverhatch.experiment.placement_run import (  # noqa: E402 - after the backend
     WINDOW_S,
     Outcome,
     Scenario,
--- a/ploverhatch/experiment/slots_report.py
+++ b/ploverhatch/experiment/slots_report.py
@@ -9,7 +9,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402 - the backend is chosen first
 
-from ploverhatch.experiment.slots_world import SlotScenario, Tally  # noqa: E402
+from ploverhatch.experiment.slots_world import SlotScenario, Tally  # noqa: E402 - after the backend
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -46,4 +46,5 @@
         if item.nodeid in known:
             entry = known[item.nodeid]
             reason = f"{entry.seen} (issue {entry.issue})"
+            # Not strict: some of the listed tests fail only sometimes.
             item.add_marker(pytest.mark.xfail(reason=reason, strict=False))
